--- a/policy/src/main/java/garnetreel/policy/ActionCollector.java
+++ b/policy/src/main/java/garnetreel/policy/ActionCollector.java
@@ -5,15 +5,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects the actions of one call of the scheduler, in order. */
+/** Collects the actions returned by one scheduler call, in order. */
 final class ActionCollector {
-    /** Log messages of a scheduler's whole life: enough to follow an incident, too few to fill a disk. */
+    /** Limit over the lifetime of a scheduler: enough messages to follow an incident, too few to fill a disk. */
     private static final int MAX_LOG_MESSAGES = 60;
 
     private List<SchedulerAction> actions = new ArrayList<>();
     private int logMessages;
 
-    /** Begins a new list; the one before belongs to the caller of the scheduler. */
+    /** Starts and returns a new list; the previous one was handed to the caller of the scheduler. */
     List<SchedulerAction> begin() {
         actions = new ArrayList<>();
         return actions;
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Invariant: no more is logged than allowed. */
+    /** Invariant: no more messages were logged than {@link #MAX_LOG_MESSAGES}. */
     boolean isConsistent() {
         return logMessages <= MAX_LOG_MESSAGES;
     }
--- a/policy/src/main/java/garnetreel/policy/Attempt.java
+++ b/policy/src/main/java/garnetreel/policy/Attempt.java
@@ -8,7 +8,7 @@
     final Endpoint endpoint;
     private final long sentAt;
     private final long latencyObjective;
-    /** Whether it is still in flight. */
+    /** True until the outcome of the attempt is known. */
     boolean inFlight = true;
 
     Attempt(Endpoint endpoint, long sentAt, long latencyObjective) {
--- a/policy/src/main/java/garnetreel/policy/AttemptDispatcher.java
+++ b/policy/src/main/java/garnetreel/policy/AttemptDispatcher.java
@@ -4,20 +4,20 @@
 import garnetreel.policy.endpoint.Endpoint;
 import java.util.function.BiPredicate;
 
-/** Sends attempts: fills the free tokens of the endpoints from the fair queue. */
+/** Sends held requests to endpoints in fair-queue order while concurrency tokens are free. */
 final class AttemptDispatcher {
     private final DecisionModules modules;
-    /** Made once: selection asks it for every held request. */
-    private final BiPredicate<PendingRequest, Endpoint> mayLeave = this::mayLeave;
+    /** Created once, as the selection evaluates it for every held request. */
+    private final BiPredicate<PendingRequest, Endpoint> maySend = this::maySend;
 
-    /** Time of the dispatch in progress; {@link #mayLeave} reads it. */
+    /** Time of the dispatch in progress; {@link #maySend} reads it. */
     private long now;
 
     AttemptDispatcher(DecisionModules modules) {
         this.modules = modules;
     }
 
-    /** Fills the free tokens of the endpoint that serves a shard, one request at a time. */
+    /** Sends held requests of a shard until its endpoint has no free token or no request may be sent. */
     void dispatch(Shard shard, long time) {
         now = time;
         while (!shard.queue.isEmpty()) {
@@ -25,7 +25,7 @@
             if (endpoint == null || endpoint.limiter().freeTokens(now) < 1) {
                 return;
             }
-            PendingRequest next = modules.fairQueue.select(shard.queue, endpoint, mayLeave, now);
+            PendingRequest next = modules.fairQueue.select(shard.queue, endpoint, maySend, now);
             if (next == null) {
                 return;
             }
@@ -33,9 +33,12 @@
         }
     }
 
-    /** What a send must keep: key order and rate limit; for retries attempts, effect, deduplication scope and budget. */
-    private boolean mayLeave(PendingRequest request, Endpoint endpoint) {
-        if (request.over || request.attemptsInFlight > 0) {
+    /**
+     * Whether a request may be sent to an endpoint now. A first attempt must respect key order and rate limit; a retry
+     * must respect key order, the maximum number of attempts, idempotency, deduplication scope and retry budget.
+     */
+    private boolean maySend(PendingRequest request, Endpoint endpoint) {
+        if (request.closed || request.attemptsInFlight > 0) {
             return false;
         }
         if (request.keyQueue != null && !request.keyQueue.mayStart(request, now)) {
@@ -44,7 +47,7 @@
         if (request.attempts.isEmpty()) {
             return request.flow.buckets().allowsAttempt(request.units, now);
         }
-        return modules.retries.allows(request.attempts.size(), request.guard, now)
+        return modules.retryPolicy.allows(request.attempts.size(), request.guard, now)
                 && request.guard.allowsEndpoint(endpoint);
     }
 
--- a/policy/src/main/java/garnetreel/policy/DecisionModules.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionModules.java
@@ -15,53 +15,53 @@
 import garnetreel.policy.slowstart.SlowStart;
 import java.util.SplittableRandom;
 
-/** The modules of one scheduler. Each owns its state; what needs several of them is done by the classes of this package. */
+/** The modules of one scheduler. Each owns its state; the other classes of this package combine several of them. */
 final class DecisionModules {
     final SchedulerSettings settings;
-    final SettingsLookup lookup;
+    final SettingsLookup settingsLookup;
     final EndpointLease lease = new EndpointLease();
     final EndpointTable endpoints = new EndpointTable(lease);
     final EndpointListSubscription subscription;
     final ShardTable shards = new ShardTable(endpoints);
     final PendingRequests requests = new PendingRequests(shards);
     final FairQueue fairQueue = new FairQueue();
-    final KeySequencer<PendingRequest> keys;
-    final RejectedRequests rejected = new RejectedRequests();
-    final AdmissionController admission;
-    final LoadShedder shedder;
+    final KeySequencer<PendingRequest> keySequencer;
+    final RejectedRequests rejectedRequests = new RejectedRequests();
+    final AdmissionController admissionController;
+    final LoadShedder loadShedder;
     final SlowStart slowStart;
-    final LatencyScale latency;
+    final LatencyScale latencyScale;
     final RetryBudget retryBudget;
-    final RetryPolicy retries;
+    final RetryPolicy retryPolicy;
     final DecisionTimer timer;
     final ActionCollector actions = new ActionCollector();
-    /** When this gateway started; set by the first call. */
+    /** Start time of this gateway; set by the first call of the scheduler. */
     long startedAt;
 
     DecisionModules(SchedulerSettings settings, long seed) {
         this.settings = settings;
-        // One sequence of random numbers for all modules; it splits seeds well, as gateways may have seeds that lie
-        // close.
+        // One generator for all modules. SplittableRandom also gives unrelated sequences for adjacent seeds, which the
+        // gateways of a fleet may have.
         SplittableRandom random = new SplittableRandom(seed);
-        lookup = new SettingsLookup(settings);
+        settingsLookup = new SettingsLookup(settings);
         subscription = new EndpointListSubscription(settings, random);
-        keys = new KeySequencer<>(settings.rules().keyQuietPeriod());
-        admission = new AdmissionController(settings, random);
-        shedder = new LoadShedder(settings);
+        keySequencer = new KeySequencer<>(settings.rules().keyQuietPeriod());
+        admissionController = new AdmissionController(settings, random);
+        loadShedder = new LoadShedder(settings);
         slowStart = new SlowStart(settings);
-        latency = new LatencyScale(settings);
+        latencyScale = new LatencyScale(settings);
         retryBudget = new RetryBudget(settings.rules());
-        retries = new RetryPolicy(settings.maxAttempts(), retryBudget);
+        retryPolicy = new RetryPolicy(settings.maxAttempts(), retryBudget);
         timer = new DecisionTimer(settings);
     }
 
-    /** The gateway starts. */
+    /** Initializes the modules that depend on the start time of the gateway. */
     void start(long now) {
         startedAt = now;
         subscription.start(now);
     }
 
-    /** Whether every module's invariant holds. Walks all state, so it is for tests, not for the ordinary path. */
+    /** Whether the invariants of all modules hold. Traverses the whole state, so it is meant for tests only. */
     boolean areConsistent() {
         return lease.isConsistent()
                 && endpoints.isConsistent()
@@ -69,8 +69,8 @@
                 && shards.isConsistent()
                 && requests.isConsistent()
                 && fairQueue.isConsistent()
-                && keys.isConsistent()
-                && rejected.isConsistent()
+                && keySequencer.isConsistent()
+                && rejectedRequests.isConsistent()
                 && slowStart.isConsistent()
                 && retryBudget.isConsistent()
                 && actions.isConsistent();
--- a/policy/src/main/java/garnetreel/policy/DecisionStep.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionStep.java
@@ -2,31 +2,38 @@
 
 import java.util.List;
 
-/** The steps of one call of the scheduler. Their order decides; each has the reason for its place. */
+/** The steps of one scheduler call. Their order affects the decisions; each step states the reason for its position. */
 enum DecisionStep {
     /**
-     * Takes in the events, in the order given. First, so that what is decided next knows them all: a request whose client left is not
-     * sent, and endpoints are those of the newest list.
+     * Handles the events in the order given. First, so that all later decisions see the current state: a cancelled
+     * request is not sent, and endpoints come from the latest list.
      */
     HANDLE_EVENTS,
     /**
-     * Admits anew what is held for endpoints whose restart was listed. After the events, so that requests whose clients left do not
-     * count as demand; before dispatch, so that what was held for a warm endpoint does not rush to a cold one.
+     * Repeats admission for requests held for endpoints that the list reports as restarted. After the events, so that
+     * cancelled requests do not count as demand; before dispatch, so that requests held for a warm endpoint do not
+     * overload a cold one.
      */
     READMIT_FOR_RESTARTS,
-    /** Calls for the endpoint list where that is due. After the events, which may have brought or ended a subscription. */
+    /**
+     * Subscribes to the endpoint list if that is due. After the events, which may have established or ended a
+     * subscription.
+     */
     FOLLOW_ENDPOINT_LIST,
-    /** Gives up what is about to pass its deadline. Before dispatch: no attempt is sent that cannot be answered. */
+    /**
+     * Ends requests that are about to miss their deadline. Before dispatch, so that no attempt is sent whose response
+     * would come too late.
+     */
     EXPIRE_REQUESTS,
-    /** Lowers the admitted fraction of silent endpoints. After the events, whose responses may have ended the silence. */
+    /** Lowers the admitted fraction of unresponsive endpoints. After the events, which may contain their responses. */
     DETECT_SILENCE,
-    /** Sheds late requests, then sends attempts, shard by shard. After all that frees tokens or ends requests. */
+    /** Sheds late requests, then sends attempts, shard by shard. After all steps that free tokens or end requests. */
     SHED_AND_DISPATCH,
-    /** Forgets what is unused. After dispatch, so that nothing is forgotten and made again in one call. */
+    /** Evicts unused state. After dispatch, so that no state is evicted and created again in one call. */
     FORGET_UNUSED,
-    /** Sets the timer. Last: what is held and in flight now says when to look again. */
+    /** Sets the timer. Last, as the time of the next call depends on the requests now held and in flight. */
     SET_TIMER;
 
-    /** The order in use. */
+    /** The order used in production. */
     static final List<DecisionStep> ORDER = List.of(values());
 }
--- a/policy/src/main/java/garnetreel/policy/DecisionTimer.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionTimer.java
@@ -5,15 +5,17 @@
 import garnetreel.policy.config.SchedulerSettings;
 import garnetreel.policy.endpoint.EndpointListSubscription;
 
-/** Sets the one timer by which the scheduler is called where no event comes. */
+/** Sets the single timer that triggers a scheduler call when no other event arrives. */
 final class DecisionTimer {
-    /** Name of the timer, as the program around the scheduler sees it. */
+    /** Name of the timer, as seen by the embedding program. */
     private static final String TIMER_NAME = "look";
-    /** Poll interval while a request is held, microseconds: tokens, rate limits and quiet periods come back with time. */
+    /**
+     * Poll interval while a request is held, microseconds: free tokens, rate limits and quiet periods change with time.
+     */
     private static final long POLL_INTERVAL_HELD = 5_000;
-    /** Poll interval while attempts are in flight, microseconds: silence is detected by it. */
+    /** Poll interval while attempts are in flight, microseconds: needed to detect unresponsive endpoints. */
     private static final long POLL_INTERVAL_IN_FLIGHT = 50_000;
-    /** Due time while no timer is set. */
+    /** Value of {@link #dueAt} while no timer is set. */
     private static final long NOT_SET = Long.MAX_VALUE;
 
     private final long timerResolution;
@@ -23,14 +25,14 @@
         timerResolution = settings.timerResolution();
     }
 
-    /** A timer expired; one that was set for later stays. */
+    /** Handles the expiry of a timer; a timer that is due later remains set. */
     void expired(long now) {
         if (now >= dueAt) {
             dueAt = NOT_SET;
         }
     }
 
-    /** Sets the timer for the next time that something may have to be decided, unless one is due sooner. */
+    /** Sets the timer for the next time at which a decision may be needed, unless it is already due by then. */
     void set(
             PendingRequests requests,
             EndpointListSubscription subscription,
--- a/policy/src/main/java/garnetreel/policy/EndpointUpdates.java
+++ b/policy/src/main/java/garnetreel/policy/EndpointUpdates.java
@@ -8,11 +8,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Follows the endpoint list. */
+/** Applies updates of the endpoint list and keeps the subscription to it. */
 final class EndpointUpdates {
     private final DecisionModules modules;
     private final RequestAdmission admission;
-    /** Shards of endpoints whose restart was listed since the last readmission. */
+    /** Shards of endpoints that the list reported as restarted since the last readmission. */
     private final List<Shard> restarted = new ArrayList<>();
 
     EndpointUpdates(DecisionModules modules, RequestAdmission admission) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Admits anew what was held before an endpoint restarted: it must not be sent to it all at once. */
+    /** Repeats admission for requests held before an endpoint restarted, as it cannot take all of them at once. */
     void readmitForRestarts(long now) {
         for (Shard shard : restarted) {
             admission.readmit(shard, now);
--- a/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
+++ b/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
@@ -15,10 +15,11 @@
 import java.util.List;
 
 /**
- * All decisions of one gateway, by virtual-time fair queueing (docs/design.md) with guards around it.
+ * Scheduler of one gateway: virtual-time fair queueing (docs/design.md) with admission control, rate limits,
+ * concurrency limits and retry limits around it.
  *
- * <p>This class only coordinates: it hands each event to the modules concerned and runs the steps of a call in their order. Every
- * decision, its state and its constants are in a module of their own.
+ * <p>This class only coordinates: it passes each event to the modules concerned and runs the steps of a call in order.
+ * Every kind of decision has a module of its own with its state and constants.
  */
 public final class FairQueueScheduler implements Scheduler {
     private final List<DecisionStep> steps;
@@ -33,16 +34,16 @@
     private long now;
 
     /**
-     * A scheduler for one gateway.
+     * Creates a scheduler for one gateway.
      *
-     * @param settings its settings
-     * @param seed of its random numbers; the same seed and events give the same actions
+     * @param settings settings of the scheduler
+     * @param seed seed of its random numbers; the same seed and events give the same actions
      */
     public FairQueueScheduler(SchedulerSettings settings, long seed) {
         this(settings, seed, DecisionStep.ORDER);
     }
 
-    /** A scheduler with another order of steps; for tests of what the order is for. */
+    /** Creates a scheduler with another order of steps, for tests that show why the order matters. */
     FairQueueScheduler(SchedulerSettings settings, long seed, List<DecisionStep> steps) {
         this.steps = List.copyOf(steps);
         modules = new DecisionModules(settings, seed);
@@ -79,7 +80,7 @@
             case SHED_AND_DISPATCH -> shedAndDispatch();
             case FORGET_UNUSED -> housekeeping.forgetUnused(now);
             case SET_TIMER -> modules.timer.set(
-                    modules.requests, modules.subscription, modules.shedder, modules.actions, now);
+                    modules.requests, modules.subscription, modules.loadShedder, modules.actions, now);
         }
     }
 
@@ -119,13 +120,13 @@
     }
 
     private void shedAndDispatch() {
-        for (Shard shard : modules.shards.waiting()) {
+        for (Shard shard : modules.shards.withHeldRequests()) {
             closer.shed(shard, now);
             dispatcher.dispatch(shard, now);
         }
     }
 
-    /** Whether every module's invariant holds; for tests. */
+    /** Whether the invariants of all modules hold; for tests. */
     boolean isConsistent() {
         return modules.areConsistent();
     }
--- a/policy/src/main/java/garnetreel/policy/Housekeeping.java
+++ b/policy/src/main/java/garnetreel/policy/Housekeeping.java
@@ -1,8 +1,8 @@
 package garnetreel.policy;
 
-/** Forgets what was not used for long, so that tables do not grow with a scheduler's life. */
+/** Evicts state that has not been used for a while, so that tables do not grow over the lifetime of a scheduler. */
 final class Housekeeping {
-    /** Least time between two passes, microseconds: a pass walks all tables. */
+    /** Minimum time between two passes, microseconds: each pass traverses all tables. */
     private static final long PERIOD = 1_000_000;
 
     private final DecisionModules modules;
@@ -21,7 +21,7 @@
             return;
         }
         lastPassAt = now;
-        modules.keys.forgetIdleKeys(now);
+        modules.keySequencer.forgetIdleKeys(now);
         modules.fairQueue.forgetUnused(now);
         modules.endpoints.forgetUnused();
         modules.shards.forgetUnused(now);
--- a/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
+++ b/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
@@ -7,7 +7,7 @@
 import garnetreel.policy.health.Recovery;
 import garnetreel.policy.retry.RetryDecision;
 
-/** Learns from outcomes of attempts, and decides what becomes of their requests. */
+/** Updates endpoint health and limits from the outcomes of attempts, and retries or ends their requests. */
 final class OutcomeHandler {
     private final DecisionModules modules;
     private final RequestCloser closer;
@@ -27,18 +27,18 @@
             return;
         }
         endAttempt(request, attempt);
-        noteExecution(request, event.outcome(), now);
+        updateExecutionState(request, event.outcome(), now);
         if (modules.settings.reportsOtherGateways() && event.unitsFromOtherGateways() > 0) {
             request.flow.buckets().drawForOtherGateways(event.unitsFromOtherGateways(), now);
         }
-        noteLease(attempt, event.outcome());
-        noteHealth(request, attempt, event, now);
-        if (event.completed() || request.over) {
+        updateLease(attempt, event.outcome());
+        updateHealth(request, attempt, event, now);
+        if (event.completed() || request.closed) {
             modules.requests.close(request, now);
         } else if (isRetried(request, event.outcome(), now)) {
             modules.requests.hold(request);
         } else {
-            closer.giveUp(request, now);
+            closer.rejectOrFail(request, now);
         }
     }
 
@@ -49,16 +49,18 @@
         modules.endpoints.attemptEnded(attempt.endpoint, attempt);
     }
 
-    /** An outcome may prove that nothing was executed; one that may leave work running pauses the request's key. */
-    private void noteExecution(PendingRequest request, Outcome outcome, long now) {
+    /**
+     * Records an outcome that proves that nothing was executed; pauses the request's key if work may still be running.
+     */
+    private void updateExecutionState(PendingRequest request, Outcome outcome, long now) {
         if (outcome.provesNotExecuted()) {
             request.guard.provenNotExecuted();
         } else if (request.keyQueue != null && outcome != Outcome.OK && outcome != Outcome.ERROR) {
-            modules.keys.pause(request.keyQueue, request, now);
+            modules.keySequencer.pause(request.keyQueue, request, now);
         }
     }
 
-    private static void noteLease(Attempt attempt, Outcome outcome) {
+    private static void updateLease(Attempt attempt, Outcome outcome) {
         if (outcome == Outcome.OK) {
             attempt.endpoint.renewLease(attempt.sentAt());
         } else if (outcome == Outcome.OVERLOADED) {
@@ -66,33 +68,33 @@
         }
     }
 
-    /** Only a response that did the work says how fast an endpoint is. */
-    private void noteHealth(PendingRequest request, Attempt attempt, AttemptCompleted event, long now) {
+    /** Updates the health of the endpoint. Of its responses only successful ones count as latency samples. */
+    private void updateHealth(PendingRequest request, Attempt attempt, AttemptCompleted event, long now) {
         Endpoint endpoint = attempt.endpoint;
         switch (event.outcome()) {
             case OK -> {
-                noteResponse(endpoint, modules.latency.isQuick(event.elapsed()), now);
-                noteLatency(request, attempt, Math.max(1, event.elapsed()), now);
+                recordResponse(endpoint, modules.latencyScale.isQuick(event.elapsed()), now);
+                recordSuccess(request, attempt, Math.max(1, event.elapsed()), now);
             }
-            case ERROR -> noteResponse(endpoint, modules.latency.isQuick(event.elapsed()), now);
+            case ERROR -> recordResponse(endpoint, modules.latencyScale.isQuick(event.elapsed()), now);
             case OVERLOADED -> {
-                noteResponse(endpoint, false, now);
+                recordResponse(endpoint, false, now);
                 endpoint.limiter().resetWindow();
                 endpoint.health().recordFailure(attempt.sentAt(), now);
             }
-            case CONNECT_FAILED -> noteConnectFailure(attempt, now);
-            case TIMEOUT -> noteTimeout(attempt, event.elapsed(), now);
+            case CONNECT_FAILED -> recordConnectFailure(attempt, now);
+            case TIMEOUT -> recordTimeout(attempt, event.elapsed(), now);
             default -> {}
         }
     }
 
-    private void noteResponse(Endpoint endpoint, boolean quick, long now) {
+    private void recordResponse(Endpoint endpoint, boolean quick, long now) {
         if (endpoint.responded(quick, now) != Recovery.NONE) {
             modules.actions.log("endpoint " + endpoint.address() + ": reachable again");
         }
     }
 
-    private void noteConnectFailure(Attempt attempt, long now) {
+    private void recordConnectFailure(Attempt attempt, long now) {
         Endpoint endpoint = attempt.endpoint;
         if (endpoint.health().connectFailed(now)) {
             modules.actions.log("endpoint " + endpoint.address() + ": unreachable");
@@ -100,26 +102,26 @@
         endpoint.health().recordFailure(attempt.sentAt(), now);
     }
 
-    /** An attempt that was overtaken is lost and says nothing of the endpoint's queue. */
-    private static void noteTimeout(Attempt attempt, long elapsed, long now) {
+    /** Records the latency, unless a later attempt was answered: then this one was lost, not delayed in the queue. */
+    private static void recordTimeout(Attempt attempt, long elapsed, long now) {
         if (!attempt.endpoint.limiter().isOvertaken(attempt.sentAt())) {
             attempt.endpoint.health().recordLatency(attempt.sentAt(), attempt.inObjectives(elapsed), now);
         }
     }
 
-    private void noteLatency(PendingRequest request, Attempt attempt, long elapsed, long now) {
+    private void recordSuccess(PendingRequest request, Attempt attempt, long elapsed, long now) {
         Endpoint endpoint = attempt.endpoint;
         boolean wasFull = endpoint.limiter().isNearlyFull(now);
         request.shard.served.add(request.units, now);
         endpoint.limiter().answered(attempt.sentAt());
-        double relativeLatency = modules.latency.relative(elapsed, request.units);
+        double relativeLatency = modules.latencyScale.relative(elapsed, request.units);
         endpoint.health().recordLatency(attempt.sentAt(), attempt.inObjectives(elapsed), now);
         endpoint.health().recover(relativeLatency, now);
         endpoint.limiter().adapt(attempt.sentAt(), relativeLatency, wasFull, now);
     }
 
     private boolean isRetried(PendingRequest request, Outcome outcome, long now) {
-        RetryDecision decision = modules.retries.afterOutcome(
+        RetryDecision decision = modules.retryPolicy.afterOutcome(
                 outcome, request.attempts.size(), request.latestUsefulStart, request.guard, now);
         return switch (decision) {
             case RETRY -> true;
@@ -129,7 +131,10 @@
         };
     }
 
-    /** Silence detection: the oldest attempt in flight that was not overtaken shows a slow endpoint before its end. */
+    /**
+     * Detects a slow endpoint before its attempts end, by the age of the oldest attempt in flight that was not
+     * overtaken.
+     */
     void detectSilence(long now) {
         for (Endpoint endpoint : modules.endpoints.withAttemptsInFlight()) {
             for (InFlightAttempt attempt : endpoint.limiter().inFlight()) {
--- a/policy/src/main/java/garnetreel/policy/PendingRequest.java
+++ b/policy/src/main/java/garnetreel/policy/PendingRequest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** State of a request that has no final response, or still has an attempt in flight. */
+/** State of a request that has no final response yet, or still has an attempt in flight. */
 final class PendingRequest implements QueuedRequest {
     final long id;
     final RequestClass requestClass;
@@ -24,21 +24,21 @@
     final List<Attempt> attempts = new ArrayList<>(1);
     private final long sequence;
 
-    /** When it was first received: for a recognized retry, when the request was that it repeats. */
+    /** When it was first received; for a recognized client retry, when the original request was received. */
     long firstReceivedAt;
 
     long latestUsefulStart;
     BudgetBooking booking = BudgetBooking.NONE;
-    /** Whether its units have been drawn from the volume's rate limit: a retry does not draw them again. */
+    /** Whether its units were already drawn from the volume's rate limit, as a retry does not draw them again. */
     boolean drawnFromRateLimit;
-    /** Null unless its class is ordered and it has a key. */
+    /** Queue of the requests with the same key; null unless the request class is ordered and the request has a key. */
     KeyQueue<PendingRequest> keyQueue;
 
-    /** Whether it waits in the queue of its shard. */
+    /** Whether it is in the queue of its shard. */
     boolean held;
-    /** Whether it has its final response, or its client left. */
-    boolean over;
-    /** Whether a streamed response began, which then belongs to the client. */
+    /** Whether it got its final response or was cancelled by the client. */
+    boolean closed;
+    /** Whether a streamed response to the client has started; its deadline then no longer ends the request. */
     boolean streaming;
 
     int attemptsInFlight;
@@ -70,18 +70,21 @@
         return sequence;
     }
 
-    /** The attempt sent last; there is one. */
+    /** The most recent attempt; at least one must have been sent. */
     Attempt lastAttempt() {
         return attempts.get(attempts.size() - 1);
     }
 
-    /** Whether the scheduler still owes the client a final response. */
+    /** Whether the scheduler still has to send the client a final response. */
     boolean awaitsResponse() {
-        return !over && !streaming;
+        return !closed && !streaming;
     }
 
-    /** Invariant: attempts in flight are among those sent, and a request that is over is not held. */
+    /** Invariant: no more attempts are in flight than were sent, and a closed request is not held. */
     boolean isConsistent() {
-        return attemptsInFlight >= 0 && attemptsInFlight <= attempts.size() && !(over && held) && guard.isConsistent();
+        return attemptsInFlight >= 0
+                && attemptsInFlight <= attempts.size()
+                && !(closed && held)
+                && guard.isConsistent();
     }
 }
--- a/policy/src/main/java/garnetreel/policy/PendingRequests.java
+++ b/policy/src/main/java/garnetreel/policy/PendingRequests.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All pending requests by id, in the order received, and the transitions between held, in flight and over. */
+/** All pending requests by id, in the order received, and their transitions between held, in flight and closed. */
 final class PendingRequests {
     private final Map<Long, PendingRequest> requests = new LinkedHashMap<>();
     private final ShardTable shards;
@@ -20,7 +20,7 @@
         return requests.containsKey(id);
     }
 
-    /** The pending request of an id, or null. */
+    /** The pending request with this id, or null. */
     PendingRequest get(long id) {
         return requests.get(id);
     }
@@ -37,33 +37,33 @@
         return requests.values();
     }
 
-    /** A copy, to be walked while requests end. */
+    /** A copy that can be iterated over while requests are closed. */
     List<PendingRequest> snapshot() {
         return List.copyOf(requests.values());
     }
 
-    /** Puts a request into the queue of its shard. */
+    /** Inserts a request into the queue of its shard. */
     void hold(PendingRequest request) {
         request.shard.queue.insert(request);
-        shards.noteWaiting(request.shard);
+        shards.requestHeld(request.shard);
         request.held = true;
         request.flow.requestHeld();
     }
 
-    /** Takes a request out of the queue of its shard, if it is in it. */
+    /** Removes a request from the queue of its shard if it is held. */
     void release(PendingRequest request, long now) {
         if (!request.held) {
             return;
         }
         request.held = false;
         request.shard.queue.remove(request);
-        shards.noteReleased(request.shard);
+        shards.requestReleased(request.shard);
         request.flow.requestReleased(now);
     }
 
-    /** Marks a request as over, and forgets it once no attempt is in flight. */
+    /** Marks a request as closed, and removes it if no attempt is in flight. */
     void close(PendingRequest request, long now) {
-        request.over = true;
+        request.closed = true;
         release(request, now);
         if (request.attemptsInFlight == 0) {
             requests.remove(request.id);
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Units of a flow's held requests that have not yet drawn on its rate limit. */
+    /** Units of a flow's held requests that have not yet been drawn from its rate limit. */
     double undrawnUnits(VolumeFlow flow) {
         double units = 0;
         for (PendingRequest request : requests.values()) {
@@ -83,7 +83,7 @@
         return units;
     }
 
-    /** Invariant: each request is consistent, and one that is neither held nor in flight is not kept. */
+    /** Invariant: each request is consistent, and is held or has an attempt in flight. */
     boolean isConsistent() {
         for (PendingRequest request : requests.values()) {
             if (!request.isConsistent() || !request.held && request.attemptsInFlight == 0) {
--- a/policy/src/main/java/garnetreel/policy/RequestAdmission.java
+++ b/policy/src/main/java/garnetreel/policy/RequestAdmission.java
@@ -8,16 +8,16 @@
 import garnetreel.policy.ratelimit.VolumeBuckets;
 import garnetreel.policy.retry.IdempotencyGuard;
 
-/** Takes in requests: books them, holds them, and gives up at once what is not admitted. */
+/** Books and queues received requests, and at once rejects or fails those that are not admitted. */
 final class RequestAdmission {
-    /** What becomes of a request that was received. */
+    /** Result of the admission of a request. */
     private enum Admission {
         ADMITTED,
-        /** A client's retry past the latency objective: it earns little and would take the place of work in time. */
+        /** A client retry past its latest useful start: it has little value and would delay requests still in time. */
         LATE_RETRY,
-        /** Past what the volume's rate limit covers in time. */
+        /** The volume's rate limit does not cover the request in time. */
         RATE_LIMITED,
-        /** Past what the endpoint bears. */
+        /** The endpoint lacks capacity for the request, or no endpoint of the shard has a valid lease. */
         SHED
     }
 
@@ -42,39 +42,39 @@
         }
         modules.fairQueue.requestReceived(request.flow, now);
         if (request.requestClass.ordered() && event.key() >= 0) {
-            request.keyQueue = modules.keys.enqueue(event.key(), request);
+            request.keyQueue = modules.keySequencer.enqueue(event.key(), request);
         }
         modules.requests.hold(request);
         Admission admission = lateRetry ? Admission.LATE_RETRY : admissionOf(request, now);
         if (admission != Admission.ADMITTED) {
-            closer.giveUp(request, now);
+            closer.rejectOrFail(request, now);
         }
     }
 
     private PendingRequest create(RequestReceived event, long now) {
-        RequestClass requestClass = modules.lookup.requestClass(event, now);
+        RequestClass requestClass = modules.settingsLookup.requestClass(event, now);
         VolumeFlow flow = flow(event, now);
         Shard shard = modules.shards.get(event.shard(), modules.startedAt, now);
-        IdempotencyGuard guard = new IdempotencyGuard(requestClass, modules.shedder.responseMargin());
+        IdempotencyGuard guard = new IdempotencyGuard(requestClass, modules.loadShedder.responseMargin());
         return new PendingRequest(event, requestClass, flow, shard, guard, modules.requests.nextSequence());
     }
 
     private VolumeFlow flow(RequestReceived event, long now) {
-        VolumeFlow known = modules.fairQueue.flow(event.volume());
-        if (known != null) {
-            return known;
+        VolumeFlow existing = modules.fairQueue.flow(event.volume());
+        if (existing != null) {
+            return existing;
         }
-        Plan plan = modules.lookup.plan(event);
+        Plan plan = modules.settingsLookup.plan(event);
         VolumeBuckets buckets = new VolumeBuckets(plan, modules.settings, event.gateways(), modules.startedAt, now);
         return modules.fairQueue.addFlow(event.volume(), plan.weight(), buckets);
     }
 
-    /** Finds out when a request must start to be of use, and whether it is a client's retry that comes past that. */
+    /** Sets the latest useful start of a request, and returns whether it is a client retry received after that time. */
     private boolean isLateRetry(PendingRequest request, long now) {
         RequestClass requestClass = request.requestClass;
-        request.firstReceivedAt = modules.rejected.firstReceivedAt(
+        request.firstReceivedAt = modules.rejectedRequests.firstReceivedAt(
                 request.flow, requestClass.name(), request.units, request.deadline, now);
-        request.latestUsefulStart = modules.shedder.latestUsefulStart(
+        request.latestUsefulStart = modules.loadShedder.latestUsefulStart(
                 request.firstReceivedAt, requestClass.latencyObjective(), request.deadline);
         return request.firstReceivedAt < now && request.latestUsefulStart <= now;
     }
@@ -97,10 +97,10 @@
         Endpoint endpoint = modules.endpoints.select(shard.number, now);
         shard.demand.add(request.booking, request.units, now);
         if (endpoint == null) {
-            // A shard without endpoints may get one in time; one whose leases have run out rarely does.
+            // A shard without endpoints may get one in time; one whose endpoint leases have all expired rarely does.
             return !modules.endpoints.lacksLease(shard.number, now);
         }
-        return modules.admission.admits(
+        return modules.admissionController.admits(
                 request.booking,
                 request.units,
                 shard.demand,
@@ -110,11 +110,11 @@
                 now);
     }
 
-    /** Admits anew what is held for a shard whose endpoint has restarted, by the capacity that it has now. */
+    /** Repeats admission for requests held for a shard whose endpoint has restarted, using its present capacity. */
     void readmit(Shard shard, long now) {
         for (PendingRequest request : shard.queue.snapshot()) {
             if (!isAdmitted(request, now)) {
-                closer.giveUp(request, now);
+                closer.rejectOrFail(request, now);
             }
         }
     }
--- a/policy/src/main/java/garnetreel/policy/RequestCloser.java
+++ b/policy/src/main/java/garnetreel/policy/RequestCloser.java
@@ -3,7 +3,7 @@
 import garnetreel.policy.action.FailRequest;
 import garnetreel.policy.action.RejectRequest;
 
-/** Gives final responses, and ends requests. */
+/** Sends final responses and closes requests. */
 final class RequestCloser {
     private final DecisionModules modules;
 
@@ -11,9 +11,9 @@
         this.modules = modules;
     }
 
-    /** Gives the final response at once: a rejection wherever the client may retry without harm. */
-    void giveUp(PendingRequest request, long now) {
-        if (request.over) {
+    /** Sends a final response without result: a rejection if the client can safely retry, a failure otherwise. */
+    void rejectOrFail(PendingRequest request, long now) {
+        if (request.closed) {
             return;
         }
         modules.actions.add(
@@ -21,12 +21,12 @@
                         ? new RejectRequest(request.id, modules.settings.maxRetryAfter())
                         : new FailRequest(request.id));
         request.flow.buckets().cancelBooking(request.booking, request.units);
-        modules.rejected.add(
+        modules.rejectedRequests.add(
                 request.flow, request.requestClass.name(), request.units, request.deadline, request.firstReceivedAt);
         modules.requests.close(request, now);
     }
 
-    /** The client left. */
+    /** Closes a request whose client cancelled it. */
     void requestCancelled(long id, long now) {
         PendingRequest request = modules.requests.get(id);
         if (request != null) {
@@ -34,21 +34,23 @@
         }
     }
 
-    /** Gives up whatever is about to run out of time. */
+    /** Ends requests that are about to miss their deadline. */
     void expireRequests(long now) {
         for (PendingRequest request : modules.requests.snapshot()) {
-            if (request.awaitsResponse() && now >= modules.shedder.responseDueAt(request.deadline)) {
-                giveUp(request, now);
+            if (request.awaitsResponse() && now >= modules.loadShedder.responseDueAt(request.deadline)) {
+                rejectOrFail(request, now);
             }
         }
     }
 
-    /** Sheds what is held for a shard past its latest useful start, and everything where no endpoint may be sent to. */
+    /**
+     * Sheds requests held past their latest useful start, or all of a shard if no lease allows a send to its endpoints.
+     */
     void shed(Shard shard, long now) {
-        boolean noEndpointMayBeSent = !shard.queue.isEmpty() && modules.endpoints.lacksLease(shard.number, now);
+        boolean noUsableEndpoint = !shard.queue.isEmpty() && modules.endpoints.lacksLease(shard.number, now);
         for (PendingRequest request : shard.queue.snapshot()) {
-            if (modules.shedder.sheds(request.latestUsefulStart, noEndpointMayBeSent, now)) {
-                giveUp(request, now);
+            if (modules.loadShedder.sheds(request.latestUsefulStart, noUsableEndpoint, now)) {
+                rejectOrFail(request, now);
             }
         }
     }
--- a/policy/src/main/java/garnetreel/policy/Scheduler.java
+++ b/policy/src/main/java/garnetreel/policy/Scheduler.java
@@ -5,21 +5,20 @@
 import java.util.List;
 
 /**
- * The interface of the decision module.
+ * Makes the scheduling decisions of one gateway.
  *
- * <p>One scheduler decides for one gateway. The program hands it everything that happened at one moment and carries out the actions
- * in the order given. All times are microseconds on one clock that never goes back and has no special zero; sizes are in units. A
- * scheduler keeps no clock, does no I/O and starts no thread; it must not be called from two threads at once. The same events give
- * the same actions.
+ * <p>The embedding program passes in all events of one moment and executes the returned actions in order. All times are
+ * microseconds of one monotonic clock with an arbitrary zero; sizes are in units. A scheduler reads no clock, does no
+ * I/O and starts no threads. It is not thread-safe. It is deterministic: the same events give the same actions.
  */
 public interface Scheduler {
 
     /**
      * Handles all events of one moment.
      *
-     * @param now the present time; never decreases
-     * @param events what happened since the last call, in order
-     * @return the actions, to be taken at {@code now}
+     * @param now the current time; never decreases
+     * @param events the events since the last call, in order
+     * @return the actions to execute, in order
      */
     List<SchedulerAction> decide(long now, List<? extends SchedulerEvent> events);
 }
--- a/policy/src/main/java/garnetreel/policy/SettingsLookup.java
+++ b/policy/src/main/java/garnetreel/policy/SettingsLookup.java
@@ -9,7 +9,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Finds the request class and the plan of a request; what the settings do not name is assumed to allow least. */
+/**
+ * Looks up the request class and plan of a request. A class missing from the settings never allows a second execution,
+ * a missing plan has no reserved or provisioned rate.
+ */
 final class SettingsLookup {
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Map<String, Plan> plans = new HashMap<>();
@@ -20,11 +23,11 @@
     }
 
     RequestClass requestClass(RequestReceived event, long now) {
-        RequestClass known = classes.get(event.className());
-        return known != null ? known : unknownClass(event, now);
+        RequestClass configured = classes.get(event.className());
+        return configured != null ? configured : unknownClass(event, now);
     }
 
-    /** Never executed twice, and of use until its client's deadline. */
+    /** A class missing from the settings: never executed twice, and the latency objective is the client's deadline. */
     private static RequestClass unknownClass(RequestReceived event, long now) {
         long timeLeft = event.deadline() - now;
         return new RequestClass(
@@ -43,7 +46,7 @@
     }
 
     Plan plan(RequestReceived event) {
-        Plan known = plans.get(event.plan());
-        return known != null ? known : new Plan(event.plan(), 0, 0, 0, 1, 0, 0, 1);
+        Plan configured = plans.get(event.plan());
+        return configured != null ? configured : new Plan(event.plan(), 0, 0, 0, 1, 0, 0, 1);
     }
 }
--- a/policy/src/main/java/garnetreel/policy/Shard.java
+++ b/policy/src/main/java/garnetreel/policy/Shard.java
@@ -4,12 +4,12 @@
 import garnetreel.policy.fairqueue.ShardQueue;
 import garnetreel.policy.slowstart.ServedRate;
 
-/** What this gateway holds for one shard, is asked of it, and was served by it. */
+/** Held requests, estimated demand and served rate of one shard at this gateway. */
 final class Shard {
     final int number;
     final ShardQueue<PendingRequest> queue = new ShardQueue<>();
     final DemandEstimate demand = new DemandEstimate();
-    /** Kept while endpoints are replaced: the next endpoint of the shard starts cold. */
+    /** Kept when an endpoint is replaced, as slow start of the new, cold endpoint is based on it. */
     final ServedRate served;
 
     Shard(int number, long startedAt) {
@@ -17,7 +17,7 @@
         this.served = new ServedRate(startedAt);
     }
 
-    /** Invariant: its parts are consistent. */
+    /** Invariant: queue, demand and served rate are consistent. */
     boolean isConsistent() {
         return queue.isConsistent() && demand.isConsistent() && served.isConsistent();
     }
--- a/policy/src/main/java/garnetreel/policy/ShardTable.java
+++ b/policy/src/main/java/garnetreel/policy/ShardTable.java
@@ -7,10 +7,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** All shards by number, and those for which requests are held, so that the work at an event does not grow with the fleet. */
+/**
+ * All shards by number. Shards with held requests are tracked separately, so that work per event does not grow with the
+ * fleet.
+ */
 final class ShardTable {
     private final Map<Integer, Shard> shards = new TreeMap<>();
-    private final Map<Integer, Shard> waiting = new TreeMap<>();
+    private final Map<Integer, Shard> withHeldRequests = new TreeMap<>();
     private final EndpointTable endpoints;
 
     ShardTable(EndpointTable endpoints) {
@@ -18,13 +21,13 @@
     }
 
     /**
-     * The shard of a number.
+     * Returns the shard with this number, and creates it if needed.
      *
-     * @param number negative for a new object, which goes where most tokens are free
+     * @param number shard number; negative for a new object, which goes to the shard with most free tokens
      * @param startedAt when this gateway started
      */
     Shard get(int number, long startedAt, long now) {
-        int chosen = number < 0 ? forNewObject(number, now) : number;
+        int chosen = number < 0 ? selectForNewObject(number, now) : number;
         Shard shard = shards.get(chosen);
         if (shard == null) {
             shard = new Shard(chosen, startedAt);
@@ -33,7 +36,7 @@
         return shard;
     }
 
-    private int forNewObject(int number, long now) {
+    private int selectForNewObject(int number, long now) {
         double mostFree = Double.NEGATIVE_INFINITY;
         int chosen = number;
         for (Endpoint endpoint : endpoints.all()) {
@@ -47,24 +50,27 @@
         return chosen;
     }
 
-    /** A request is held for a shard. */
-    void noteWaiting(Shard shard) {
-        waiting.put(shard.number, shard);
+    /** Called when a request is held for a shard. */
+    void requestHeld(Shard shard) {
+        withHeldRequests.put(shard.number, shard);
     }
 
-    /** A request is no longer held for a shard. */
-    void noteReleased(Shard shard) {
+    /** Called when a request is no longer held for a shard. */
+    void requestReleased(Shard shard) {
         if (shard.queue.isEmpty()) {
-            waiting.remove(shard.number);
+            withHeldRequests.remove(shard.number);
         }
     }
 
-    /** Shards for which requests are held, in order; a copy, to be walked while requests leave. */
-    List<Shard> waiting() {
-        return List.copyOf(waiting.values());
+    /** Shards with held requests, by number; a copy that can be iterated over while requests are released. */
+    List<Shard> withHeldRequests() {
+        return List.copyOf(withHeldRequests.values());
     }
 
-    /** Forgets shards that have no endpoint and were not asked for in long: clients may name shards that never were. */
+    /**
+     * Evicts shards without endpoint and without recent requests, as clients may send numbers of shards that do not
+     * exist.
+     */
     void forgetUnused(long now) {
         long retention = Retention.of(shards.size());
         shards.values()
@@ -73,10 +79,12 @@
                         && !endpoints.hasShard(shard.number));
     }
 
-    /** Invariant: each shard is consistent, and those waiting are just those with a queue that is not empty. */
+    /**
+     * Invariant: each shard is consistent, and {@link #withHeldRequests} has exactly the shards with a non-empty queue.
+     */
     boolean isConsistent() {
         for (Shard shard : shards.values()) {
-            if (!shard.isConsistent() || shard.queue.isEmpty() == waiting.containsKey(shard.number)) {
+            if (!shard.isConsistent() || shard.queue.isEmpty() == withHeldRequests.containsKey(shard.number)) {
                 return false;
             }
         }
