--- a/policy/src/main/java/garnetreel/policy/action/CancelAttempt.java
+++ b/policy/src/main/java/garnetreel/policy/action/CancelAttempt.java
@@ -1,7 +1,7 @@
 package garnetreel.policy.action;
 
 /**
- * Stops waiting for an attempt; whether its work stops is up to the endpoint.
+ * Cancels an attempt; the endpoint may still execute it.
  *
  * @param id the request
  * @param attempt index of the attempt among those of the request
--- a/policy/src/main/java/garnetreel/policy/action/CheckHealth.java
+++ b/policy/src/main/java/garnetreel/policy/action/CheckHealth.java
@@ -3,6 +3,6 @@
 /**
  * Sends a health check.
  *
- * @param endpoint which one to check
+ * @param endpoint address of the endpoint to check
  */
 public record CheckHealth(String endpoint) implements SchedulerAction {}
--- a/policy/src/main/java/garnetreel/policy/action/CloseIdleConnections.java
+++ b/policy/src/main/java/garnetreel/policy/action/CloseIdleConnections.java
@@ -3,6 +3,6 @@
 /**
  * Closes idle connections to an endpoint.
  *
- * @param endpoint which one
+ * @param endpoint address of the endpoint
  */
 public record CloseIdleConnections(String endpoint) implements SchedulerAction {}
--- a/policy/src/main/java/garnetreel/policy/action/FailRequest.java
+++ b/policy/src/main/java/garnetreel/policy/action/FailRequest.java
@@ -1,7 +1,7 @@
 package garnetreel.policy.action;
 
 /**
- * Final response: failed, with no promise about the effect.
+ * Sends the final response of a failed request, which may have been executed or not.
  *
  * @param id the request
  */
--- a/policy/src/main/java/garnetreel/policy/action/LogMessage.java
+++ b/policy/src/main/java/garnetreel/policy/action/LogMessage.java
@@ -1,8 +1,8 @@
 package garnetreel.policy.action;
 
 /**
- * A line for the operators' log.
+ * Writes a message to the log.
  *
- * @param text the line
+ * @param text the message
  */
 public record LogMessage(String text) implements SchedulerAction {}
--- a/policy/src/main/java/garnetreel/policy/action/PollEndpoints.java
+++ b/policy/src/main/java/garnetreel/policy/action/PollEndpoints.java
@@ -1,4 +1,4 @@
 package garnetreel.policy.action;
 
-/** Asks for the complete endpoint list once. */
+/** Requests the complete endpoint list once, without a subscription. */
 public record PollEndpoints() implements SchedulerAction {}
--- a/policy/src/main/java/garnetreel/policy/action/RejectRequest.java
+++ b/policy/src/main/java/garnetreel/policy/action/RejectRequest.java
@@ -1,9 +1,10 @@
 package garnetreel.policy.action;
 
 /**
- * Final response: not executed, and a retry is harmless.
+ * Sends the final response of a rejected request. The client can safely retry it: it was not executed, or a repeat is
+ * harmless.
  *
  * @param id the request
- * @param retryAfter advises how long to wait before a retry
+ * @param retryAfter recommended delay before a retry
  */
 public record RejectRequest(long id, long retryAfter) implements SchedulerAction {}
--- a/policy/src/main/java/garnetreel/policy/action/SchedulerAction.java
+++ b/policy/src/main/java/garnetreel/policy/action/SchedulerAction.java
@@ -1,6 +1,6 @@
 package garnetreel.policy.action;
 
-/** Something that the program around the scheduler has to do; the output of {@link garnetreel.policy.Scheduler#decide}. */
+/** An action that the embedding program has to execute; the output of {@link garnetreel.policy.Scheduler#decide}. */
 public sealed interface SchedulerAction
         permits CancelAttempt,
                 CheckHealth,
--- a/policy/src/main/java/garnetreel/policy/action/SendAttempt.java
+++ b/policy/src/main/java/garnetreel/policy/action/SendAttempt.java
@@ -1,15 +1,16 @@
 package garnetreel.policy.action;
 
 /**
- * Starts an attempt.
+ * Sends a request to an endpoint.
  *
  * @param id the request
- * @param endpoint where to send it
- * @param timeout 0 means until the client gives up
- * @param startWithin an attempt whose connection takes longer than this to come up must not start; 0 for no such limit
+ * @param endpoint address of the endpoint
+ * @param timeout time to wait for the response; 0 to wait until the client's deadline
+ * @param startWithin limit for the time to establish a connection, after which the attempt must not be started; 0 for
+ *     no limit
  */
 public record SendAttempt(long id, String endpoint, long timeout, long startWithin) implements SchedulerAction {
-    /** An attempt that may start at any time before its timeout. */
+    /** Creates an attempt that may be started at any time before its timeout. */
     public SendAttempt(long id, String endpoint, long timeout) {
         this(id, endpoint, timeout, 0);
     }
--- a/policy/src/main/java/garnetreel/policy/action/SetTimer.java
+++ b/policy/src/main/java/garnetreel/policy/action/SetTimer.java
@@ -1,9 +1,9 @@
 package garnetreel.policy.action;
 
 /**
- * Asks for a {@link garnetreel.policy.event.TimerExpired} of that name after the given time.
+ * Sets a timer, which causes a {@link garnetreel.policy.event.TimerExpired} event with the same name.
  *
  * @param name name of the timer
- * @param after time until it is due
+ * @param after time until the timer expires
  */
 public record SetTimer(String name, long after) implements SchedulerAction {}
--- a/policy/src/main/java/garnetreel/policy/action/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/action/package-info.java
@@ -1,2 +1,2 @@
-/** Actions that the scheduler asks of the program around it. All times are microseconds. */
+/** Actions that the scheduler returns to the embedding program for execution. All times are microseconds. */
 package garnetreel.policy.action;
--- a/policy/src/main/java/garnetreel/policy/config/DeduplicationScope.java
+++ b/policy/src/main/java/garnetreel/policy/config/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package garnetreel.policy.config;
 
-/** The endpoints that drop each other's repeats of a request with an idempotency key. */
+/** Set of endpoints that share the detection of duplicate requests by idempotency key. */
 public enum DeduplicationScope {
     /** All endpoints. */
     ALL,
-    /** Those of one zone. */
+    /** All endpoints of a zone. */
     ZONE,
-    /** Those of one shard. */
+    /** All endpoints of a shard. */
     SHARD
 }
--- a/policy/src/main/java/garnetreel/policy/config/Idempotency.java
+++ b/policy/src/main/java/garnetreel/policy/config/Idempotency.java
@@ -1,11 +1,11 @@
 package garnetreel.policy.config;
 
-/** What a class of requests allows once an attempt may have been executed. */
+/** Determines whether a request may be retried once an attempt may have been executed. */
 public enum Idempotency {
     /** May be executed more than once. */
     IDEMPOTENT,
-    /** Carries an idempotency key, by which endpoints drop repeats for a time. */
+    /** Has an idempotency key, by which endpoints recognize and drop duplicates for a limited time. */
     IDEMPOTENCY_KEY,
-    /** Must not be executed more than once, and repeats are not recognized. */
+    /** Must not be executed more than once, and endpoints do not recognize duplicates. */
     NON_IDEMPOTENT
 }
--- a/policy/src/main/java/garnetreel/policy/config/Plan.java
+++ b/policy/src/main/java/garnetreel/policy/config/Plan.java
@@ -1,16 +1,16 @@
 package garnetreel.policy.config;
 
 /**
- * A service plan; its figures hold for each volume, over all gateways.
+ * A service plan. Its limits and rates apply to each volume, summed over all gateways.
  *
- * @param name its name
- * @param rateLimit units a second at which the rate limit's tokens refill; 0 when there is no limit
- * @param burst most tokens of the rate limit
- * @param slack units by which the limit may be exceeded without penalty
- * @param priorityFactor multiple of a request class's priority weight
- * @param provisionedRate units a second that a volume is sized for
- * @param reservedRate units a second that earn the full value
- * @param weight share of the volume in fair queueing
+ * @param name name of the plan
+ * @param rateLimit refill rate of the rate limit's token bucket, units per second; 0 for no limit
+ * @param burst capacity of the rate limit's token bucket, units
+ * @param slack units by which the rate limit may be exceeded without penalty
+ * @param priorityFactor factor applied to the priority weight of a request class
+ * @param provisionedRate units per second that a volume is sized for
+ * @param reservedRate units per second up to which requests have their full value
+ * @param weight weight of the volume in fair queueing
  */
 public record Plan(
         String name,
--- a/policy/src/main/java/garnetreel/policy/config/RequestClass.java
+++ b/policy/src/main/java/garnetreel/policy/config/RequestClass.java
@@ -1,20 +1,21 @@
 package garnetreel.policy.config;
 
 /**
- * A class of requests.
+ * Service objectives and retry rules that a set of requests has in common.
  *
- * @param name its name
- * @param latencyObjective a response within this time earns the full value
- * @param latencyObjectiveStretch multiple of a request's own work by which the objective grows; 0 when it does not
- * @param deadline the time that a client waits over all its attempts
- * @param idempotency what is allowed once an attempt may have been executed
- * @param deduplicationScope the endpoints that drop each other's repeats
- * @param lateCredit share of the value that a later response earns
+ * @param name name of the class
+ * @param latencyObjective response time up to which a response has its full value
+ * @param latencyObjectiveStretch multiple of a request's own service time by which its objective is extended; 0 for
+ *     none
+ * @param deadline total time that a client waits, including its retries
+ * @param idempotency whether a retry is allowed once an attempt may have been executed
+ * @param deduplicationScope endpoints that recognize duplicates of each other's requests
+ * @param lateCredit fraction of its value that a response past the objective has
  * @param streaming whether responses are streamed
- * @param deduplicationWindow for idempotency keys: how long endpoints remember a repeat, from the first attempt that may have been
+ * @param deduplicationWindow how long endpoints remember an idempotency key, from the first attempt that may have been
  *     executed
- * @param priorityWeight value of a response in time
- * @param ordered whether requests of one key are executed in the order received
+ * @param priorityWeight value of a response within the objective
+ * @param ordered whether requests with the same key are executed in the order received
  * @param writes whether its requests change data
  */
 public record RequestClass(
--- a/policy/src/main/java/garnetreel/policy/config/SafetyRules.java
+++ b/policy/src/main/java/garnetreel/policy/config/SafetyRules.java
@@ -1,19 +1,20 @@
 package garnetreel.policy.config;
 
 /**
- * Rules that must hold; a figure of 0 or less means that the rule is not in force.
+ * Limits that the scheduler must never violate. A value of 0 or less disables a rule.
  *
- * @param answerSlack time past the deadline at which a response still counts as given
- * @param pollInterval how long a gateway without a subscription may go without polling the endpoint list
- * @param freeRetries retries within the retry window that are always allowed
- * @param retryRatio further retries allowed for each request received within the retry window
- * @param retryWindow period over which received requests and retries are counted
- * @param initialCapacityFraction capacity of an endpoint that has just started, as a fraction of its full capacity
- * @param warmUpDuration time within which an endpoint that has started reaches its full capacity
- * @param drainGrace time after the notification of a drain within which attempts may still be sent
- * @param overloadMultiple multiple of its present capacity that a warming-up endpoint bears within the overload window
- * @param overloadWindow period over which the work sent to a warming-up endpoint is counted
- * @param keyQuietPeriod pause for a key after an outcome that may leave work running
+ * @param answerSlack time past the deadline within which a final response still counts as sent in time
+ * @param pollInterval maximum time between polls of the endpoint list by a gateway without subscription
+ * @param freeRetries number of retries always allowed within the retry window
+ * @param retryRatio additional retries allowed per request received within the retry window
+ * @param retryWindow sliding window over which received requests and retries are counted
+ * @param initialCapacityFraction fraction of its full capacity that an endpoint has when it starts
+ * @param warmUpDuration time from the start of an endpoint until it has its full capacity
+ * @param drainGrace time after the notification of a drain during which attempts may still be sent to the endpoint
+ * @param overloadMultiple multiple of its current capacity that a warming-up endpoint can take within the overload
+ *     window
+ * @param overloadWindow sliding window over which the units sent to a warming-up endpoint are counted
+ * @param keyQuietPeriod pause for all requests with a key after an outcome that may leave work on it running
  */
 public record SafetyRules(
         long answerSlack,
--- a/policy/src/main/java/garnetreel/policy/config/SchedulerSettings.java
+++ b/policy/src/main/java/garnetreel/policy/config/SchedulerSettings.java
@@ -3,30 +3,31 @@
 import java.util.List;
 
 /**
- * The settings of a scheduler.
+ * Settings of a scheduler.
  *
- * @param gatewayIndex number of this gateway
- * @param gateways gateways in this tier, this one included
- * @param subscribe list changes come only after {@link garnetreel.policy.action.SubscribeEndpoints} or
- *     {@link garnetreel.policy.action.PollEndpoints}
+ * @param gatewayIndex index of this gateway
+ * @param gateways number of gateways of the service, including this one
+ * @param subscribe whether updates of the endpoint list arrive only after
+ *     {@link garnetreel.policy.action.SubscribeEndpoints} or {@link garnetreel.policy.action.PollEndpoints}
  * @param classes the request classes
  * @param plans the service plans
- * @param rules rules that must hold
- * @param coldEndpointCapacity units within {@code rules.overloadWindow} from all gateways that a cold endpoint always bears
- * @param meanUnits mean size of a request
- * @param maxUnits largest size of a request
- * @param quotaWeight value of work within the provisioned rate, as a share of that within the reserved rate
- * @param idleWeight value of work past the provisioned rate, as a share of that within the reserved rate
- * @param reportsOtherGateways responses carry {@code unitsFromOtherGateways}
- * @param meteringPeriod period of the usage meter; 0 when there is none
- * @param maxAttempts most attempts of a request
+ * @param rules limits that must never be violated
+ * @param coldEndpointCapacity units that a cold endpoint can always take from all gateways together within
+ *     {@code rules.overloadWindow}
+ * @param meanUnits mean request size
+ * @param maxUnits maximum request size
+ * @param quotaWeight value of requests within the provisioned rate, relative to those within the reserved rate
+ * @param idleWeight value of requests above the provisioned rate, relative to those within the reserved rate
+ * @param reportsOtherGateways whether endpoints report {@code unitsFromOtherGateways} in their responses
+ * @param meteringPeriod period over which usage is metered; 0 if it is not metered
+ * @param maxAttempts maximum number of attempts per request
  * @param hedging whether hedged requests are allowed
  * @param cancellation whether attempts can be cancelled
- * @param healthChecks whether health checks are offered
+ * @param healthChecks whether health checks are available
  * @param marksRetries whether clients mark their retries
  * @param maxRetryAfter longest Retry-After that clients honour
- * @param connectTimeout time after which a connection that does not come up counts as failed
- * @param timerResolution least time between calls of the scheduler
+ * @param connectTimeout time after which a connection attempt counts as failed
+ * @param timerResolution minimum time between timer-driven calls of the scheduler
  */
 public record SchedulerSettings(
         int gatewayIndex,
--- a/policy/src/main/java/garnetreel/policy/event/AttemptCompleted.java
+++ b/policy/src/main/java/garnetreel/policy/event/AttemptCompleted.java
@@ -7,13 +7,15 @@
  *
  * @param id the request
  * @param attempt index of the attempt among those of the request
- * @param endpoint where it was sent
- * @param outcome how it ended
+ * @param endpoint address of the endpoint
+ * @param outcome result of the attempt
  * @param elapsed time since it was sent
- * @param completed the request has its final response; false leaves that to the scheduler
- * @param unitsFromOtherGateways units that this endpoint served for the volume through other gateways since its last response here
- * @param usage 1 + the volume's total use in a finished period, in percent of the plan's provisioned rate; 0 when unknown
- * @param load the endpoint's load report by name; empty when none came
+ * @param completed true if the client already got its final response; false if the scheduler has to retry or send one
+ * @param unitsFromOtherGateways units that the endpoint served for the volume through other gateways since its last
+ *     response to this gateway
+ * @param usage 1 + the volume's total usage in a completed metering period in percent of the plan's provisioned rate; 0
+ *     if unknown
+ * @param load metrics of the endpoint's load report by name; empty if it sent none
  */
 public record AttemptCompleted(
         long id,
--- a/policy/src/main/java/garnetreel/policy/event/DiscoveryAddressChanged.java
+++ b/policy/src/main/java/garnetreel/policy/event/DiscoveryAddressChanged.java
@@ -1,4 +1,4 @@
 package garnetreel.policy.event;
 
-/** The endpoint list comes from another address from now on. */
+/** The address of the discovery service, which provides the endpoint list, changed. */
 public record DiscoveryAddressChanged() implements SchedulerEvent {}
--- a/policy/src/main/java/garnetreel/policy/event/DiscoveryObserved.java
+++ b/policy/src/main/java/garnetreel/policy/event/DiscoveryObserved.java
@@ -1,9 +1,9 @@
 package garnetreel.policy.event;
 
 /**
- * Whether discovery seems to run, where no list came: it ended a subscription, as it does when it goes down; or it rejected a call
- * at once or left it without a response, as only one that runs does.
+ * Indicates whether discovery is running although no list was received. Discovery ends subscriptions when it goes down;
+ * only while it runs does it reject a call at once or leave it without a response.
  *
- * @param available false for the first, true for the second
+ * @param available false if it ended a subscription, true if it rejected a call or left it without a response
  */
 public record DiscoveryObserved(boolean available) implements SchedulerEvent {}
--- a/policy/src/main/java/garnetreel/policy/event/EndpointEntry.java
+++ b/policy/src/main/java/garnetreel/policy/event/EndpointEntry.java
@@ -3,12 +3,12 @@
 /**
  * One entry of an endpoint list.
  *
- * @param address name of the endpoint, handed back unchanged in actions
+ * @param address name of the endpoint; actions refer to the endpoint by it
  * @param zone failure domain of the endpoint
- * @param shard the shard that it holds
- * @param state whether it takes requests
+ * @param shard number of the shard that it serves
+ * @param state whether it accepts requests
  * @param weight relative capacity
- * @param startedAt when its process last started; 0 or less when long ago
+ * @param startedAt when its process last started; 0 or negative if long ago
  */
 public record EndpointEntry(
         String address, String zone, int shard, EndpointState state, double weight, long startedAt) {}
--- a/policy/src/main/java/garnetreel/policy/event/EndpointListConfirmed.java
+++ b/policy/src/main/java/garnetreel/policy/event/EndpointListConfirmed.java
@@ -1,9 +1,10 @@
 package garnetreel.policy.event;
 
 /**
- * The endpoint list that is held was current at a time, as a message on a subscription or a response shows. A program that sends
- * these gets no attempts where a change may have been missed; a program that sends none has its list trusted always.
+ * A message of a subscription or a response showed that the endpoint list was up to date at some time. If the embedding
+ * program sends these events, no attempt is sent to an endpoint whose listed state may be outdated; otherwise the list
+ * is always trusted.
  *
- * @param asOf time at which the list was current
+ * @param asOf time at which the list was up to date
  */
 public record EndpointListConfirmed(long asOf) implements SchedulerEvent {}
--- a/policy/src/main/java/garnetreel/policy/event/EndpointState.java
+++ b/policy/src/main/java/garnetreel/policy/event/EndpointState.java
@@ -2,9 +2,9 @@
 
 /** State of a listed endpoint. */
 public enum EndpointState {
-    /** Takes requests. */
+    /** Accepts requests. */
     UP,
-    /** Shuts down gracefully: takes no new requests. */
+    /** Shuts down gracefully and accepts no new requests. */
     DRAINING,
     /** No longer part of the fleet. */
     REMOVED
--- a/policy/src/main/java/garnetreel/policy/event/EndpointUpdate.java
+++ b/policy/src/main/java/garnetreel/policy/event/EndpointUpdate.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * A message about the endpoint list.
+ * An update of the endpoint list, or a failure to get one.
  *
- * @param kind what the entries are
- * @param entries the endpoints concerned
+ * @param kind how the entries relate to the current list
+ * @param entries entries of the update
  */
 public record EndpointUpdate(EndpointUpdateKind kind, List<EndpointEntry> entries) implements SchedulerEvent {}
--- a/policy/src/main/java/garnetreel/policy/event/EndpointUpdateKind.java
+++ b/policy/src/main/java/garnetreel/policy/event/EndpointUpdateKind.java
@@ -1,12 +1,12 @@
 package garnetreel.policy.event;
 
-/** What an {@link EndpointUpdate} contains. */
+/** Content of an {@link EndpointUpdate}. */
 public enum EndpointUpdateKind {
-    /** Changes, applied on top of the list that is held. */
+    /** Changes to apply to the current list. */
     DELTA,
-    /** The complete list: an endpoint that is missing from it has left. */
+    /** The complete list; endpoints missing from it were removed. */
     SNAPSHOT,
-    /** The list as it was last held before a restart of this gateway. */
+    /** The last list that this gateway had before it restarted. */
     CACHED,
     /** No list: the call failed, or the subscription was lost. */
     UNAVAILABLE
--- a/policy/src/main/java/garnetreel/policy/event/GossipReceived.java
+++ b/policy/src/main/java/garnetreel/policy/event/GossipReceived.java
@@ -3,7 +3,7 @@
 /**
  * A message from another gateway.
  *
- * @param from number of that gateway
- * @param data the message
+ * @param from index of the sending gateway
+ * @param data content of the message
  */
 public record GossipReceived(int from, byte[] data) implements SchedulerEvent {}
--- a/policy/src/main/java/garnetreel/policy/event/HealthCheckCompleted.java
+++ b/policy/src/main/java/garnetreel/policy/event/HealthCheckCompleted.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * A health check of an endpoint ended.
+ * A health check of an endpoint completed.
  *
- * @param endpoint which one was checked
- * @param outcome how the check ended
+ * @param endpoint address of the endpoint
+ * @param outcome result of the check
  * @param elapsed time since it was sent
- * @param load the endpoint's load report by name; empty when none came
+ * @param load metrics of the endpoint's load report by name; empty if it sent none
  */
 public record HealthCheckCompleted(String endpoint, Outcome outcome, long elapsed, Map<String, Double> load)
         implements SchedulerEvent {}
--- a/policy/src/main/java/garnetreel/policy/event/Outcome.java
+++ b/policy/src/main/java/garnetreel/policy/event/Outcome.java
@@ -1,27 +1,27 @@
 package garnetreel.policy.event;
 
-/** How an attempt, or a health check of an endpoint, ended. */
+/** Result of an attempt or of a health check. */
 public enum Outcome {
-    /** Answered, and the work is done. */
+    /** The endpoint executed the request and responded successfully. */
     OK,
-    /** Answered with an error. */
+    /** The endpoint responded with an error. */
     ERROR,
     /** Rejected by the endpoint because its queue is full; nothing was executed. */
     OVERLOADED,
-    /** No answer in time. */
+    /** No response in time. */
     TIMEOUT,
     /** No connection could be established; nothing was executed. */
     CONNECT_FAILED,
-    /** The connection broke under the attempt. */
+    /** The connection was lost during the attempt. */
     RESET,
     /** Cancelled by this gateway. */
     CANCELLED,
     /** The attempt was never started; nothing was executed. */
     NOT_STARTED,
-    /** An outcome that this version does not know. */
+    /** A result that this version does not recognize. */
     UNKNOWN;
 
-    /** True where the outcome proves that the attempt did no work. */
+    /** Whether this outcome proves that the endpoint did not execute the request. */
     public boolean provesNotExecuted() {
         return this == OVERLOADED || this == CONNECT_FAILED || this == NOT_STARTED;
     }
--- a/policy/src/main/java/garnetreel/policy/event/RequestCancelled.java
+++ b/policy/src/main/java/garnetreel/policy/event/RequestCancelled.java
@@ -1,7 +1,7 @@
 package garnetreel.policy.event;
 
 /**
- * The client left; it is owed no response any more.
+ * The client cancelled a request or disconnected; no response is needed any more.
  *
  * @param id the request
  */
--- a/policy/src/main/java/garnetreel/policy/event/RequestReceived.java
+++ b/policy/src/main/java/garnetreel/policy/event/RequestReceived.java
@@ -1,18 +1,18 @@
 package garnetreel.policy.event;
 
 /**
- * A request received by this gateway, which owes it exactly one final response before its deadline.
+ * This gateway received a request, which must get exactly one final response before its deadline.
  *
  * @param id number of the request, unique among those of this gateway
- * @param className its request class
- * @param plan its service plan
- * @param key the piece of data; negative when the request carries none
+ * @param className name of its request class
+ * @param plan name of its service plan
+ * @param key identifies the data that it accesses; negative if it has no key
  * @param deadline when the client stops waiting
  * @param volume the volume that it belongs to
- * @param units its size
+ * @param units size of the request
  * @param shard the shard that holds the data; negative for a new object
- * @param gateways how many gateways the volume's requests come through; 0 when not known
- * @param retry the client says that this is a retry
+ * @param gateways number of gateways that receive requests for the volume; 0 if unknown
+ * @param retry whether the client marked it as a retry
  * @param write whether it changes data
  */
 public record RequestReceived(
--- a/policy/src/main/java/garnetreel/policy/event/ResponseStreamStarted.java
+++ b/policy/src/main/java/garnetreel/policy/event/ResponseStreamStarted.java
@@ -1,10 +1,10 @@
 package garnetreel.policy.event;
 
 /**
- * A streamed response began: the attempt now belongs to the client.
+ * The response of an attempt is being streamed to the client from now on.
  *
  * @param id the request
  * @param attempt index of the attempt among those of the request
- * @param endpoint who responds
+ * @param endpoint address of the responding endpoint
  */
 public record ResponseStreamStarted(long id, int attempt, String endpoint) implements SchedulerEvent {}
--- a/policy/src/main/java/garnetreel/policy/event/SchedulerEvent.java
+++ b/policy/src/main/java/garnetreel/policy/event/SchedulerEvent.java
@@ -1,6 +1,6 @@
 package garnetreel.policy.event;
 
-/** Something that happened at this gateway; the input of {@link garnetreel.policy.Scheduler#decide}. */
+/** An event at this gateway; the input of {@link garnetreel.policy.Scheduler#decide}. */
 public sealed interface SchedulerEvent
         permits AttemptCompleted,
                 DiscoveryAddressChanged,
--- a/policy/src/main/java/garnetreel/policy/event/TimerExpired.java
+++ b/policy/src/main/java/garnetreel/policy/event/TimerExpired.java
@@ -1,7 +1,7 @@
 package garnetreel.policy.event;
 
 /**
- * A timer set by this scheduler is due.
+ * A timer set by this scheduler expired.
  *
  * @param name the name given in {@link garnetreel.policy.action.SetTimer}
  */
--- a/policy/src/main/java/garnetreel/policy/event/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/event/package-info.java
@@ -1,2 +1,2 @@
-/** Events that the program around the scheduler reports to it. All times are microseconds, sizes are units. */
+/** Events that the embedding program passes to the scheduler. All times are microseconds, sizes are units. */
 package garnetreel.policy.event;
