--- a/policy/src/main/java/garnetreel/policy/admission/AdmissionController.java
+++ b/policy/src/main/java/garnetreel/policy/admission/AdmissionController.java
@@ -5,20 +5,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Admits a fraction of the demand, by chance, to an endpoint that bears only a part of it. Each gateway admits that fraction of its
- * own demand, so all together keep to it, however many they are and however little each is asked. An overload first stops what is
- * past reserve and quota, then the quota, and only then thins the reserve.
+ * Randomly admits a fraction of the demand for an endpoint that cannot serve all of it. Each gateway admits that
+ * fraction of its own demand, so the total stays within it whatever the number of gateways and the load of each. Under
+ * overload, requests beyond reserve and quota are shed first, then those on the quota, and those on the reserve last.
  */
 public final class AdmissionController {
-    /** Each of the three bookings has an equal part of the admitted fraction as its priority budget. */
-    private static final int PRIORITY_BUDGETS = BudgetBooking.RANKS;
+    /** Each of the three bookings has an equal share of the admitted fraction as its priority budget. */
+    private static final int PRIORITY_LEVELS = BudgetBooking.RANKS;
 
     private final SplittableRandom random;
     private final double maxUnits;
     private final long accountingWindow;
     private final long timerResolution;
 
-    /** A controller that draws from the scheduler's random numbers. */
+    /** Creates a controller that uses the scheduler's random number generator. */
     public AdmissionController(SchedulerSettings settings, SplittableRandom random) {
         this.random = random;
         maxUnits = settings.maxUnits();
@@ -27,15 +27,15 @@
     }
 
     /**
-     * Whether a request is admitted; if so it is counted in the demand estimate.
+     * Decides whether a request is admitted; an admitted request is recorded in the demand estimate.
      *
-     * @param booking what its units are booked on
-     * @param units its size
-     * @param demand the shard's demand, this request included
+     * @param booking the budget that the request is booked on
+     * @param units size of the request
+     * @param demand estimated demand for the shard, this request included
      * @param admittedFraction fraction of the demand that the endpoint's health allows
-     * @param warmUpRate units a second that slow start allows
+     * @param warmUpRate units per second that slow start allows
      * @param startedAt when this gateway started
-     * @param now the present time
+     * @param now current time
      */
     public boolean admits(
             BudgetBooking booking,
@@ -45,18 +45,20 @@
             double warmUpRate,
             long startedAt,
             long now) {
-        double fractionWithin = demand.fractionWithin(warmUpRate * observedFraction(startedAt, now), booking);
-        double chance = Math.min(PRIORITY_BUDGETS * admittedFraction - booking.rank(), fractionWithin);
-        // No random number is drawn where chance has no say: the sequence of draws is part of the decisions.
-        boolean admitted = (chance >= 1 || random.nextDouble() < chance)
+        double servableFraction = demand.servableFraction(warmUpRate * observedFraction(startedAt, now), booking);
+        double probability = Math.min(PRIORITY_LEVELS * admittedFraction - booking.rank(), servableFraction);
+        // Draws a random number only if the probability is below 1: the sequence of draws affects later decisions.
+        boolean admitted = (probability >= 1 || random.nextDouble() < probability)
                 && !demand.isSurging(warmUpRate, maxUnits, accountingWindow, now);
         if (admitted) {
-            demand.admitted(units);
+            demand.recordAdmitted(units);
         }
         return admitted;
     }
 
-    /** Fraction of the demand that the estimate shows: a gateway that has just started has not yet seen all of it. */
+    /**
+     * Fraction of the demand that the estimate covers: a gateway that has just started has not yet observed all of it.
+     */
     private double observedFraction(long startedAt, long now) {
         return 1 - Math.exp((startedAt - now - timerResolution) / DemandEstimate.TIME_CONSTANT);
     }
--- a/policy/src/main/java/garnetreel/policy/admission/DemandEstimate.java
+++ b/policy/src/main/java/garnetreel/policy/admission/DemandEstimate.java
@@ -3,14 +3,14 @@
 import garnetreel.policy.ratelimit.BudgetBooking;
 import garnetreel.policy.timing.Microseconds;
 
-/** What this gateway is asked of one shard, by booking, and what it has admitted; both faded by time. */
+/** Demand of this gateway's clients for one shard, per booking, and the units admitted; both decay exponentially. */
 public final class DemandEstimate {
-    /** Time constant of the demand, microseconds: short, as demand changes within seconds. */
+    /** Time constant of the demand, in microseconds: short, as demand changes within seconds. */
     static final double TIME_CONSTANT = 6e6;
-    /** Most that is admitted within the accounting window, as a multiple of the warm-up rate. */
+    /** Upper bound of the units admitted within the accounting window, as a multiple of the warm-up rate. */
     private static final double SURGE_MULTIPLE = 1.3;
 
-    /** Units a second, by rank of the booking. */
+    /** Units per second, indexed by the rank of the booking. */
     private final double[] demand = new double[BudgetBooking.RANKS];
 
     private long demandAt;
@@ -19,34 +19,37 @@
 
     /** Adds a request to the demand. */
     public void add(BudgetBooking booking, double units, long now) {
-        double fading = Math.exp((demandAt - now) / TIME_CONSTANT);
+        double decay = Math.exp((demandAt - now) / TIME_CONSTANT);
         for (int rank = 0; rank < demand.length; rank++) {
-            demand[rank] *= fading;
+            demand[rank] *= decay;
         }
         demand[booking.rank()] += units * Microseconds.PER_SECOND / TIME_CONSTANT;
         demandAt = now;
     }
 
-    /** When the shard was last asked for anything. */
+    /** Time of the latest request for the shard. */
     public long lastAskedAt() {
         return demandAt;
     }
 
-    /** Fraction of a booking's demand that a rate has capacity for after the bookings of more value. */
-    double fractionWithin(double rate, BudgetBooking booking) {
-        double left = rate;
+    /**
+     * Fraction of a booking's demand that a rate can serve after the demand of all higher-ranked bookings; may exceed 1
+     * or be negative.
+     */
+    double servableFraction(double rate, BudgetBooking booking) {
+        double remaining = rate;
         for (int rank = 0; rank < booking.rank(); rank++) {
-            left -= demand[rank];
+            remaining -= demand[rank];
         }
-        return left / demand[booking.rank()];
+        return remaining / demand[booking.rank()];
     }
 
     /**
-     * Whether what was admitted lately exceeds a rate, as when demand rises faster than the estimate follows.
+     * Whether the recently admitted units exceed a rate, as happens when demand rises faster than the estimate.
      *
-     * @param rate units a second
-     * @param largestRequest units that may come on top
-     * @param window accounting window, microseconds
+     * @param rate units per second
+     * @param largestRequest units allowed in excess of the rate: the size of the largest request
+     * @param window accounting window, in microseconds
      */
     boolean isSurging(double rate, double largestRequest, long window, long now) {
         admittedUnits *= Math.exp((admittedAt - now) / Math.max(1.0, window));
@@ -54,12 +57,12 @@
         return admittedUnits > SURGE_MULTIPLE * rate * window / Microseconds.PER_SECOND + largestRequest;
     }
 
-    /** Counts a request as admitted. */
-    void admitted(double units) {
+    /** Records an admitted request. */
+    void recordAdmitted(double units) {
         admittedUnits += units;
     }
 
-    /** Invariant: no figure is negative. */
+    /** Invariant: no demand and no number of admitted units is negative. */
     public boolean isConsistent() {
         for (double units : demand) {
             if (!(units >= 0)) {
--- a/policy/src/main/java/garnetreel/policy/admission/LoadShedder.java
+++ b/policy/src/main/java/garnetreel/policy/admission/LoadShedder.java
@@ -2,40 +2,49 @@
 
 import garnetreel.policy.config.SchedulerSettings;
 
-/** Decides by time alone when a request is shed: late work would take the place of work in time. */
+/**
+ * Sheds held requests that can no longer be served in time, as they would take capacity from requests that can, and
+ * requests that may not be sent to any endpoint.
+ */
 public final class LoadShedder {
-    /** The final response is given this many timer resolutions before the client's deadline: one may pass unused. */
+    /**
+     * The final response is sent this many timer resolutions before the client's deadline, as a timer may fire one
+     * resolution late.
+     */
     private static final int RESPONSE_MARGIN_RESOLUTIONS = 2;
 
     private final long responseMargin;
 
-    /** A shedder with the margin that the timer's resolution asks for. */
+    /** Creates a shedder whose response margin follows from the timer resolution. */
     public LoadShedder(SchedulerSettings settings) {
         responseMargin = RESPONSE_MARGIN_RESOLUTIONS * settings.timerResolution();
     }
 
-    /** How long before a client's deadline the last response is given, microseconds. */
+    /** Time between the final response and the client's deadline, in microseconds. */
     public long responseMargin() {
         return responseMargin;
     }
 
-    /** When the final response of a request is due. */
+    /** Time at which the final response to a request is due. */
     public long responseDueAt(long deadline) {
         return deadline - responseMargin;
     }
 
-    /** When a request must have started to be of use: within its latency objective and before its response is due. */
+    /**
+     * Time at which a request must have started to be useful: within its latency objective and before its response is
+     * due.
+     */
     public long latestUsefulStart(long receivedAt, long latencyObjective, long deadline) {
         return Math.min(receivedAt + latencyObjective, responseDueAt(deadline));
     }
 
     /**
-     * Whether a held request is shed.
+     * Decides whether a held request is shed.
      *
-     * @param latestUsefulStart when it must start to be of use
-     * @param noEndpointMayBeSent the shard has endpoints, but no lease allows a send to any
+     * @param latestUsefulStart time at which the request must have started to be useful
+     * @param lacksLease whether the shard has endpoints, but no lease permits sending to any of them
      */
-    public boolean sheds(long latestUsefulStart, boolean noEndpointMayBeSent, long now) {
-        return now >= latestUsefulStart || noEndpointMayBeSent;
+    public boolean sheds(long latestUsefulStart, boolean lacksLease, long now) {
+        return now >= latestUsefulStart || lacksLease;
     }
 }
--- a/policy/src/main/java/garnetreel/policy/admission/RejectedRequests.java
+++ b/policy/src/main/java/garnetreel/policy/admission/RejectedRequests.java
@@ -5,26 +5,30 @@
 import java.util.Map;
 
 /**
- * Remembers requests that were given up, to recognize a client's retry without a mark: it asks the same for the same volume, and its
- * client stops waiting when it would have for the first.
+ * Remembers requests that were given up, to recognize client retries that are not marked as such: a retry has the same
+ * volume, class, size and, within a tolerance, deadline as the first request.
  */
 public final class RejectedRequests {
-    /** Deadlines of a request and its retry may differ by less than this, microseconds: clients compute them anew. */
+    /**
+     * Deadlines of a request and its retry may differ by less than this, in microseconds, as clients recompute them.
+     */
     private static final long DEADLINE_TOLERANCE = 5_000;
-    /** Requests that are remembered; each takes three entries of this table. */
+    /** Maximum number of table entries; each remembered request takes three. */
     private static final int MAX_ENTRIES = 4_096;
 
-    /** What a request and its retry have in common. */
+    /** Properties that a request and its retries share. */
     private record Fingerprint(VolumeFlow flow, String className, double units, long roundedDeadline) {}
 
     private final Map<Fingerprint, Long> receivedAt = new LinkedHashMap<>();
 
-    /** When the request was received that this one is a retry of; the given time where it is the first. */
+    /**
+     * Time at which the first of several identical requests was received; {@code now} if this request is not a retry.
+     */
     public long firstReceivedAt(VolumeFlow flow, String className, double units, long deadline, long now) {
         return receivedAt.getOrDefault(new Fingerprint(flow, className, units, deadline / DEADLINE_TOLERANCE), now);
     }
 
-    /** Remembers a request that is given up, with the rounded deadlines next to its own. */
+    /** Remembers a request that is given up, under its rounded deadline and the two adjacent ones. */
     public void add(VolumeFlow flow, String className, double units, long deadline, long firstReceivedAt) {
         long rounded = deadline / DEADLINE_TOLERANCE;
         for (long candidate = rounded - 1; candidate <= rounded + 1; candidate++) {
@@ -35,12 +39,12 @@
         }
     }
 
-    /** Number of entries. */
+    /** Number of table entries. */
     public int size() {
         return receivedAt.size();
     }
 
-    /** Invariant: the table keeps its bound. */
+    /** Invariant: the table does not exceed its maximum size. */
     public boolean isConsistent() {
         return receivedAt.size() <= MAX_ENTRIES;
     }
--- a/policy/src/main/java/garnetreel/policy/admission/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Which requests are admitted, and which are shed when there is no capacity or no time left for them. */
+/** Admission of requests, and shedding of those for which there is no capacity or no time left. */
 package garnetreel.policy.admission;
--- a/policy/src/main/java/garnetreel/policy/concurrency/ConcurrencyLimiter.java
+++ b/policy/src/main/java/garnetreel/policy/concurrency/ConcurrencyLimiter.java
@@ -4,46 +4,47 @@
 import java.util.List;
 
 /**
- * Limits the attempts in flight at one endpoint: additive increase on quick responses while the window is full, multiplicative
- * decrease on slow ones. A gateway cannot see an endpoint's utilization; the latency of its own responses is what it can see.
+ * Limits the attempts in flight at one endpoint: additive increase on quick responses while the window is full,
+ * multiplicative decrease on slow ones. A gateway cannot observe an endpoint's utilization, so it uses the latency of
+ * the responses to its own attempts.
  */
 public final class ConcurrencyLimiter {
-    /** Largest window, in attempts: deeper queues at an endpoint add latency and no throughput. */
+    /** Maximum window, in attempts: deeper queues at an endpoint add latency without throughput. */
     private static final double MAX_WINDOW = 6;
-    /** Window of an endpoint of which nothing is known, in attempts. */
+    /** Initial window, in attempts. */
     private static final double INITIAL_WINDOW = 2;
-    /** Window of an endpoint that has just started or rejected an attempt, in attempts. */
+    /** Minimum window, in attempts; also the window of an endpoint that has just started or rejected an attempt. */
     private static final double MIN_WINDOW = 1;
-    /** Most attempts in flight, lost ones included: these still hold a connection each. */
+    /** Maximum number of attempts in flight, including lost ones, as each still holds a connection. */
     private static final int MAX_IN_FLIGHT = 8;
-    /** A response slower than this fraction of the tightest latency objective shrinks the window. */
+    /** A response that takes longer than this fraction of the tightest latency objective shrinks the window. */
     private static final double SLOW_RESPONSE = 0.5;
-    /** A response quicker than this fraction of the tightest latency objective may grow the window. */
+    /** A response that takes less than this fraction of the tightest latency objective may grow the window. */
     private static final double QUICK_RESPONSE = 0.3;
-    /** Factor of a decrease: one slow response costs a fifth. */
+    /** Factor of a decrease: a slow response shrinks the window by a fifth. */
     private static final double DECREASE_FACTOR = 0.8;
-    /** Step of an increase, in attempts: four quick responses earn one more. */
+    /** Increment, in attempts: four quick responses grow the window by one. */
     private static final double INCREASE_STEP = 0.25;
-    /** The window counts as full where fewer tokens than this are free. */
+    /** The window is nearly full if fewer slots than this are free. */
     private static final double FULL_BELOW = 2;
 
     private final List<InFlightAttempt> inFlight = new ArrayList<>();
     private double window = INITIAL_WINDOW;
     private long decreasedAt;
-    /** When the latest attempt that was answered had been sent. */
+    /** Send time of the most recently sent attempt that has been answered. */
     private long answeredSentAt;
 
-    /** The attempts in flight, oldest first; not a copy. */
+    /** Live list of the attempts in flight, oldest first. */
     public List<InFlightAttempt> inFlight() {
         return inFlight;
     }
 
-    /** Counts an attempt as in flight. */
+    /** Adds an attempt to those in flight. */
     public void started(InFlightAttempt attempt) {
         inFlight.add(attempt);
     }
 
-    /** An attempt is no longer in flight. */
+    /** Removes an attempt from those in flight. */
     public void ended(InFlightAttempt attempt) {
         inFlight.remove(attempt);
     }
@@ -54,8 +55,8 @@
     }
 
     /**
-     * Tokens that are free. An attempt that a later attempt's response has overtaken and that is past its latency objective is
-     * lost: it occupies no server, so it holds no token.
+     * Number of free slots. An attempt is lost if it is past its latency objective and a later attempt has been
+     * answered: it occupies no worker of the endpoint, so it holds no slot.
      */
     public double freeTokens(long now) {
         int occupied = 0;
@@ -65,28 +66,32 @@
         return Math.min(window - occupied, MAX_IN_FLIGHT - inFlight.size());
     }
 
-    /** Whether an attempt sent later has been answered: then this one's silence says nothing of the endpoint's queue. */
+    /**
+     * Whether an attempt sent later has been answered; if so, a missing response to this one does not indicate a queue
+     * at the endpoint.
+     */
     public boolean isOvertaken(long sentAt) {
         return sentAt < answeredSentAt;
     }
 
-    /** Whether the window is full, or all but full. */
+    /** Whether the window is full or nearly full. */
     public boolean isNearlyFull(long now) {
         return freeTokens(now) < FULL_BELOW;
     }
 
-    /** An attempt sent at this time was answered. */
+    /** Records that an attempt sent at the given time was answered. */
     public void answered(long sentAt) {
         answeredSentAt = Math.max(answeredSentAt, sentAt);
     }
 
     /**
-     * Adapts the window to the latency of a response.
+     * Adjusts the window to the latency of a response.
      *
-     * @param sentAt when the attempt was sent; one sent before the last decrease does not decrease the window again
-     * @param relativeLatency latency for a request of mean size, as a fraction of the tightest latency objective
-     * @param wasFull whether the window was full when the response came
-     * @param now the present time
+     * @param sentAt send time of the attempt; one sent before the last decrease does not decrease the window again
+     * @param relativeLatency latency scaled to a request of typical size, as a fraction of the tightest latency
+     *     objective
+     * @param wasFull whether the window was full when the response arrived
+     * @param now current time
      */
     public void adapt(long sentAt, double relativeLatency, boolean wasFull, long now) {
         if (relativeLatency > SLOW_RESPONSE && sentAt >= decreasedAt) {
@@ -97,12 +102,12 @@
         }
     }
 
-    /** Reduces the window to its minimum: the endpoint has just started, or is overloaded. */
+    /** Reduces the window to its minimum, after a start or an overload of the endpoint. */
     public void resetWindow() {
         window = MIN_WINDOW;
     }
 
-    /** Invariant: the window lies within its bounds, and no more attempts are in flight than allowed. */
+    /** Invariant: the window and the number of attempts in flight are within their bounds. */
     public boolean isConsistent() {
         return window >= MIN_WINDOW && window <= MAX_WINDOW && inFlight.size() <= MAX_IN_FLIGHT;
     }
--- a/policy/src/main/java/garnetreel/policy/concurrency/InFlightAttempt.java
+++ b/policy/src/main/java/garnetreel/policy/concurrency/InFlightAttempt.java
@@ -1,10 +1,10 @@
 package garnetreel.policy.concurrency;
 
-/** What the limiter needs to know of an attempt that is in flight. */
+/** Attempt in flight, as the concurrency limiter sees it. */
 public interface InFlightAttempt {
-    /** When it was sent. */
+    /** Time at which the attempt was sent. */
     long sentAt();
 
-    /** A span of time as a multiple of its request's latency objective. */
+    /** Converts a duration to a multiple of the request's latency objective. */
     double inObjectives(long time);
 }
--- a/policy/src/main/java/garnetreel/policy/concurrency/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/concurrency/package-info.java
@@ -1,2 +1,2 @@
-/** How many attempts may be in flight at one endpoint. */
+/** Limits on the number of attempts in flight at an endpoint. */
 package garnetreel.policy.concurrency;
--- a/policy/src/main/java/garnetreel/policy/endpoint/Endpoint.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/Endpoint.java
@@ -6,7 +6,7 @@
 import garnetreel.policy.health.EndpointHealth;
 import garnetreel.policy.health.Recovery;
 
-/** One endpoint: its entry in the list, its lease, and what this gateway's own attempts show of it. */
+/** One endpoint: its entry in the endpoint list, its lease, and what this gateway has learnt from its own attempts. */
 public final class Endpoint {
     private final String address;
     private final ConcurrencyLimiter limiter = new ConcurrencyLimiter();
@@ -14,52 +14,52 @@
     private String zone = "";
     private int shard;
     private boolean up;
-    /** When its process started, as listed or inferred; 0 when long ago. */
+    /** Start time of the endpoint's process, listed or inferred; 0 if it has been running for long. */
     private long startedAt;
 
     private long leaseRenewedAt = EndpointLease.neverRenewed();
 
-    /** An endpoint that is not up until an entry says so. */
+    /** Creates an endpoint that is down until a list entry is applied. */
     public Endpoint(String address) {
         this.address = address;
     }
 
-    /** The name of the endpoint, as in actions. */
+    /** Address, which identifies the endpoint in actions. */
     public String address() {
         return address;
     }
 
-    /** Its failure domain. */
+    /** Failure domain of the endpoint. */
     public String zone() {
         return zone;
     }
 
-    /** The shard that it holds. */
+    /** Shard that the endpoint serves. */
     public int shard() {
         return shard;
     }
 
-    /** Whether the list says that it takes requests. */
+    /** Whether the endpoint is listed as up. */
     public boolean isUp() {
         return up;
     }
 
-    /** When its process started; 0 when long ago. */
+    /** Start time of the endpoint's process; 0 if it has been running for long. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Its limiter of attempts in flight. */
+    /** Limiter of the attempts in flight at the endpoint. */
     public ConcurrencyLimiter limiter() {
         return limiter;
     }
 
-    /** What this gateway concludes about its health. */
+    /** Health of the endpoint as this gateway observes it. */
     public EndpointHealth health() {
         return health;
     }
 
-    /** Sent time of the request that last renewed its lease. */
+    /** Send time of the request that last renewed the lease. */
     public long leaseRenewedAt() {
         return leaseRenewedAt;
     }
@@ -74,7 +74,10 @@
         up = false;
     }
 
-    /** Takes over a listed start; true where it is a restart, after which it warms up anew. */
+    /**
+     * Applies a listed start time. Returns true if it is later than the known one: the endpoint has restarted and warms
+     * up again.
+     */
     public boolean restarted(long listedStart) {
         if (listedStart <= startedAt) {
             return false;
@@ -86,8 +89,8 @@
     }
 
     /**
-     * Any response shows a running process. One that was unreachable before may show a restart, by which the endpoint warms up
-     * although no list says so.
+     * Records a response. The first one from an endpoint that was unreachable may indicate a restart; the endpoint then
+     * warms up although the list does not mention the restart.
      */
     public Recovery responded(boolean quick, long now) {
         Recovery recovery = health.responded(quick, now);
@@ -98,17 +101,17 @@
         return recovery;
     }
 
-    /** It took on a request sent at this time. */
+    /** Renews the lease: the endpoint accepted a request sent at the given time. */
     public void renewLease(long sentAt) {
         leaseRenewedAt = Math.max(leaseRenewedAt, sentAt);
     }
 
-    /** It rejected a request, so it may be draining. */
+    /** Revokes the lease: the endpoint rejected a request, so it may be draining. */
     public void revokeLease() {
         leaseRenewedAt = EndpointLease.neverRenewed();
     }
 
-    /** Invariant: its limiter and its health are consistent. */
+    /** Invariant: limiter and health are consistent. */
     public boolean isConsistent() {
         return limiter.isConsistent() && health.isConsistent();
     }
--- a/policy/src/main/java/garnetreel/policy/endpoint/EndpointLease.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/EndpointLease.java
@@ -4,30 +4,40 @@
 import garnetreel.policy.timing.ProcessPause;
 
 /**
- * How long the endpoint list may still be trusted, and which endpoints may be sent to when it may not.
+ * Determines how long the endpoint list remains valid, and which endpoints may be used after that.
  *
- * <p>Every change of the list counts as notified at the latest {@link #NOTIFIED_WITHIN} after discovery had it, whether or not
- * this gateway received it. A list that was current at a time is therefore safe to use for that long. Past it an endpoint needs a
- * lease: one that took on a request sent at a time had not been draining for longer than {@link #DRAIN_NOTICE} then, so no change
- * of it counts as notified for {@link #NOTIFIED_WITHIN} less that after the sending.
+ * <p>A gateway is considered notified of a change of the list at most {@link #MAX_NOTIFICATION_DELAY} after discovery
+ * received the change, whether or not the gateway received it. A list is therefore valid for that long after the time
+ * at which it was known to be current. After that, an endpoint needs a lease: if it accepted a request sent at time t,
+ * it had been draining for at most {@link #MAX_DRAIN_DELAY} at t, so it may be used until t + {@link
+ * #MAX_NOTIFICATION_DELAY} - {@link #MAX_DRAIN_DELAY}.
  *
- * <p>While discovery is down nothing can be notified, so the list is trusted until it is back. That it is down is presumed from the
- * end of a subscription, which ends when discovery goes down, up to any sign of it.
+ * <p>While discovery is down, no gateway is considered notified of any change, so the list stays valid. Discovery is
+ * presumed down from the end of a subscription, which ends when discovery goes down, until there is any sign that it is
+ * up.
  *
- * <p>Until the first {@link EndpointListConfirmed} the program does not say how current its list is, and every list is trusted.
+ * <p>Until the first {@link EndpointListConfirmed} event it is unknown how current the list is, and every list is
+ * treated as valid.
  */
 public final class EndpointLease {
-    /** A change counts as notified so long after discovery had it and could be reached, microseconds. Source: STANDING. */
-    static final long NOTIFIED_WITHIN = 6_000_000;
-    /** A change counts as notified so long after a change of discovery's address, microseconds. Source: DAYS. */
-    static final long NOTIFIED_AFTER_ADDRESS_CHANGE = 4_000_000;
     /**
-     * A draining endpoint rejects new requests at the latest so long after its drain is listed, microseconds. The protocol says
-     * that it does and not when; one was seen to take on a request 1.6 s after, and to reject them 2.7 s after.
+     * Time after which a gateway is considered notified of a change that discovery has received, while discovery is
+     * reachable, in microseconds. Fixed by the project's requirements.
      */
-    static final long DRAIN_NOTICE = NOTIFIED_WITHIN / 2;
+    static final long MAX_NOTIFICATION_DELAY = 6_000_000;
+    /**
+     * Time after which a gateway is considered notified of earlier changes once discovery's address has changed, in
+     * microseconds. Fixed by the rules for scenarios.
+     */
+    static final long MAX_DELAY_AFTER_ADDRESS_CHANGE = 4_000_000;
+    /**
+     * Time from the listing of a drain until the endpoint rejects new requests, at most, in microseconds. The protocol
+     * does not bound it; one endpoint was observed to accept a request 1.6 s after the listing and to reject requests
+     * 2.7 s after it.
+     */
+    static final long MAX_DRAIN_DELAY = MAX_NOTIFICATION_DELAY / 2;
 
-    /** Stands for a time before all others; half of the range, so that spans added to it do not overflow. */
+    /** Represents a time before all others; half of the range, so that adding a duration does not overflow. */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private boolean tracked;
@@ -35,26 +45,29 @@
     private long confirmedAt = NEVER;
     private long addressChangedAt = NEVER;
 
-    /** Whether the program says how current its list is. */
+    /** Whether the time at which the list was last known to be current is available. */
     public boolean isTracked() {
         return tracked;
     }
 
-    /** The list was current at this time. */
+    /** Records that the list was current at the given time. */
     public void confirmed(long asOf) {
         tracked = true;
         outage = false;
         confirmedAt = Math.max(confirmedAt, asOf);
     }
 
-    /** Discovery ended a subscription, or showed that it is up without sending the list. */
+    /**
+     * Records whether discovery is available: it ended a subscription, or showed that it is up without sending the
+     * list.
+     */
     public void discoveryObserved(boolean available) {
         outage = !available;
     }
 
     /**
-     * Discovery may have another address as of this time. Of several changes without a list between them the first counts: what it
-     * bounds is not notified later because of the others.
+     * Records that discovery may have a new address from the given time on. Only the first of several changes since the
+     * last confirmation counts, as later ones do not extend the period that the first one started.
      */
     public void discoveryAddressChanged(long now) {
         if (addressChangedAt <= confirmedAt) {
@@ -63,27 +76,30 @@
         outage = false;
     }
 
-    /** Until when sends may begin to an endpoint whose lease was renewed by a request sent at this time. */
+    /**
+     * End of the period in which requests may be sent to an endpoint whose lease was renewed by a request sent at the
+     * given time.
+     */
     public long sendBefore(long renewedAt) {
         return tracked && !outage
-                ? Math.max(trustedUntil(confirmedAt), trustedUntil(renewedAt - DRAIN_NOTICE))
+                ? Math.max(trustedUntil(confirmedAt), trustedUntil(renewedAt - MAX_DRAIN_DELAY))
                 : Long.MAX_VALUE;
     }
 
     private long trustedUntil(long currentAt) {
-        long end = currentAt + NOTIFIED_WITHIN;
+        long end = currentAt + MAX_NOTIFICATION_DELAY;
         if (currentAt < addressChangedAt) {
-            end = Math.min(end, addressChangedAt + NOTIFIED_AFTER_ADDRESS_CHANGE);
+            end = Math.min(end, addressChangedAt + MAX_DELAY_AFTER_ADDRESS_CHANGE);
         }
         return end - ProcessPause.MARGIN;
     }
 
-    /** Renewal time of an endpoint that has no lease. */
+    /** Lease renewal time of an endpoint that has no lease. */
     public static long neverRenewed() {
         return NEVER;
     }
 
-    /** Invariant: a list that was confirmed is tracked. */
+    /** Invariant: after a confirmation, {@link #isTracked()} holds. */
     public boolean isConsistent() {
         return tracked || confirmedAt == NEVER;
     }
--- a/policy/src/main/java/garnetreel/policy/endpoint/EndpointTable.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/EndpointTable.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * All endpoints by address, by shard, and those with attempts in flight, so that the work at an event does not grow with the fleet.
- * The maps are ordered by address: decisions must not depend on hash codes.
+ * Indexes all endpoints by address and by shard, and those with attempts in flight, so that the work per event does not
+ * grow with the number of endpoints. The maps are ordered by address, as decisions must not depend on hash codes.
  */
 public final class EndpointTable {
     private final Map<String, Endpoint> endpoints = new TreeMap<>();
@@ -16,17 +16,17 @@
     private final Map<String, Endpoint> withInFlight = new TreeMap<>();
     private final EndpointLease lease;
 
-    /** An empty table whose endpoints are sent to by this lease. */
+    /** Creates an empty table that checks the given lease before it selects an endpoint. */
     public EndpointTable(EndpointLease lease) {
         this.lease = lease;
     }
 
-    /** A complete list follows: what it does not name has left. */
+    /** Marks all endpoints as down before a complete list is applied; endpoints that it does not contain stay down. */
     public void markAllDown() {
         endpoints.values().forEach(Endpoint::markDown);
     }
 
-    /** Takes over an entry of a list and returns its endpoint. */
+    /** Applies a list entry and returns its endpoint. */
     public Endpoint apply(EndpointEntry entry) {
         Endpoint endpoint = endpoints.computeIfAbsent(entry.address(), Endpoint::new);
         if (endpoint.shard() != entry.shard()) {
@@ -38,8 +38,8 @@
     }
 
     private void removeFromShard(Endpoint endpoint) {
-        Map<String, Endpoint> ofShard = byShard.get(endpoint.shard());
-        if (ofShard != null && ofShard.remove(endpoint.address(), endpoint) && ofShard.isEmpty()) {
+        Map<String, Endpoint> shardEndpoints = byShard.get(endpoint.shard());
+        if (shardEndpoints != null && shardEndpoints.remove(endpoint.address(), endpoint) && shardEndpoints.isEmpty()) {
             byShard.remove(endpoint.shard());
         }
     }
@@ -54,24 +54,27 @@
         return withInFlight.values();
     }
 
-    /** Whether any endpoint holds a shard. */
+    /** Whether any endpoint is listed for a shard. */
     public boolean hasShard(int shard) {
         return byShard.containsKey(shard);
     }
 
-    private Collection<Endpoint> ofShard(int shard) {
+    private Collection<Endpoint> shardEndpoints(int shard) {
         return byShard.getOrDefault(shard, Map.of()).values();
     }
 
-    /** Whether an endpoint takes requests, as far as can be known now. */
+    /** Whether an endpoint may be sent requests: it is listed as up, and the list or its lease is still valid. */
     public boolean maySendTo(Endpoint endpoint, long now) {
         return endpoint.isUp() && now < lease.sendBefore(endpoint.leaseRenewedAt());
     }
 
-    /** The endpoint that serves a shard: reachable if there is a choice, with most free tokens; null where there is none. */
+    /**
+     * Selects the endpoint for a shard: a reachable one if possible, then the one with the most free slots; null if
+     * there is none.
+     */
     public Endpoint select(int shard, long now) {
         Endpoint best = null;
-        for (Endpoint endpoint : ofShard(shard)) {
+        for (Endpoint endpoint : shardEndpoints(shard)) {
             if (maySendTo(endpoint, now) && (best == null || isBetter(endpoint, best, now))) {
                 best = endpoint;
             }
@@ -87,22 +90,22 @@
         return endpoint.limiter().freeTokens(now) > best.limiter().freeTokens(now);
     }
 
-    /** Whether a shard has endpoints that are up, but no lease allows a send to any of them. */
+    /** Whether a shard has endpoints that are up, but none of them may be sent requests. */
     public boolean lacksLease(int shard, long now) {
         boolean anyUp = false;
-        for (Endpoint endpoint : ofShard(shard)) {
+        for (Endpoint endpoint : shardEndpoints(shard)) {
             anyUp |= endpoint.isUp();
         }
         return anyUp && select(shard, now) == null;
     }
 
-    /** An attempt was sent. */
+    /** Records that an attempt was sent. */
     public void attemptSent(Endpoint endpoint, InFlightAttempt attempt) {
         endpoint.limiter().started(attempt);
         withInFlight.put(endpoint.address(), endpoint);
     }
 
-    /** An attempt is no longer in flight. */
+    /** Records that an attempt is no longer in flight. */
     public void attemptEnded(Endpoint endpoint, InFlightAttempt attempt) {
         endpoint.limiter().ended(attempt);
         if (endpoint.limiter().isIdle()) {
@@ -110,7 +113,10 @@
         }
     }
 
-    /** Forgets endpoints that have left: some fleets replace theirs all day under new names. */
+    /**
+     * Removes endpoints that are down and have no attempt in flight: some deployments continually replace endpoints
+     * under new names.
+     */
     public void forgetUnused() {
         endpoints.values().removeIf(endpoint -> {
             boolean unused = !endpoint.isUp() && endpoint.limiter().isIdle();
@@ -121,20 +127,23 @@
         });
     }
 
-    /** Invariant: each endpoint is consistent, held by its shard, and among those in flight just while an attempt is. */
+    /**
+     * Invariant: each endpoint is consistent and indexed by its shard, and by in-flight attempts if and only if it has
+     * any.
+     */
     public boolean isConsistent() {
-        int held = 0;
-        for (Map<String, Endpoint> ofShard : byShard.values()) {
-            held += ofShard.size();
+        int indexed = 0;
+        for (Map<String, Endpoint> shardEndpoints : byShard.values()) {
+            indexed += shardEndpoints.size();
         }
-        return held == endpoints.size() && endpoints.values().stream().allMatch(this::isConsistent);
+        return indexed == endpoints.size() && endpoints.values().stream().allMatch(this::isConsistent);
     }
 
     private boolean isConsistent(Endpoint endpoint) {
-        Map<String, Endpoint> ofShard = byShard.get(endpoint.shard());
+        Map<String, Endpoint> shardEndpoints = byShard.get(endpoint.shard());
         return endpoint.isConsistent()
-                && ofShard != null
-                && ofShard.get(endpoint.address()) == endpoint
+                && shardEndpoints != null
+                && shardEndpoints.get(endpoint.address()) == endpoint
                 && endpoint.limiter().isIdle() != withInFlight.containsKey(endpoint.address());
     }
 }
--- a/policy/src/main/java/garnetreel/policy/endpoint/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** The endpoints of the fleet: what is known of each, which of them a shard has, and how current the list is. */
+/** The known endpoints, their assignment to shards, and the validity of the endpoint list. */
 package garnetreel.policy.endpoint;
--- a/policy/src/test/java/garnetreel/policy/admission/AdmissionControllerTest.java
+++ b/policy/src/test/java/garnetreel/policy/admission/AdmissionControllerTest.java
@@ -9,18 +9,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Admission by admitted fraction, priority and warm-up rate. */
+/** Tests admission by admitted fraction, priority and warm-up rate. */
 class AdmissionControllerTest {
     private static final long SECOND = 1_000_000;
     private static final long START = 100 * SECOND;
     private static final long NOW = START + 60 * SECOND;
-    private static final double NO_LIMIT = Double.POSITIVE_INFINITY;
+    private static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
     private final AdmissionController controller =
             new AdmissionController(TestSettings.settings(), new SplittableRandom(1));
     private final DemandEstimate demand = new DemandEstimate();
 
-    /** Of 1,000 requests of one unit at one moment, those admitted. */
+    /** Returns how many of 1,000 simultaneous requests of one unit are admitted. */
     private int admitted(BudgetBooking booking, double admittedFraction, double warmUpRate) {
         int admitted = 0;
         for (int i = 0; i < 1_000; i++) {
@@ -31,45 +31,46 @@
     }
 
     @Test
-    void aHealthyEndpointIsSentEverything() {
+    void admitsAllRequestsToHealthyEndpoint() {
         for (BudgetBooking booking : BudgetBooking.values()) {
-            assertEquals(1_000, admitted(booking, 1, NO_LIMIT));
+            assertEquals(1_000, admitted(booking, 1, UNLIMITED));
         }
         assertTrue(demand.isConsistent());
     }
 
     @Test
-    void whatIsPastTheQuotaIsShedFirstThenTheQuota() {
-        assertEquals(1_000, admitted(BudgetBooking.RESERVE, 0.5, NO_LIMIT));
-        int quota = admitted(BudgetBooking.QUOTA, 0.5, NO_LIMIT);
-        assertTrue(quota > 430 && quota < 570, quota + " of 1,000 at a chance of one half");
-        assertEquals(0, admitted(BudgetBooking.NONE, 0.5, NO_LIMIT));
-        assertEquals(0, admitted(BudgetBooking.QUOTA, 0.3, NO_LIMIT));
+    void shedsRequestsBeyondQuotaFirstThenQuota() {
+        assertEquals(1_000, admitted(BudgetBooking.RESERVE, 0.5, UNLIMITED));
+        int quota = admitted(BudgetBooking.QUOTA, 0.5, UNLIMITED);
+        assertTrue(quota > 430 && quota < 570, quota + " of 1,000 admitted at a probability of 0.5");
+        assertEquals(0, admitted(BudgetBooking.NONE, 0.5, UNLIMITED));
+        assertEquals(0, admitted(BudgetBooking.QUOTA, 0.3, UNLIMITED));
     }
 
     @Test
-    void theReserveIsThinnedLast() {
-        int reserve = admitted(BudgetBooking.RESERVE, 0.1, NO_LIMIT);
-        assertTrue(reserve > 240 && reserve < 360, reserve + " of 1,000 at a chance of three tenths");
+    void shedsReserveLast() {
+        int reserve = admitted(BudgetBooking.RESERVE, 0.1, UNLIMITED);
+        assertTrue(reserve > 240 && reserve < 360, reserve + " of 1,000 admitted at a probability of 0.3");
     }
 
     @Test
-    void noMoreIsAdmittedWithinTheWindowThanTheWarmUpRateAllows() {
-        // 1.3 times 10 a second for 2 s, one largest request of 8 units, and the request that passes the sum.
+    void limitsAdmissionWithinWindowToWarmUpRate() {
+        // 1.3 times 10 per second for 2 s, one request of the maximum size of 8 units, and the request that exceeds the
+        // sum.
         int admitted = admitted(BudgetBooking.RESERVE, 1, 10);
         assertTrue(admitted <= 35, admitted + " admitted");
     }
 
     @Test
-    void moreValuableDemandTakesTheRateFirst() {
+    void servesHigherPriorityDemandFirst() {
         demand.add(BudgetBooking.RESERVE, 60, NOW);
         demand.add(BudgetBooking.QUOTA, 60, NOW);
-        assertEquals(1.5, demand.fractionWithin(15, BudgetBooking.RESERVE), 1e-9);
-        assertEquals(0.5, demand.fractionWithin(15, BudgetBooking.QUOTA), 1e-9);
+        assertEquals(1.5, demand.servableFraction(15, BudgetBooking.RESERVE), 1e-9);
+        assertEquals(0.5, demand.servableFraction(15, BudgetBooking.QUOTA), 1e-9);
     }
 
     @Test
-    void theSheddersMarginIsTwoTimerResolutions() {
+    void responseMarginIsTwoTimerResolutions() {
         LoadShedder shedder = new LoadShedder(TestSettings.settings());
         assertEquals(4_000, shedder.responseMargin());
         assertEquals(NOW + 400_000, shedder.latestUsefulStart(NOW, 400_000, NOW + 2 * SECOND));
--- a/policy/src/test/java/garnetreel/policy/admission/RejectedRequestsTest.java
+++ b/policy/src/test/java/garnetreel/policy/admission/RejectedRequestsTest.java
@@ -9,7 +9,7 @@
 import garnetreel.policy.ratelimit.VolumeBuckets;
 import org.junit.jupiter.api.Test;
 
-/** By what a client's retry is recognized. */
+/** Tests how unmarked client retries are recognized. */
 class RejectedRequestsTest {
     private static final long NOW = 100_000_000;
     private static final long DEADLINE = NOW + 2_000_000;
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aRetryWithNearlyTheSameDeadlineIsRecognized() {
+    void recognizesRetryWithSimilarDeadline() {
         rejected.add(flow, "read", 4, DEADLINE, NOW);
         assertEquals(NOW, rejected.firstReceivedAt(flow, "read", 4, DEADLINE + 5_000, NOW + 9));
         assertEquals(NOW, rejected.firstReceivedAt(flow, "read", 4, DEADLINE - 5_000, NOW + 9));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void anotherRequestIsNot() {
+    void doesNotMatchDifferentRequest() {
         rejected.add(flow, "read", 4, DEADLINE, NOW);
         assertEquals(NOW + 9, rejected.firstReceivedAt(flow, "read", 3, DEADLINE, NOW + 9));
         assertEquals(NOW + 9, rejected.firstReceivedAt(flow, "once", 4, DEADLINE, NOW + 9));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void theOldestAreForgotten() {
+    void evictsOldestEntries() {
         for (int i = 0; i < 10_000; i++) {
             rejected.add(flow, "read", i, DEADLINE, NOW);
         }
--- a/policy/src/test/java/garnetreel/policy/concurrency/ConcurrencyLimiterTest.java
+++ b/policy/src/test/java/garnetreel/policy/concurrency/ConcurrencyLimiterTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The window of the concurrency limiter, and which attempts hold a token. */
+/** Tests the window of the concurrency limiter, and which attempts occupy a slot. */
 class ConcurrencyLimiterTest {
     private static final long OBJECTIVE = 400_000;
 
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void attemptsInFlightHoldTokens() {
+    void attemptsInFlightOccupySlots() {
         assertEquals(2, limiter.freeTokens(0));
         SentAttempt attempt = new SentAttempt(0);
         limiter.started(attempt);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void anAttemptThatWasOvertakenAndIsLateHoldsNoToken() {
+    void lateOvertakenAttemptOccupiesNoSlot() {
         limiter.started(new SentAttempt(0));
         limiter.answered(1);
         assertTrue(limiter.isOvertaken(0));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void quickResponsesGrowAFullWindowUpToSix() {
+    void quickResponsesGrowFullWindowUpToSix() {
         limiter.adapt(0, 0.29, false, 0);
         assertEquals(2, limiter.freeTokens(0), "the window was not full");
         limiter.adapt(0, 0.3, true, 0);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aSlowResponseShrinksTheWindowOncePerRoundTrip() {
+    void slowResponseShrinksWindowOncePerRoundTrip() {
         limiter.adapt(5, 0.51, true, 10);
         assertEquals(1.6, limiter.freeTokens(10));
         limiter.adapt(9, 0.51, true, 11);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void noMoreThanEightAreInFlightLostOnesIncluded() {
+    void limitsAttemptsInFlightToEightIncludingLostOnes() {
         for (int i = 0; i < 8; i++) {
             limiter.started(new SentAttempt(0));
         }
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aResetWindowIsOfOne() {
+    void resetWindowIsOne() {
         limiter.resetWindow();
         assertEquals(1, limiter.freeTokens(0));
         assertTrue(limiter.isNearlyFull(0));
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointLeaseTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointLeaseTest.java
@@ -5,11 +5,12 @@
 import garnetreel.policy.timing.ProcessPause;
 import org.junit.jupiter.api.Test;
 
-/** Until when sends may begin, by what is known of the list and of an endpoint. */
+/** Tests until when endpoints may be sent requests, given the age of the list and their leases. */
 class EndpointLeaseTest {
     private static final long SECOND = 1_000_000;
-    private static final long LIST_AT = 100 * SECOND;
-    private static final long LIST_ENDS = LIST_AT + EndpointLease.NOTIFIED_WITHIN - ProcessPause.MARGIN;
+    private static final long LIST_CONFIRMED_AT = 100 * SECOND;
+    private static final long LIST_EXPIRES_AT =
+            LIST_CONFIRMED_AT + EndpointLease.MAX_NOTIFICATION_DELAY - ProcessPause.MARGIN;
 
     private final EndpointLease lease = new EndpointLease();
 
@@ -18,53 +19,59 @@
     }
 
     @Test
-    void aListOfUnknownAgeIsTrusted() {
+    void listOfUnknownAgeIsValid() {
         assertEquals(Long.MAX_VALUE, sendBeforeWithoutLease());
     }
 
     @Test
-    void aListIsTrustedForSixSecondsLessTheMargin() {
-        lease.confirmed(LIST_AT);
-        assertEquals(LIST_ENDS, sendBeforeWithoutLease());
-        lease.confirmed(LIST_AT - SECOND);
-        assertEquals(LIST_ENDS, sendBeforeWithoutLease(), "an older confirmation takes nothing back");
+    void listIsValidForSixSecondsLessMargin() {
+        lease.confirmed(LIST_CONFIRMED_AT);
+        assertEquals(LIST_EXPIRES_AT, sendBeforeWithoutLease());
+        lease.confirmed(LIST_CONFIRMED_AT - SECOND);
+        assertEquals(LIST_EXPIRES_AT, sendBeforeWithoutLease(), "an older confirmation does not shorten the validity");
     }
 
     @Test
-    void anEndpointThatTookOnARequestHasALeaseOfHalfThat() {
-        lease.confirmed(LIST_AT);
-        long renewedAt = LIST_AT + 5 * SECOND;
+    void acceptedRequestGrantsLeaseOfHalfTheListValidity() {
+        lease.confirmed(LIST_CONFIRMED_AT);
+        long renewedAt = LIST_CONFIRMED_AT + 5 * SECOND;
         assertEquals(
-                renewedAt + EndpointLease.NOTIFIED_WITHIN - EndpointLease.DRAIN_NOTICE - ProcessPause.MARGIN,
+                renewedAt + EndpointLease.MAX_NOTIFICATION_DELAY - EndpointLease.MAX_DRAIN_DELAY - ProcessPause.MARGIN,
                 lease.sendBefore(renewedAt));
-        assertEquals(LIST_ENDS, lease.sendBefore(LIST_AT + SECOND), "the list's time is longer");
+        assertEquals(
+                LIST_EXPIRES_AT,
+                lease.sendBefore(LIST_CONFIRMED_AT + SECOND),
+                "the list is valid for longer than the lease");
     }
 
     @Test
-    void anAddressChangeOfDiscoveryLeavesFourSeconds() {
-        lease.confirmed(LIST_AT);
-        lease.discoveryAddressChanged(LIST_AT + SECOND);
-        long end = LIST_AT + SECOND + EndpointLease.NOTIFIED_AFTER_ADDRESS_CHANGE - ProcessPause.MARGIN;
+    void discoveryAddressChangeLimitsValidityToFourSeconds() {
+        lease.confirmed(LIST_CONFIRMED_AT);
+        lease.discoveryAddressChanged(LIST_CONFIRMED_AT + SECOND);
+        long end = LIST_CONFIRMED_AT + SECOND + EndpointLease.MAX_DELAY_AFTER_ADDRESS_CHANGE - ProcessPause.MARGIN;
         assertEquals(end, sendBeforeWithoutLease());
-        lease.discoveryAddressChanged(LIST_AT + 3 * SECOND);
-        assertEquals(end, sendBeforeWithoutLease(), "a second change without a list between does not give more time");
-        lease.confirmed(LIST_AT + 4 * SECOND);
-        assertEquals(LIST_ENDS + 4 * SECOND, sendBeforeWithoutLease());
-        lease.discoveryAddressChanged(LIST_AT + 5 * SECOND);
-        assertEquals(LIST_AT + 9 * SECOND - ProcessPause.MARGIN, sendBeforeWithoutLease());
+        lease.discoveryAddressChanged(LIST_CONFIRMED_AT + 3 * SECOND);
+        assertEquals(
+                end,
+                sendBeforeWithoutLease(),
+                "a second change without a list in between does not extend the validity");
+        lease.confirmed(LIST_CONFIRMED_AT + 4 * SECOND);
+        assertEquals(LIST_EXPIRES_AT + 4 * SECOND, sendBeforeWithoutLease());
+        lease.discoveryAddressChanged(LIST_CONFIRMED_AT + 5 * SECOND);
+        assertEquals(LIST_CONFIRMED_AT + 9 * SECOND - ProcessPause.MARGIN, sendBeforeWithoutLease());
     }
 
     @Test
-    void anOutageStopsTheClockUntilAnySign() {
-        lease.confirmed(LIST_AT);
+    void listStaysValidDuringDiscoveryOutage() {
+        lease.confirmed(LIST_CONFIRMED_AT);
         lease.discoveryObserved(false);
         assertEquals(Long.MAX_VALUE, sendBeforeWithoutLease());
         lease.discoveryObserved(true);
-        assertEquals(LIST_ENDS, sendBeforeWithoutLease());
+        assertEquals(LIST_EXPIRES_AT, sendBeforeWithoutLease());
         lease.discoveryObserved(false);
-        lease.discoveryAddressChanged(LIST_AT + SECOND);
+        lease.discoveryAddressChanged(LIST_CONFIRMED_AT + SECOND);
         assertEquals(
-                LIST_AT + 5 * SECOND - ProcessPause.MARGIN,
+                LIST_CONFIRMED_AT + 5 * SECOND - ProcessPause.MARGIN,
                 sendBeforeWithoutLease(),
                 "discovery at another address may be up");
     }
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointListSubscriptionTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointListSubscriptionTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** When the endpoint list is called for; the poll interval of the settings is 10 s. */
+/** Tests when the endpoint list is requested; the configured poll interval is 10 s. */
 class EndpointListSubscriptionTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 100 * SECOND;
@@ -17,7 +17,7 @@
             new EndpointListSubscription(TestSettings.settings(), new SplittableRandom(1));
 
     @Test
-    void itCallsAtOnceAndThenWaitsForAResponse() {
+    void callsImmediatelyAndThenAwaitsResponse() {
         subscription.start(NOW);
         assertTrue(subscription.callNow(NOW));
         assertFalse(subscription.callNow(NOW));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void itDoesNotCallWhileSubscribed() {
+    void doesNotCallWhileSubscribed() {
         subscription.start(NOW);
         subscription.listReceived();
         assertFalse(subscription.isPending());
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void backoffDoublesWithJitterUpToItsBound() {
+    void backoffDoublesWithJitterUpToMaximum() {
         long mean = SECOND / 2;
         for (int i = 0; i < 10; i++) {
             subscription.failed(NOW);
@@ -45,12 +45,12 @@
         }
         subscription.listReceived();
         subscription.failed(NOW);
-        assertTrue(subscription.nextCallAt() - NOW <= SECOND * 3 / 4, "a list ends the backoff");
+        assertTrue(subscription.nextCallAt() - NOW <= SECOND * 3 / 4, "receiving a list resets the backoff");
         assertTrue(subscription.isPending());
     }
 
     @Test
-    void aTrustedCachedListSpreadsTheFirstCall() {
+    void trustedCachedListDelaysFirstCallRandomly() {
         subscription.start(NOW);
         subscription.cachedListRead(true, NOW);
         assertTrue(subscription.nextCallAt() >= NOW && subscription.nextCallAt() < NOW + 3 * SECOND);
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointTableTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointTableTest.java
@@ -10,7 +10,7 @@
 import garnetreel.policy.event.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoint serves a shard, and what the table forgets. */
+/** Tests endpoint selection for a shard and the removal of unused endpoints. */
 class EndpointTableTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 100 * SECOND;
@@ -25,15 +25,15 @@
         }
     }
 
-    private Endpoint list(String address, int shard, EndpointState state) {
+    private Endpoint listEndpoint(String address, int shard, EndpointState state) {
         return table.apply(new EndpointEntry(address, "zone", shard, state, 1, 0));
     }
 
     @Test
-    void theEndpointWithMostFreeTokensServesAShard() {
-        Endpoint first = list("a", 1, EndpointState.UP);
-        Endpoint second = list("b", 1, EndpointState.UP);
-        list("c", 2, EndpointState.UP);
+    void selectsEndpointWithMostFreeSlots() {
+        Endpoint first = listEndpoint("a", 1, EndpointState.UP);
+        Endpoint second = listEndpoint("b", 1, EndpointState.UP);
+        listEndpoint("c", 2, EndpointState.UP);
         assertEquals(first, table.select(1, NOW), "a tie goes to the first address");
         table.attemptSent(first, new SentAttempt(NOW));
         assertEquals(second, table.select(1, NOW));
@@ -41,26 +41,26 @@
     }
 
     @Test
-    void anUnreachableEndpointServesOnlyWhereThereIsNoOther() {
-        Endpoint first = list("a", 1, EndpointState.UP);
+    void selectsUnreachableEndpointOnlyWithoutAlternative() {
+        Endpoint first = listEndpoint("a", 1, EndpointState.UP);
         first.health().connectFailed(NOW);
         assertEquals(first, table.select(1, NOW));
-        Endpoint second = list("b", 1, EndpointState.UP);
+        Endpoint second = listEndpoint("b", 1, EndpointState.UP);
         table.attemptSent(second, new SentAttempt(NOW));
         assertEquals(second, table.select(1, NOW));
     }
 
     @Test
-    void aDrainingEndpointServesNothing() {
-        list("a", 1, EndpointState.DRAINING);
+    void doesNotSelectDrainingEndpoint() {
+        listEndpoint("a", 1, EndpointState.DRAINING);
         assertNull(table.select(1, NOW));
         assertTrue(table.hasShard(1));
-        assertFalse(table.lacksLease(1, NOW), "it is not a lease that is missing");
+        assertFalse(table.lacksLease(1, NOW), "a draining endpoint does not count as lacking a lease");
     }
 
     @Test
-    void anEndpointWithoutALeaseServesNothingOnceTheListIsOld() {
-        Endpoint first = list("a", 1, EndpointState.UP);
+    void requiresLeaseOnceListHasExpired() {
+        Endpoint first = listEndpoint("a", 1, EndpointState.UP);
         lease.confirmed(NOW);
         assertEquals(first, table.select(1, NOW));
         assertNull(table.select(1, NOW + 6 * SECOND));
@@ -72,9 +72,9 @@
     }
 
     @Test
-    void anEndpointThatMovesServesItsNewShardOnly() {
-        list("a", 1, EndpointState.UP);
-        Endpoint moved = list("a", 2, EndpointState.UP);
+    void reassignedEndpointServesNewShardOnly() {
+        listEndpoint("a", 1, EndpointState.UP);
+        Endpoint moved = listEndpoint("a", 2, EndpointState.UP);
         assertNull(table.select(1, NOW));
         assertFalse(table.hasShard(1));
         assertEquals(moved, table.select(2, NOW));
@@ -82,8 +82,8 @@
     }
 
     @Test
-    void whatLeftIsForgottenOnceNoAttemptIsInFlight() {
-        Endpoint endpoint = list("a", 1, EndpointState.UP);
+    void removesDownEndpointOnceNoAttemptIsInFlight() {
+        Endpoint endpoint = listEndpoint("a", 1, EndpointState.UP);
         SentAttempt attempt = new SentAttempt(NOW);
         table.attemptSent(endpoint, attempt);
         table.markAllDown();
@@ -98,8 +98,8 @@
     }
 
     @Test
-    void onlyALaterStartIsARestart() {
-        Endpoint endpoint = list("a", 1, EndpointState.UP);
+    void onlyLaterStartTimeIsRestart() {
+        Endpoint endpoint = listEndpoint("a", 1, EndpointState.UP);
         assertTrue(endpoint.restarted(NOW));
         assertFalse(endpoint.restarted(NOW));
         assertFalse(endpoint.restarted(NOW - 1));
@@ -108,8 +108,8 @@
     }
 
     @Test
-    void aRestartIsInferredFromTheEndOfBeingUnreachable() {
-        Endpoint endpoint = list("a", 1, EndpointState.UP);
+    void infersRestartFromResponseAfterUnreachability() {
+        Endpoint endpoint = listEndpoint("a", 1, EndpointState.UP);
         endpoint.health().connectFailed(NOW);
         endpoint.health().connectFailed(NOW + 2 * SECOND);
         endpoint.responded(true, NOW + 3 * SECOND);
