--- a/policy/src/main/java/garnetreel/policy/fairqueue/FairQueue.java
+++ b/policy/src/main/java/garnetreel/policy/fairqueue/FairQueue.java
@@ -9,31 +9,34 @@
 import java.util.function.BiPredicate;
 
 /**
- * All flows, the system virtual time, and the selection of the request that is sent next. The design is that of MQFQ-Sticky: volumes
- * are flows, endpoints are devices, a request's units over its plan's weight are its charge.
+ * All flows, the system virtual time, and the selection of the next request to send. Implements MQFQ-Sticky: volumes
+ * are flows, endpoints are devices, and a flow is charged a request's units divided by the weight of its plan.
  */
 public final class FairQueue {
-    /** T: units over weight that a flow may be ahead; a few mean requests, so that a run of requests stays together. */
+    /**
+     * Throttle threshold T of MQFQ-Sticky: units over weight by which a flow may be ahead of the system virtual time. A
+     * few mean requests, so that consecutive requests of a flow are sent together.
+     */
     private static final double THROTTLE_THRESHOLD = 10;
-    /** Weight of a plan that states none. */
+    /** Weight of a plan that does not define one. */
     private static final double DEFAULT_WEIGHT = 1;
 
     private final Map<Long, VolumeFlow> flows = new LinkedHashMap<>();
     private double systemVirtualTime;
 
-    /** The flow of a volume, or null where none is known. */
+    /** Flow of a volume, or null if there is none. */
     public VolumeFlow flow(long volume) {
         return flows.get(volume);
     }
 
-    /** Adds the flow of a volume. */
+    /** Creates the flow of a volume. */
     public VolumeFlow addFlow(long volume, double weight, VolumeBuckets buckets) {
         VolumeFlow flow = new VolumeFlow(weight > 0 ? weight : DEFAULT_WEIGHT, buckets);
         flows.put(volume, flow);
         return flow;
     }
 
-    /** A request of a flow was received; called before it is held. */
+    /** Records that a request of a flow was received; must be called before the request is held. */
     public void requestReceived(VolumeFlow flow, long now) {
         flow.requestReceived(now);
         if (!flow.isActive(now)) {
@@ -41,7 +44,7 @@
         }
     }
 
-    /** The lowest virtual time among active flows; it never runs back. */
+    /** Advances the system virtual time to the lowest virtual time of the active flows; it never decreases. */
     private double advanceVirtualTime(long now) {
         double lowest = Double.POSITIVE_INFINITY;
         for (VolumeFlow flow : flows.values()) {
@@ -55,25 +58,25 @@
     }
 
     /**
-     * Dispatch selection: the longest queue among unthrottled flows, ties to fewest in flight; when all that could leave is
-     * throttled, the flow of lowest virtual time. Within a flow the oldest request that may leave.
+     * Selects the next request: of the unthrottled flows, that with the longest queue, ties broken by the fewest
+     * attempts in flight; if all eligible flows are throttled, that with the lowest virtual time. Within a flow, the
+     * oldest request that may be sent.
      *
-     * @param queue what is held for the shard
-     * @param endpoint the endpoint with a free token
-     * @param mayLeave whether a request may be sent to it now
-     * @return the request, or null where none may leave
+     * @param queue requests held for the shard
+     * @param endpoint endpoint with a free slot
+     * @param maySend whether a request may be sent to the endpoint now
+     * @return the request, or null if none may be sent
      */
-    public <R extends QueuedRequest, E> R select(
-            ShardQueue<R> queue, E endpoint, BiPredicate<R, E> mayLeave, long now) {
-        List<VolumeFlow> eligible = eligibleFlows(queue, endpoint, mayLeave);
-        double throttledPast = advanceVirtualTime(now) + THROTTLE_THRESHOLD;
+    public <R extends QueuedRequest, E> R select(ShardQueue<R> queue, E endpoint, BiPredicate<R, E> maySend, long now) {
+        List<VolumeFlow> eligible = eligibleFlows(queue, endpoint, maySend);
+        double throttleLimit = advanceVirtualTime(now) + THROTTLE_THRESHOLD;
         VolumeFlow best = null;
         VolumeFlow lowest = null;
         for (VolumeFlow flow : eligible) {
             if (lowest == null || flow.virtualTime() < lowest.virtualTime()) {
                 lowest = flow;
             }
-            if (flow.virtualTime() <= throttledPast && (best == null || flow.isPreferredTo(best))) {
+            if (flow.virtualTime() <= throttleLimit && (best == null || flow.isPreferredTo(best))) {
                 best = flow;
             }
         }
@@ -82,7 +85,7 @@
     }
 
     private static <R extends QueuedRequest, E> List<VolumeFlow> eligibleFlows(
-            ShardQueue<R> queue, E endpoint, BiPredicate<R, E> mayLeave) {
+            ShardQueue<R> queue, E endpoint, BiPredicate<R, E> maySend) {
         List<R> requests = queue.requests();
         for (R request : requests) {
             request.flow().beginSelection();
@@ -92,7 +95,7 @@
             R request = requests.get(position);
             VolumeFlow flow = request.flow();
             flow.countQueued();
-            if (!flow.hasEligible() && mayLeave.test(request, endpoint)) {
+            if (!flow.hasEligible() && maySend.test(request, endpoint)) {
                 flow.setEligible(position);
                 eligible.add(flow);
             }
@@ -100,18 +103,18 @@
         return eligible;
     }
 
-    /** Forgets flows that were not used for long. */
+    /** Removes flows that have been unused for the retention period. */
     public void forgetUnused(long now) {
         long retention = Retention.of(flows.size());
         flows.values().removeIf(flow -> flow.isUnused(now, retention));
     }
 
-    /** Number of flows that are remembered. */
+    /** Number of flows. */
     public int size() {
         return flows.size();
     }
 
-    /** Invariant: each flow is consistent, and the system virtual time is a finite number. */
+    /** Invariant: each flow is consistent, and the system virtual time is finite. */
     public boolean isConsistent() {
         for (VolumeFlow flow : flows.values()) {
             if (!flow.isConsistent()) {
--- a/policy/src/main/java/garnetreel/policy/fairqueue/QueuedRequest.java
+++ b/policy/src/main/java/garnetreel/policy/fairqueue/QueuedRequest.java
@@ -1,10 +1,10 @@
 package garnetreel.policy.fairqueue;
 
-/** What fair queueing needs to know of a held request. */
+/** Held request, as fair queueing sees it. */
 public interface QueuedRequest {
-    /** The flow of its volume. */
+    /** Flow of the request's volume. */
     VolumeFlow flow();
 
-    /** Its place in the order received. */
+    /** Sequence number in the order of arrival. */
     long sequence();
 }
--- a/policy/src/main/java/garnetreel/policy/fairqueue/ShardQueue.java
+++ b/policy/src/main/java/garnetreel/policy/fairqueue/ShardQueue.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * The requests that are held for one shard, in the order received.
+ * Requests held for one shard, in the order of arrival.
  *
- * @param <R> the requests
+ * @param <R> type of the requests
  */
 public final class ShardQueue<R extends QueuedRequest> {
     private final List<R> requests = new ArrayList<>();
 
-    /** Puts a request in its place; one that is held again for a retry goes before younger ones. */
+    /** Inserts a request in the order of arrival; a request held again for a retry precedes later ones. */
     public void insert(R request) {
         int position = requests.size();
         while (position > 0 && requests.get(position - 1).sequence() > request.sequence()) {
@@ -20,12 +20,12 @@
         requests.add(position, request);
     }
 
-    /** Takes a request out. */
+    /** Removes a request. */
     public void remove(R request) {
         requests.remove(request);
     }
 
-    /** Whether nothing is held. */
+    /** Whether the queue is empty. */
     public boolean isEmpty() {
         return requests.isEmpty();
     }
@@ -35,7 +35,7 @@
         return requests.size();
     }
 
-    /** A copy of what is held, to be walked while requests leave. */
+    /** Copy of the queue, for iteration while requests are removed. */
     public List<R> snapshot() {
         return List.copyOf(requests);
     }
@@ -44,7 +44,7 @@
         return requests;
     }
 
-    /** Invariant: requests are in the order received, each but once. */
+    /** Invariant: requests are in the order of arrival, without duplicates. */
     public boolean isConsistent() {
         for (int i = 1; i < requests.size(); i++) {
             if (requests.get(i - 1).sequence() >= requests.get(i).sequence()) {
--- a/policy/src/main/java/garnetreel/policy/fairqueue/VolumeFlow.java
+++ b/policy/src/main/java/garnetreel/policy/fairqueue/VolumeFlow.java
@@ -2,17 +2,17 @@
 
 import garnetreel.policy.ratelimit.VolumeBuckets;
 
-/** One volume as a flow of fair queueing, with its token buckets. */
+/** A volume as a flow of fair queueing, with its token buckets. */
 public final class VolumeFlow {
-    /** Arrival gaps, in their mean, for which an emptied flow stays active (the document's alpha). */
-    private static final double ACTIVE_GAPS = 2;
-    /** How long an emptied flow stays active before its mean gap is known, microseconds. */
+    /** Time for which an emptied flow stays active, as a multiple of the mean arrival gap (alpha of MQFQ-Sticky). */
+    private static final double ACTIVE_GAP_MULTIPLE = 2;
+    /** Time for which an emptied flow stays active while its mean arrival gap is unknown, in microseconds. */
     private static final long INITIAL_ACTIVE_TIME = 1_000_000;
-    /** Part that the newest arrival gap has in the mean. */
-    private static final double NEWEST_GAP_PART = 0.2;
-    /** Part that the mean so far keeps. */
-    private static final double PREVIOUS_GAP_PART = 0.8;
-    /** Stands for a mean gap or an arrival that is not known yet. */
+    /** Weight of the newest arrival gap in the moving average. */
+    private static final double NEWEST_GAP_WEIGHT = 0.2;
+    /** Weight of the previous average. */
+    private static final double PREVIOUS_GAP_WEIGHT = 0.8;
+    /** Represents an unknown mean gap, arrival time or position. */
     private static final int UNKNOWN = -1;
 
     private final double weight;
@@ -23,9 +23,9 @@
     private long activeUntil = Long.MIN_VALUE;
     private int held;
     private int inFlight;
-    /** Requests held for the shard that dispatch selection looks at; valid during one selection only. */
+    /** Number of requests held for the selected shard; valid during one selection only. */
     private int queueLength;
-    /** Position of the oldest of them that may leave, or -1; valid during one selection only. */
+    /** Position of the oldest of them that may be sent, or {@link #UNKNOWN}; valid during one selection only. */
     private int eligiblePosition;
 
     VolumeFlow(double weight, VolumeBuckets buckets) {
@@ -33,12 +33,12 @@
         this.buckets = buckets;
     }
 
-    /** The token buckets of the volume. */
+    /** Token buckets of the volume. */
     public VolumeBuckets buckets() {
         return buckets;
     }
 
-    /** Whether the flow counts for the system virtual time. */
+    /** Whether the flow is taken into account for the system virtual time. */
     boolean isActive(long now) {
         return held > 0 || now <= activeUntil;
     }
@@ -47,7 +47,7 @@
         return virtualTime;
     }
 
-    /** A flow back from idle has saved nothing up. */
+    /** Raises the virtual time of a flow that becomes active again, so that it gains no credit from idle time. */
     void raiseVirtualTime(double systemVirtualTime) {
         virtualTime = Math.max(virtualTime, systemVirtualTime);
     }
@@ -55,21 +55,21 @@
     void requestReceived(long now) {
         if (lastArrivalAt >= 0) {
             double gap = now - lastArrivalAt;
-            meanArrivalGap = meanArrivalGap < 0 ? gap : PREVIOUS_GAP_PART * meanArrivalGap + NEWEST_GAP_PART * gap;
+            meanArrivalGap = meanArrivalGap < 0 ? gap : PREVIOUS_GAP_WEIGHT * meanArrivalGap + NEWEST_GAP_WEIGHT * gap;
         }
         lastArrivalAt = now;
     }
 
-    /** One of its requests is held. */
+    /** Records that a request of the flow is held. */
     public void requestHeld() {
         held++;
     }
 
-    /** One of its requests is no longer held; an emptied flow stays active for a while. */
+    /** Records that a request is no longer held; an emptied flow stays active for a while. */
     public void requestReleased(long now) {
         held--;
         if (held == 0) {
-            double activeTime = meanArrivalGap < 0 ? INITIAL_ACTIVE_TIME : ACTIVE_GAPS * meanArrivalGap;
+            double activeTime = meanArrivalGap < 0 ? INITIAL_ACTIVE_TIME : ACTIVE_GAP_MULTIPLE * meanArrivalGap;
             activeUntil = now + (long) activeTime;
         }
     }
@@ -80,7 +80,7 @@
         virtualTime += units / weight;
     }
 
-    /** One of its attempts is no longer in flight. */
+    /** Records that an attempt is no longer in flight. */
     public void attemptEnded() {
         inFlight--;
     }
@@ -110,7 +110,7 @@
         return eligiblePosition;
     }
 
-    /** Whether dispatch prefers this flow: the longer queue, ties to fewer in flight. */
+    /** Whether this flow is selected before another: it has the longer queue or, in a tie, fewer attempts in flight. */
     boolean isPreferredTo(VolumeFlow other) {
         return queueLength > other.queueLength || queueLength == other.queueLength && inFlight < other.inFlight;
     }
--- a/policy/src/main/java/garnetreel/policy/fairqueue/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/fairqueue/package-info.java
@@ -1,2 +1,2 @@
-/** Virtual-time fair queueing over volumes: whose request is sent next. */
+/** Virtual-time fair queueing across volumes, which determines the request that is sent next. */
 package garnetreel.policy.fairqueue;
--- a/policy/src/main/java/garnetreel/policy/health/EndpointHealth.java
+++ b/policy/src/main/java/garnetreel/policy/health/EndpointHealth.java
@@ -1,49 +1,55 @@
 package garnetreel.policy.health;
 
 /**
- * Health of one endpoint as this gateway sees it: how late its responses are, what fraction of the demand it is therefore sent, and
- * since when it is unreachable.
+ * Health of one endpoint as this gateway observes it: the latency of its responses, the fraction of the demand that is
+ * admitted to it as a result, and the time since which it has been unreachable.
  */
 public final class EndpointHealth {
-    /** Admitted fraction at a mean latency of one latency objective; it falls in inverse proportion to that mean. */
+    /** Factor of a cut at a mean latency of one latency objective; it is inversely proportional to that mean. */
     private static final double ADMITTED_AT_OBJECTIVE = 0.3;
-    /** Least admitted fraction that one cut leads to, so that some responses still show how the endpoint does. */
+    /** Minimum factor of a single cut, so that some responses still indicate the endpoint's state. */
     private static final double MIN_ADMITTED_BY_LATENCY = 0.05;
-    /** Least admitted fraction over several cuts. */
+    /** Minimum admitted fraction after any number of cuts. */
     private static final double MIN_ADMITTED = 0.01;
-    /** Time constant of the mean latency, microseconds: the mean covers about the last moment. */
+    /** Time constant of the mean latency, in microseconds: the mean covers roughly the last second. */
     private static final double LATENCY_TIME_CONSTANT = 0.8e6;
-    /** Latency, in objectives, that a rejected attempt or a failed connection counts as. */
+    /** Latency that a rejected attempt or a failed connection counts as, as a multiple of the latency objective. */
     private static final double FAILURE_LATENCY = 3;
-    /** A response quicker than this fraction of the tightest latency objective raises the admitted fraction. */
+    /** A response that takes less than this fraction of the tightest latency objective raises the admitted fraction. */
     private static final double RECOVERY_RESPONSE = 0.5;
     /** Factor by which a quick response raises the admitted fraction. */
     private static final double RECOVERY_FACTOR = 1.5;
     /**
-     * The admitted fraction also grows by a factor of e in this time, microseconds: where few requests are admitted, few responses
-     * are left to raise it.
+     * The admitted fraction also grows by a factor of e in this time, in microseconds: where few requests are admitted,
+     * few responses arrive to raise it.
      */
     private static final double RECOVERY_TIME_CONSTANT = 4e6;
-    /** An endpoint unreachable for longer than this has restarted, microseconds; after less a connection was lost. */
+    /**
+     * An endpoint that was unreachable for longer than this is taken to have restarted, in microseconds; after a
+     * shorter time only a connection was lost.
+     */
     private static final long RESTART_AFTER_UNREACHABLE = 1_000_000;
 
     private double admittedFraction = 1;
     private long admittedFractionAt;
-    /** The admitted fraction before the first cut by the attempts that are in flight together. */
+    /** Admitted fraction before the first of the cuts caused by attempts that were in flight at the same time. */
     private double fractionBeforeCut = 1;
 
     private long cutAt;
-    /** Sum of latencies, in objectives, and number of responses, both faded by time. */
+    /**
+     * Exponentially decaying sum of latencies, as multiples of the latency objective; the number of responses decays
+     * likewise.
+     */
     private double latencySum;
 
     private double latencyCount;
     private long latencyAt;
-    /** 0 while the endpoint counts as reachable. */
+    /** Time since which the endpoint has been unreachable; 0 if it is reachable. */
     private long unreachableSince;
 
     private long lastUnreachable;
 
-    /** Fraction of the demand that is admitted to the endpoint; it grows with time. */
+    /** Fraction of the demand that is admitted to the endpoint; it recovers over time. */
     public double admittedFraction(long now) {
         admittedFraction =
                 Math.min(1, admittedFraction * Math.exp((now - admittedFractionAt) / RECOVERY_TIME_CONSTANT));
@@ -52,35 +58,36 @@
     }
 
     /**
-     * Takes the latency of a response into the mean and cuts the admitted fraction where both are past the objective. Where a
-     * gateway has many responses one late one does not count; where it has but one within the time constant, it must do.
+     * Adds the latency of a response to the mean and cuts the admitted fraction if both exceed the objective. A single
+     * late response has no effect where the gateway receives many, and is sufficient where it receives only one within
+     * the time constant.
      */
     public void recordLatency(long sentAt, double latencyInObjectives, long now) {
-        double fading = fading(now);
-        double mean = meanWith(latencyInObjectives, fading);
-        latencySum = latencySum * fading + latencyInObjectives;
-        latencyCount = latencyCount * fading + 1;
+        double decay = decay(now);
+        double mean = meanIncluding(latencyInObjectives, decay);
+        latencySum = latencySum * decay + latencyInObjectives;
+        latencyCount = latencyCount * decay + 1;
         latencyAt = now;
         cutIfLate(sentAt, latencyInObjectives, mean, now);
     }
 
-    /** Takes a rejected attempt or a failed connection into the mean. */
+    /** Records a rejected attempt or a failed connection as a late response. */
     public void recordFailure(long sentAt, long now) {
         recordLatency(sentAt, FAILURE_LATENCY, now);
     }
 
-    /** Silence detection: an attempt in flight past its objective cuts the admitted fraction before its end. */
+    /** Cuts the admitted fraction for an attempt in flight that is past its objective, before its outcome is known. */
     public void observeInFlight(long sentAt, double latencyInObjectives, long now) {
-        cutIfLate(sentAt, latencyInObjectives, meanWith(latencyInObjectives, fading(now)), now);
+        cutIfLate(sentAt, latencyInObjectives, meanIncluding(latencyInObjectives, decay(now)), now);
     }
 
-    private double fading(long now) {
+    private double decay(long now) {
         return Math.exp((latencyAt - now) / LATENCY_TIME_CONSTANT);
     }
 
-    /** The mean latency with one more in it. */
-    private double meanWith(double latencyInObjectives, double fading) {
-        return (latencySum * fading + latencyInObjectives) / (latencyCount * fading + 1);
+    /** Mean latency including one more response. */
+    private double meanIncluding(double latencyInObjectives, double decay) {
+        return (latencySum * decay + latencyInObjectives) / (latencyCount * decay + 1);
     }
 
     private void cutIfLate(long sentAt, double latencyInObjectives, double mean, long now) {
@@ -89,7 +96,10 @@
         }
     }
 
-    /** Attempts that were in flight together cut once, by the worst sign among them. */
+    /**
+     * Cuts the admitted fraction. Attempts that were in flight at the same time cut it once, by the worst latency among
+     * them.
+     */
     private void cut(long sentAt, double factor, long now) {
         if (sentAt >= cutAt) {
             fractionBeforeCut = admittedFraction(now);
@@ -98,19 +108,22 @@
         admittedFraction = Math.max(MIN_ADMITTED, Math.min(admittedFraction(now), fractionBeforeCut * factor));
     }
 
-    /** Raises the admitted fraction after a quick response; latency as a fraction of the tightest objective. */
+    /** Raises the admitted fraction after a quick response; the latency is a fraction of the tightest objective. */
     public void recover(double relativeLatency, long now) {
         if (relativeLatency < RECOVERY_RESPONSE) {
             admittedFraction = Math.min(1, admittedFraction(now) * RECOVERY_FACTOR);
         }
     }
 
-    /** What was learnt before a restart is void: admits everything, and leaves the limit to slow start. */
+    /**
+     * Resets the admitted fraction after a restart, as earlier observations no longer apply; slow start limits the load
+     * instead.
+     */
     public void restarted() {
         admittedFraction = 1;
     }
 
-    /** Notes a failed connection; true where it is the first. */
+    /** Records a failed connection. Returns true if it is the first since the last response. */
     public boolean connectFailed(long now) {
         boolean first = unreachableSince == 0;
         if (first) {
@@ -125,15 +138,16 @@
         return unreachableSince > 0;
     }
 
-    /** When a connection last failed. */
+    /** Time of the latest failed connection. */
     public long lastUnreachable() {
         return lastUnreachable;
     }
 
     /**
-     * Notes a response of an endpoint: it is reachable.
+     * Records a response, after which the endpoint counts as reachable.
      *
-     * @param quick whether it came quickly: a process that has just started has no queue, so a slow one shows an overloaded process
+     * @param quick whether the response was quick: a process that has just started has no queue, so a slow response
+     *     comes from an overloaded process that did not restart
      */
     public Recovery responded(boolean quick, long now) {
         if (!isUnreachable()) {
@@ -144,7 +158,10 @@
         return restarted ? Recovery.RESTARTED : Recovery.RECONNECTED;
     }
 
-    /** Invariant: the admitted fraction is one, and an endpoint that is unreachable was found so no later than last found so. */
+    /**
+     * Invariant: the admitted fraction is within its bounds, and the latest connection failure is no earlier than the
+     * first.
+     */
     public boolean isConsistent() {
         return admittedFraction >= MIN_ADMITTED && admittedFraction <= 1 && unreachableSince <= lastUnreachable;
     }
--- a/policy/src/main/java/garnetreel/policy/health/LatencyScale.java
+++ b/policy/src/main/java/garnetreel/policy/health/LatencyScale.java
@@ -3,37 +3,40 @@
 import garnetreel.policy.config.RequestClass;
 import garnetreel.policy.config.SchedulerSettings;
 
-/** Puts a latency in relation to the tightest latency objective of all request classes. */
+/** Expresses latencies relative to the tightest latency objective of all request classes. */
 public final class LatencyScale {
-    /** Stands for the tightest objective where no class states one, microseconds. */
+    /** Objective used if no class defines one, in microseconds. */
     private static final long DEFAULT_OBJECTIVE = 500_000;
-    /** Least mean size that is divided by, units; guards against settings without one. */
+    /** Minimum mean request size, in units; prevents division by zero if the settings define none. */
     private static final double MIN_MEAN_UNITS = 0.1;
-    /** A request up to this multiple of the mean size counts as of ordinary size. */
-    private static final double ORDINARY_SIZE = 2;
-    /** A quick response takes less than the objective divided by this: a process without a queue answers so. */
+    /** A request up to this multiple of the mean size is of typical size. */
+    private static final double TYPICAL_SIZE_MULTIPLE = 2;
+    /** A response is quick if it takes less than the objective divided by this, as from a process without a queue. */
     private static final int QUICK_DIVISOR = 2;
 
     private final long tightestObjective;
-    private final double ordinaryUnits;
+    private final double typicalUnits;
 
-    /** The scale of a scheduler with these settings. */
+    /** Creates the scale for the given settings. */
     public LatencyScale(SchedulerSettings settings) {
         tightestObjective = settings.classes().stream()
                 .mapToLong(RequestClass::latencyObjective)
                 .filter(objective -> objective > 0)
                 .min()
                 .orElse(DEFAULT_OBJECTIVE);
-        ordinaryUnits = ORDINARY_SIZE * Math.max(MIN_MEAN_UNITS, settings.meanUnits());
+        typicalUnits = TYPICAL_SIZE_MULTIPLE * Math.max(MIN_MEAN_UNITS, settings.meanUnits());
     }
 
-    /** Latency as a fraction of the tightest objective; a large request is scaled down to ordinary size. */
+    /**
+     * Returns a latency as a fraction of the tightest objective; that of a larger request is scaled down to typical
+     * size.
+     */
     public double relative(long latency, double units) {
-        double size = Math.max(1, units / ordinaryUnits);
+        double size = Math.max(1, units / typicalUnits);
         return latency / size / tightestObjective;
     }
 
-    /** Whether a response came so quickly that there was no queue before it. */
+    /** Whether a response was so quick that the request cannot have waited in a queue. */
     public boolean isQuick(long latency) {
         return latency < tightestObjective / QUICK_DIVISOR;
     }
--- a/policy/src/main/java/garnetreel/policy/health/Recovery.java
+++ b/policy/src/main/java/garnetreel/policy/health/Recovery.java
@@ -1,11 +1,11 @@
 package garnetreel.policy.health;
 
-/** What a response shows about an endpoint. */
+/** Change in an endpoint's reachability that a response indicates. */
 public enum Recovery {
-    /** It was reachable before. */
+    /** The endpoint was reachable before. */
     NONE,
-    /** It was unreachable; its process has been running all along. */
+    /** The endpoint was unreachable, but its process did not restart. */
     RECONNECTED,
-    /** It was unreachable because its process restarted. */
+    /** The endpoint was unreachable because its process restarted. */
     RESTARTED
 }
--- a/policy/src/main/java/garnetreel/policy/health/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/health/package-info.java
@@ -1,2 +1,2 @@
-/** What a gateway concludes about an endpoint's health from its own attempts. */
+/** Health of endpoints, derived from the gateway's own attempts. */
 package garnetreel.policy.health;
--- a/policy/src/main/java/garnetreel/policy/ordering/KeyQueue.java
+++ b/policy/src/main/java/garnetreel/policy/ordering/KeyQueue.java
@@ -4,13 +4,13 @@
 import java.util.HashSet;
 
 /**
- * The requests of one key that are not over, in the order received, and its quiet period.
+ * Unfinished requests of one key in the order of arrival, and the quiet period of the key.
  *
- * @param <R> the requests
+ * @param <R> type of the requests
  */
 public final class KeyQueue<R> {
     private final ArrayDeque<R> requests = new ArrayDeque<>();
-    /** The request whose outcome began the quiet period. */
+    /** Request whose outcome started the quiet period. */
     private R pausedBy;
 
     private long pausedUntil;
@@ -30,12 +30,15 @@
         return requests.isEmpty() && now >= pausedUntil;
     }
 
-    /** Whether a request may be sent: it is the first of its key, and no quiet period of another request lasts. */
+    /**
+     * Whether a request may be sent: it is the first of its key, and the key is not in a quiet period started by
+     * another request.
+     */
     public boolean mayStart(R request, long now) {
         return requests.peekFirst() == request && (now >= pausedUntil || pausedBy == request);
     }
 
-    /** Takes out a request that is over. */
+    /** Removes a finished request. */
     public void remove(R request) {
         requests.remove(request);
     }
--- a/policy/src/main/java/garnetreel/policy/ordering/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/ordering/package-info.java
@@ -1,2 +1,2 @@
-/** Execution of requests of one key in the order received. */
+/** Execution of the requests of a key in the order of arrival. */
 package garnetreel.policy.ordering;
--- a/policy/src/test/java/garnetreel/policy/fairqueue/FairQueueTest.java
+++ b/policy/src/test/java/garnetreel/policy/fairqueue/FairQueueTest.java
@@ -9,7 +9,7 @@
 import garnetreel.policy.ratelimit.VolumeBuckets;
 import org.junit.jupiter.api.Test;
 
-/** Dispatch selection among the flows that hold something for a shard. */
+/** Tests the selection among flows that have requests held for a shard. */
 class FairQueueTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 100 * SECOND;
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void theLongestQueueGoesFirstAndItsOldestRequest() {
+    void selectsOldestRequestOfLongestQueue() {
         hold(first);
         HeldRequest oldest = hold(second);
         hold(second);
@@ -51,28 +51,28 @@
     }
 
     @Test
-    void aTieGoesToTheFlowWithFewestInFlight() {
+    void breaksTieByFewestAttemptsInFlight() {
         hold(first);
         HeldRequest idle = hold(second);
         first.attemptSent(0);
         assertEquals(idle, select());
         first.attemptEnded();
-        assertEquals(first, select().flow(), "then to the one whose request is older");
+        assertEquals(first, select().flow(), "a further tie is broken by the older request");
     }
 
     @Test
-    void aFlowMoreThanTheThresholdAheadIsThrottled() {
+    void throttlesFlowAheadByMoreThanThreshold() {
         hold(first);
         hold(first);
         HeldRequest behind = hold(second);
         first.attemptSent(10);
-        assertEquals(first, select().flow(), "ten ahead is not past the threshold");
+        assertEquals(first, select().flow(), "ten units ahead does not exceed the threshold");
         first.attemptSent(1);
         assertEquals(behind, select());
     }
 
     @Test
-    void whenAllThatMayLeaveIsThrottledTheLowestVirtualTimeGoes() {
+    void selectsLowestVirtualTimeIfAllEligibleFlowsAreThrottled() {
         HeldRequest ahead = hold(first);
         hold(second);
         first.attemptSent(11);
@@ -81,14 +81,14 @@
     }
 
     @Test
-    void weightDividesTheCharge() {
+    void chargeIsDividedByWeight() {
         VolumeFlow heavy = flow(3, 2);
         heavy.attemptSent(8);
         assertEquals(4, heavy.virtualTime());
     }
 
     @Test
-    void aFlowBackFromIdleHasSavedNothingUp() {
+    void reactivatedFlowHasNoCreditFromIdleTime() {
         hold(first);
         first.attemptSent(25);
         hold(second);
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void anEmptiedFlowStaysActiveForTwiceItsMeanGap() {
+    void emptiedFlowStaysActiveForTwiceItsMeanGap() {
         first.requestReceived(NOW);
         first.requestHeld();
         first.requestReleased(NOW);
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aFlowIsForgottenAfterAMinuteWithoutUse() {
+    void removesFlowUnusedForOneMinute() {
         hold(first);
         fairQueue.forgetUnused(NOW + 61 * SECOND);
         assertEquals(1, fairQueue.size(), "the other was never used");
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aRequestHeldAgainGoesBeforeYoungerOnes() {
+    void retriedRequestPrecedesLaterOnes() {
         HeldRequest retried = hold(first);
         hold(first);
         queue.remove(retried);
--- a/policy/src/test/java/garnetreel/policy/ordering/KeySequencerTest.java
+++ b/policy/src/test/java/garnetreel/policy/ordering/KeySequencerTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Order and quiet period of a key. */
+/** Tests the order of requests and the quiet period of a key. */
 class KeySequencerTest {
     private static final long QUIET_PERIOD = 200;
     private static final long KEY = 5;
@@ -15,7 +15,7 @@
     private final KeyQueue<String> queue = sequencer.enqueue(KEY, "first");
 
     @Test
-    void onlyTheFirstOfAKeyMayStart() {
+    void onlyFirstRequestOfKeyMayStart() {
         assertEquals(queue, sequencer.enqueue(KEY, "second"));
         assertTrue(queue.mayStart("first", 0));
         assertFalse(queue.mayStart("second", 0));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aQuietPeriodHoldsBackAllButTheRequestThatBeganIt() {
+    void quietPeriodBlocksAllButTheRequestThatStartedIt() {
         sequencer.pause(queue, "first", 1_000);
         assertTrue(queue.mayStart("first", 1_000));
         sequencer.enqueue(KEY, "second");
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aKeyIsForgottenOnceItIsEmptyAndQuiet() {
+    void removesKeyOnceEmptyAndPastQuietPeriod() {
         sequencer.pause(queue, "first", 1_000);
         queue.remove("first");
         sequencer.forgetIdleKeys(1_000 + QUIET_PERIOD - 1);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aRequestThatIsQueuedTwiceIsInconsistent() {
+    void requestQueuedTwiceIsInconsistent() {
         sequencer.enqueue(KEY, "first");
         assertFalse(sequencer.isConsistent());
     }
