--- a/policy/src/main/java/garnetreel/policy/ratelimit/BudgetBooking.java
+++ b/policy/src/main/java/garnetreel/policy/ratelimit/BudgetBooking.java
@@ -1,18 +1,18 @@
 package garnetreel.policy.ratelimit;
 
-/** The bucket that a request is booked on. The order is that of value: the reserve is served before the quota. */
+/** Budget that a request is booked on, in descending order of priority: the reserve is served before the quota. */
 public enum BudgetBooking {
     /** Within the volume's reserved rate. */
     RESERVE,
     /** Within the volume's provisioned rate. */
     QUOTA,
-    /** Past both; nothing was drawn. */
+    /** Beyond both rates; no bucket was charged. */
     NONE;
 
-    /** Ranks in use, as the length of tables by rank. */
+    /** Number of ranks, for arrays indexed by rank. */
     public static final int RANKS = values().length;
 
-    /** Position by value: 0 for the most valuable. */
+    /** Priority rank; 0 is the highest priority. */
     public int rank() {
         return ordinal();
     }
--- a/policy/src/main/java/garnetreel/policy/ratelimit/TokenBucket.java
+++ b/policy/src/main/java/garnetreel/policy/ratelimit/TokenBucket.java
@@ -2,7 +2,10 @@
 
 import garnetreel.policy.timing.Microseconds;
 
-/** A bucket of units that refills at a steady rate up to its capacity. Its level may fall below zero by one capacity. */
+/**
+ * Token bucket that holds units and refills at a constant rate up to its capacity. Its level may fall to minus its
+ * capacity.
+ */
 public final class TokenBucket {
     private final double refillRate;
     private final double capacity;
@@ -10,12 +13,12 @@
     private long refilledAt;
 
     /**
-     * A bucket with a starting level.
+     * Creates a bucket with an initial level.
      *
-     * @param refillRate units a second
-     * @param capacity most units that it holds
-     * @param level units at the start; what exceeds the capacity is lost
-     * @param now the present time
+     * @param refillRate units per second
+     * @param capacity maximum number of units in the bucket
+     * @param level initial number of units, limited to the capacity
+     * @param now current time
      */
     public TokenBucket(double refillRate, double capacity, double level, long now) {
         this.refillRate = refillRate;
@@ -24,24 +27,26 @@
         this.refilledAt = now;
     }
 
-    /** Units a second at which the bucket refills. */
+    /** Refill rate in units per second. */
     public double refillRate() {
         return refillRate;
     }
 
-    /** Refills the bucket up to the present time and returns its level. */
+    /** Refills the bucket up to the current time and returns its level. */
     public double level(long now) {
         level = Math.min(capacity, level + refillRate * (now - refilledAt) / Microseconds.PER_SECOND);
         refilledAt = now;
         return level;
     }
 
-    /** Takes units out; a negative figure returns them. Does not refill, so callers ask for the level first. */
+    /**
+     * Removes units; a negative number returns them. Does not refill the bucket, so callers call {@link #level} first.
+     */
     public void draw(double units) {
         level = Math.max(-capacity, Math.min(capacity, level - units));
     }
 
-    /** Invariant: the level lies between minus one capacity and the capacity. */
+    /** Invariant: the level is between minus the capacity and the capacity. */
     public boolean isConsistent() {
         return level <= capacity && level >= -capacity;
     }
--- a/policy/src/main/java/garnetreel/policy/ratelimit/VolumeBuckets.java
+++ b/policy/src/main/java/garnetreel/policy/ratelimit/VolumeBuckets.java
@@ -4,46 +4,52 @@
 import garnetreel.policy.config.SchedulerSettings;
 import garnetreel.policy.timing.Microseconds;
 
-/** The token buckets of one volume at this gateway: its part of the plan's reserve, quota and rate limit. */
+/** Token buckets of one volume at this gateway: its share of the plan's reserve, quota and rate limit. */
 public final class VolumeBuckets {
-    /** Half of what refills before a request's latest useful start counts: other requests will arrive meanwhile. */
-    private static final double REFILL_COUNTED = 0.5;
+    /**
+     * Fraction of the refill before a request's latest useful start that is counted on; the rest is left for requests
+     * that arrive in the meantime.
+     */
+    private static final double COUNTED_REFILL_FRACTION = 0.5;
 
     private final TokenBucket reserve;
     private final TokenBucket quota;
-    /** Null where the plan has no rate limit. */
+    /** Null if the plan has no rate limit. */
     private final TokenBucket rateLimit;
 
     /**
-     * The buckets of a volume that this gateway meets for the first time.
+     * Creates the buckets of a volume that is new to this gateway.
      *
-     * @param plan the volume's plan
-     * @param settings the scheduler's settings
-     * @param gateways gateways that the volume's requests come through; 0 or less when not known
-     * @param startedAt when this gateway started
-     * @param now the present time
+     * @param plan plan of the volume
+     * @param settings settings of the scheduler
+     * @param gateways number of gateways that receive the volume's requests; 0 or less if unknown
+     * @param startedAt start time of this gateway
+     * @param now current time
      */
     public VolumeBuckets(Plan plan, SchedulerSettings settings, int gateways, long startedAt, long now) {
-        double ownPart = 1.0 / Math.max(1, gateways > 0 ? gateways : settings.gateways());
-        double visiblePart = settings.reportsOtherGateways() ? 1 : ownPart;
+        double ownShare = 1.0 / Math.max(1, gateways > 0 ? gateways : settings.gateways());
+        double visibleShare = settings.reportsOtherGateways() ? 1 : ownShare;
         double largestRequest = settings.maxUnits();
-        double reserveRate = plan.reservedRate() * visiblePart;
-        double quotaRate = plan.provisionedRate() * visiblePart;
+        double reserveRate = plan.reservedRate() * visibleShare;
+        double quotaRate = plan.provisionedRate() * visibleShare;
         reserve = new TokenBucket(reserveRate, reserveRate + largestRequest, reserveRate + largestRequest, now);
         quota = new TokenBucket(quotaRate, quotaRate + largestRequest, quotaRate + largestRequest, now);
-        rateLimit = plan.rateLimit() <= 0 ? null : rateLimit(plan, ownPart, startedAt, now);
+        rateLimit = plan.rateLimit() <= 0 ? null : rateLimit(plan, ownShare, startedAt, now);
     }
 
-    /** A restarted gateway must not grant the burst again, so the bucket counts as empty at the gateway's start. */
-    private static TokenBucket rateLimit(Plan plan, double ownPart, long startedAt, long now) {
+    /**
+     * Creates the rate-limit bucket, which is empty at the gateway's start: a restarted gateway must not grant the
+     * burst again.
+     */
+    private static TokenBucket rateLimit(Plan plan, double ownShare, long startedAt, long now) {
         return new TokenBucket(
-                plan.rateLimit() * ownPart,
-                plan.burst() * ownPart,
-                plan.rateLimit() * ownPart * (now - startedAt) / Microseconds.PER_SECOND,
+                plan.rateLimit() * ownShare,
+                plan.burst() * ownShare,
+                plan.rateLimit() * ownShare * (now - startedAt) / Microseconds.PER_SECOND,
                 now);
     }
 
-    /** Books a received request on the first bucket that covers half of it, and says on which. */
+    /** Books a received request on the first bucket that covers half of its units, and returns the booking. */
     public BudgetBooking book(double units, long now) {
         if (draw(reserve, units, now)) {
             return BudgetBooking.RESERVE;
@@ -59,7 +65,7 @@
         return true;
     }
 
-    /** Returns the units of a request that was given up to the bucket that it was booked on. */
+    /** Returns the units of a request that was given up to the bucket it was booked on. */
     public void cancelBooking(BudgetBooking booking, double units) {
         if (booking == BudgetBooking.RESERVE) {
             reserve.draw(-units);
@@ -68,12 +74,15 @@
         }
     }
 
-    /** Books what the volume used through other gateways: on the reserve, and past it on the quota too. */
+    /**
+     * Charges the volume's usage through other gateways to the reserve, and the excess over the reserve's level to the
+     * quota as well.
+     */
     public void drawForOtherGateways(long units, long now) {
-        double pastReserve = Math.max(0, units - Math.max(0, reserve.level(now)));
+        double beyondReserve = Math.max(0, units - Math.max(0, reserve.level(now)));
         reserve.draw(units);
         quota.level(now);
-        quota.draw(pastReserve);
+        quota.draw(beyondReserve);
     }
 
     /** Whether the volume has a rate limit. */
@@ -86,7 +95,7 @@
         return rateLimit == null || rateLimit.level(now) >= units;
     }
 
-    /** Takes the units of a first attempt from the rate limit. */
+    /** Charges the units of a first attempt to the rate limit. */
     public void drawAttempt(double units) {
         if (rateLimit != null) {
             rateLimit.draw(units);
@@ -94,11 +103,11 @@
     }
 
     /**
-     * Whether the rate limit will cover waiting units before a latest useful start.
+     * Whether the rate limit will cover the waiting units before the latest useful start.
      *
-     * @param waitingUnits units of the volume's requests that have not yet drawn on the limit
-     * @param latestUsefulStart when the newest of them must start
-     * @param now the present time
+     * @param waitingUnits units of the volume's requests that have not yet been charged to the rate limit
+     * @param latestUsefulStart time at which the newest of them must start
+     * @param now current time
      */
     public boolean coversInTime(double waitingUnits, long latestUsefulStart, long now) {
         if (rateLimit == null) {
@@ -106,7 +115,7 @@
         }
         double refill = rateLimit.refillRate()
                 * Math.max(0, latestUsefulStart - now)
-                / (Microseconds.PER_SECOND / REFILL_COUNTED);
+                / (Microseconds.PER_SECOND / COUNTED_REFILL_FRACTION);
         return !(rateLimit.level(now) + refill < waitingUnits);
     }
 
--- a/policy/src/main/java/garnetreel/policy/ratelimit/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/ratelimit/package-info.java
@@ -1,2 +1,2 @@
-/** What a volume may use: its reserve, its quota and its rate limit, each a token bucket. */
+/** Usage limits of volumes: reserve, quota and rate limit, each a token bucket. */
 package garnetreel.policy.ratelimit;
--- a/policy/src/main/java/garnetreel/policy/retry/IdempotencyGuard.java
+++ b/policy/src/main/java/garnetreel/policy/retry/IdempotencyGuard.java
@@ -6,25 +6,25 @@
 import garnetreel.policy.endpoint.Endpoint;
 import garnetreel.policy.timing.ProcessPause;
 
-/** Which attempts of one request were possibly executed, and what that allows for further ones. */
+/** Tracks which attempts of a request may have been executed, and which further attempts this permits. */
 public final class IdempotencyGuard {
     private final RequestClass requestClass;
-    /** How long before a deduplication window's end the last repeat is decided, microseconds. */
+    /** Time before the end of a deduplication window at which the last retry is decided, in microseconds. */
     private final long decisionMargin;
 
     private int possiblyExecuted;
-    /** The first attempt of those that were possibly executed. */
+    /** Send time of the first attempt that may have been executed. */
     private long firstExecutedAt;
 
     private Endpoint firstExecutedBy;
 
-    /** The guard of a request that was not sent yet. */
+    /** Creates the guard of a request that has not been sent yet. */
     public IdempotencyGuard(RequestClass requestClass, long decisionMargin) {
         this.requestClass = requestClass;
         this.decisionMargin = decisionMargin;
     }
 
-    /** An attempt is sent: from now on it may be executed. */
+    /** Records that an attempt is sent; from now on it may be executed. */
     public void attemptSent(Endpoint endpoint, long now) {
         if (possiblyExecuted == 0) {
             firstExecutedAt = now;
@@ -33,7 +33,7 @@
         possiblyExecuted++;
     }
 
-    /** An attempt's outcome proves that it was not executed. */
+    /** Records that the outcome of an attempt proves that it was not executed. */
     public void provenNotExecuted() {
         possiblyExecuted--;
     }
@@ -42,7 +42,7 @@
         return possiblyExecuted > 0;
     }
 
-    /** Whether another attempt may be sent at all. */
+    /** Whether another attempt may be sent to any endpoint. */
     public boolean allowsRetry(long now) {
         if (!mayHaveExecuted()) {
             return true;
@@ -54,7 +54,10 @@
         };
     }
 
-    /** Whether an endpoint drops repeats of what was possibly executed before, or need not. */
+    /**
+     * Whether an endpoint may be sent the request: no attempt may have been executed, repeated execution is harmless,
+     * or the endpoint deduplicates it.
+     */
     public boolean allowsEndpoint(Endpoint endpoint) {
         if (!mayHaveExecuted() || requestClass.idempotency() == Idempotency.IDEMPOTENT || firstExecutedBy == endpoint) {
             return true;
@@ -66,19 +69,19 @@
         };
     }
 
-    /** Until when the next attempt may begin; {@link Long#MAX_VALUE} where no deduplication window bounds it. */
+    /** Time before which the next attempt must start; {@link Long#MAX_VALUE} if no deduplication window applies. */
     public long mustStartBefore() {
         return mayHaveExecuted() && requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                 ? deduplicatedUntil()
                 : Long.MAX_VALUE;
     }
 
-    /** The end of the deduplication window, less what may pass between a decision and the wire. */
+    /** End of the deduplication window, less the time that may pass between the decision and the send. */
     private long deduplicatedUntil() {
         return firstExecutedAt + requestClass.deduplicationWindow() - decisionMargin - ProcessPause.MARGIN;
     }
 
-    /** Whether the client may retry without harm, so that the request can be rejected instead of failed. */
+    /** Whether the client may safely retry, so that the request can be rejected rather than failed. */
     public boolean clientMayRetry() {
         return !mayHaveExecuted()
                 || requestClass.idempotency() == Idempotency.IDEMPOTENT
@@ -86,7 +89,9 @@
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
-    /** Invariant: no more attempts were proven unexecuted than were sent, and the first one's endpoint is known. */
+    /**
+     * Invariant: no more attempts were proven not executed than were sent, and the endpoint of the first one is known.
+     */
     public boolean isConsistent() {
         return possiblyExecuted >= 0 && (possiblyExecuted == 0 || firstExecutedBy != null);
     }
--- a/policy/src/main/java/garnetreel/policy/retry/RetryBudget.java
+++ b/policy/src/main/java/garnetreel/policy/retry/RetryBudget.java
@@ -3,11 +3,11 @@
 import garnetreel.policy.config.SafetyRules;
 import java.util.ArrayDeque;
 
-/** Rations retries: a few, plus a fraction of the requests received within the retry window. */
+/** Limits retries to a fixed number plus a fraction of the requests received within the retry window. */
 public final class RetryBudget {
     /**
-     * Retries are counted over a window this much longer than stated, and received requests over one this much shorter, as attempts
-     * that were sent apart may arrive together.
+     * The window for retries is longer than configured by this factor, and that for received requests is shorter by it,
+     * as attempts sent at different times may arrive at the same time.
      */
     private static final double WINDOW_MARGIN = 1.05;
 
@@ -15,32 +15,32 @@
     private final ArrayDeque<Long> received = new ArrayDeque<>();
     private final ArrayDeque<Long> retries = new ArrayDeque<>();
 
-    /** A budget by the rules in force; without a retry window there is no ration. */
+    /** Creates a budget for the given rules; without a retry window retries are not limited. */
     public RetryBudget(SafetyRules rules) {
         this.rules = rules;
     }
 
-    private boolean isRationed() {
+    private boolean isLimited() {
         return rules.retryWindow() > 0;
     }
 
-    /** Counts a request received. */
+    /** Counts a received request. */
     public void requestReceived(long now) {
-        if (isRationed()) {
+        if (isLimited()) {
             received.add(now);
         }
     }
 
-    /** Counts a retry sent. */
+    /** Counts a retry that was sent. */
     public void retrySent(long now) {
-        if (isRationed()) {
+        if (isLimited()) {
             retries.add(now);
         }
     }
 
-    /** Whether the budget covers one more retry. */
+    /** Whether the budget permits one more retry. */
     public boolean allowsRetry(long now) {
-        if (!isRationed()) {
+        if (!isLimited()) {
             return true;
         }
         while (!retries.isEmpty() && retries.peekFirst() < now - rules.retryWindow() * WINDOW_MARGIN) {
@@ -50,21 +50,21 @@
         return retries.size() + 1 <= rules.freeRetries() + rules.retryRatio() * received.size();
     }
 
-    /** Drops requests that are past the window. */
+    /** Removes requests that are older than the window. */
     public void forgetOldRequests(long now) {
         while (!received.isEmpty() && received.peekFirst() < now - rules.retryWindow() / WINDOW_MARGIN) {
             received.pollFirst();
         }
     }
 
-    /** Number of times that are remembered. */
+    /** Number of recorded times. */
     public int size() {
         return received.size() + retries.size();
     }
 
-    /** Invariant: nothing is counted without a ration, and times are in order. */
+    /** Invariant: without a limit nothing is recorded, and recorded times are in order. */
     public boolean isConsistent() {
-        return (isRationed() || size() == 0) && isOrdered(received) && isOrdered(retries);
+        return (isLimited() || size() == 0) && isOrdered(received) && isOrdered(retries);
     }
 
     private static boolean isOrdered(ArrayDeque<Long> times) {
--- a/policy/src/main/java/garnetreel/policy/retry/RetryDecision.java
+++ b/policy/src/main/java/garnetreel/policy/retry/RetryDecision.java
@@ -1,11 +1,11 @@
 package garnetreel.policy.retry;
 
-/** What follows an attempt that did not complete its request. */
+/** Decision after an attempt that did not complete its request. */
 public enum RetryDecision {
-    /** Another attempt at any endpoint of the shard. */
+    /** Retry at any endpoint of the shard. */
     RETRY,
-    /** Another attempt, at another endpoint of the shard only. */
+    /** Retry at a different endpoint of the shard only. */
     RETRY_ELSEWHERE,
-    /** The request is given up. */
+    /** Give up the request. */
     GIVE_UP
 }
--- a/policy/src/main/java/garnetreel/policy/retry/RetryPolicy.java
+++ b/policy/src/main/java/garnetreel/policy/retry/RetryPolicy.java
@@ -2,37 +2,37 @@
 
 import garnetreel.policy.event.Outcome;
 
-/** Decides whether a request is attempted again after an attempt ended without completing it. */
+/** Decides whether a request is retried after an attempt that did not complete it. */
 public final class RetryPolicy {
     private final int maxAttempts;
     private final RetryBudget budget;
 
-    /** A policy that draws on a budget. */
+    /** Creates a policy that limits retries by a number of attempts and a budget. */
     public RetryPolicy(int maxAttempts, RetryBudget budget) {
         this.maxAttempts = maxAttempts;
         this.budget = budget;
     }
 
     /**
-     * Whether a retry is allowed after an outcome, and where.
+     * Decides whether and where a request is retried after an outcome.
      *
-     * @param attempts attempts sent so far
-     * @param latestUsefulStart when a retry must start to be of use
+     * @param attempts number of attempts sent so far
+     * @param latestUsefulStart time at which a retry must start to be useful
      */
     public RetryDecision afterOutcome(
             Outcome outcome, int attempts, long latestUsefulStart, IdempotencyGuard guard, long now) {
-        if (now >= latestUsefulStart || !leavesTime(outcome) || !allows(attempts, guard, now)) {
+        if (now >= latestUsefulStart || !isRetryable(outcome) || !allows(attempts, guard, now)) {
             return RetryDecision.GIVE_UP;
         }
-        // An endpoint whose queue is full would not be done within the objective; another of the shard may be.
+        // An endpoint with a full queue cannot meet the latency objective; another endpoint of the shard may.
         return outcome == Outcome.OVERLOADED ? RetryDecision.RETRY_ELSEWHERE : RetryDecision.RETRY;
     }
 
-    private static boolean leavesTime(Outcome outcome) {
+    private static boolean isRetryable(Outcome outcome) {
         return outcome != Outcome.TIMEOUT && outcome != Outcome.CANCELLED;
     }
 
-    /** Whether one more attempt is within attempts, effect and budget. */
+    /** Whether the maximum number of attempts, idempotency and the retry budget permit one more attempt. */
     public boolean allows(int attempts, IdempotencyGuard guard, long now) {
         return attempts < maxAttempts && guard.allowsRetry(now) && budget.allowsRetry(now);
     }
--- a/policy/src/main/java/garnetreel/policy/retry/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a request may be attempted again: effect, deduplication, budget. */
+/** Retries of requests, as permitted by idempotency, deduplication and the retry budget. */
 package garnetreel.policy.retry;
--- a/policy/src/main/java/garnetreel/policy/slowstart/SlowStart.java
+++ b/policy/src/main/java/garnetreel/policy/slowstart/SlowStart.java
@@ -5,24 +5,28 @@
 import garnetreel.policy.timing.Microseconds;
 
 /**
- * Warm-up rate of endpoints that have started lately. What all gateways together were served by a shard is at most the capacity of
- * its endpoint, so a fraction of each gateway's own rate keeps their sum within that fraction of the capacity. A gateway that
- * remembers nothing takes its even part of the figure that is always safe.
+ * Limits the rate of requests to endpoints that have recently started. The total rate at which a shard serves all
+ * gateways is at most the capacity of its endpoint, so if each gateway keeps to a fraction of its own former rate,
+ * their total stays within that fraction of the capacity. A gateway without a former rate uses an equal share of a rate
+ * that is always safe.
  */
 public final class SlowStart {
-    /** Multiple of its fraction that a gateway sends: few endpoints run at their full capacity before they restart. */
+    /**
+     * Factor applied to the allowed fraction of the gateway's former rate, as few endpoints run at full capacity before
+     * they restart.
+     */
     private static final double OWN_RATE_MULTIPLE = 1.5;
-    /** Least initial fraction that is divided by; guards against settings without one. */
+    /** Minimum initial fraction; prevents division by zero if the settings define none. */
     private static final double MIN_INITIAL_FRACTION = 0.01;
 
     private final SafetyRules rules;
     private final double initialFraction;
-    /** Units within the accounting window that one gateway may always send. */
+    /** Units within the accounting window that all gateways together may always send. */
     private final double safeUnits;
 
     private final int gateways;
 
-    /** Slow start by the rules in force. */
+    /** Creates the slow start for the given settings. */
     public SlowStart(SchedulerSettings settings) {
         rules = settings.rules();
         initialFraction = Math.max(MIN_INITIAL_FRACTION, Math.min(1, rules.initialCapacityFraction()));
@@ -31,11 +35,12 @@
     }
 
     /**
-     * Units a second that this gateway may send an endpoint; infinite once it must be warm.
+     * Rate at which this gateway may send to an endpoint, in units per second; infinite once the endpoint has warmed
+     * up.
      *
-     * @param startedAt when the endpoint's process started; 0 or less when long ago
-     * @param served what the endpoints of its shard served this gateway before
-     * @param now the present time
+     * @param startedAt start time of the endpoint's process; 0 or less if it has been running for long
+     * @param served former rate at which the endpoints of the shard served this gateway
+     * @param now current time
      */
     public double warmUpRate(long startedAt, ServedRate served, long now) {
         if (!isWarmingUp(startedAt, now)) {
@@ -47,20 +52,26 @@
         return Math.max(safeRate, OWN_RATE_MULTIPLE * rules.overloadMultiple() * capacity * served.perSecond(now));
     }
 
-    /** Warm-up ends one accounting window late, so that no window reaches back into it. */
+    /**
+     * Whether an endpoint is warming up. Warm-up is extended by one accounting window, so that no later window overlaps
+     * with it.
+     */
     private boolean isWarmingUp(long startedAt, long now) {
         return startedAt > 0
                 && rules.overloadWindow() > 0
                 && now - startedAt < rules.warmUpDuration() + rules.overloadWindow();
     }
 
-    /** Capacity at the beginning of the accounting window that ends at this age, as a fraction of the full capacity. */
+    /**
+     * Capacity, as a fraction of the full capacity, at the beginning of the accounting window that ends at the given
+     * age.
+     */
     private double capacityFraction(long age) {
-        double warmth = Math.max(0, age - rules.overloadWindow()) / Math.max(1.0, rules.warmUpDuration());
-        return initialFraction + (1 - initialFraction) * Math.min(1, warmth);
+        double warmUpProgress = Math.max(0, age - rules.overloadWindow()) / Math.max(1.0, rules.warmUpDuration());
+        return initialFraction + (1 - initialFraction) * Math.min(1, warmUpProgress);
     }
 
-    /** Invariant: the initial fraction is one, and the safe figure is no negative number. */
+    /** Invariant: the initial fraction is in (0, 1], and the safe number of units is not negative. */
     public boolean isConsistent() {
         return initialFraction > 0 && initialFraction <= 1 && safeUnits >= 0;
     }
--- a/policy/src/main/java/garnetreel/policy/slowstart/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/slowstart/package-info.java
@@ -1,2 +1,2 @@
-/** How fast an endpoint that has just started may be sent work. */
+/** Limits on the rate of requests to endpoints that have just started. */
 package garnetreel.policy.slowstart;
--- a/policy/src/main/java/garnetreel/policy/timing/ProcessPause.java
+++ b/policy/src/main/java/garnetreel/policy/timing/ProcessPause.java
@@ -1,10 +1,10 @@
 package garnetreel.policy.timing;
 
-/** The pause of the process that every time-critical decision allows for. */
+/** Process pause that every time-critical decision allows for. */
 public final class ProcessPause {
     /**
-     * The process may be held up for so long between reading its clock and writing, microseconds. Source: STANDING. Whatever must
-     * begin before a time is decided so much ahead of it.
+     * Maximum pause between reading the clock and writing, in microseconds, fixed by the project's requirements.
+     * Whatever must start before a given time is decided at least this much earlier.
      */
     public static final long MARGIN = 150_000;
 
--- a/policy/src/main/java/garnetreel/policy/timing/Retention.java
+++ b/policy/src/main/java/garnetreel/policy/timing/Retention.java
@@ -1,18 +1,18 @@
 package garnetreel.policy.timing;
 
-/** How long tables remember entries that are not used. */
+/** Retention of unused entries in tables. */
 public final class Retention {
-    /** Ordinary retention, microseconds: token buckets are full again by then, so forgetting changes nothing. */
-    private static final long ORDINARY = 60_000_000;
-    /** Retention where a table has many entries, microseconds: bounds the table where clients invent names. */
+    /** Default retention, in microseconds: token buckets have refilled by then, so removing an entry has no effect. */
+    private static final long DEFAULT = 60_000_000;
+    /** Retention in large tables, in microseconds: limits the table size if clients invent names. */
     private static final long SHORT = 5_000_000;
-    /** Entries past which a table counts as having many. */
-    private static final int MANY_ENTRIES = 1_024;
+    /** A table with more entries than this is large. */
+    private static final int LARGE_TABLE_ENTRIES = 1_024;
 
     private Retention() {}
 
-    /** Retention of an unused entry in a table of this size, microseconds. */
+    /** Retention of unused entries in a table with the given number of entries, in microseconds. */
     public static long of(int entries) {
-        return entries > MANY_ENTRIES ? SHORT : ORDINARY;
+        return entries > LARGE_TABLE_ENTRIES ? SHORT : DEFAULT;
     }
 }
--- a/policy/src/main/java/garnetreel/policy/timing/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/timing/package-info.java
@@ -1,2 +1,2 @@
-/** Units of time and the margins that decisions allow for what lies between them and the wire. */
+/** Time units, retention periods and the margin for the delay between a decision and the send. */
 package garnetreel.policy.timing;
--- a/policy/src/test/java/garnetreel/policy/ratelimit/TokenBucketTest.java
+++ b/policy/src/test/java/garnetreel/policy/ratelimit/TokenBucketTest.java
@@ -5,19 +5,19 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Levels of a token bucket over time. */
+/** Tests the level of a token bucket over time. */
 class TokenBucketTest {
     private static final long SECOND = 1_000_000;
 
     private final TokenBucket bucket = new TokenBucket(10, 40, 100, 0);
 
     @Test
-    void itStartsNoFullerThanItsCapacity() {
+    void initialLevelIsLimitedToCapacity() {
         assertEquals(40, bucket.level(0));
     }
 
     @Test
-    void itRefillsAtItsRateUpToItsCapacity() {
+    void refillsAtRateUpToCapacity() {
         bucket.draw(30);
         assertEquals(15, bucket.level(SECOND / 2));
         assertEquals(40, bucket.level(10 * SECOND));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void drawnUnitsPastOneCapacityBelowZeroAreForgiven() {
+    void levelIsBoundedByMinusCapacity() {
         bucket.draw(1_000);
         assertEquals(-40, bucket.level(0));
         bucket.draw(-1_000);
--- a/policy/src/test/java/garnetreel/policy/ratelimit/VolumeBucketsTest.java
+++ b/policy/src/test/java/garnetreel/policy/ratelimit/VolumeBucketsTest.java
@@ -8,22 +8,23 @@
 import garnetreel.policy.config.Plan;
 import org.junit.jupiter.api.Test;
 
-/** Bookings on reserve and quota, and the rate limit, of one volume at one of two gateways. */
+/** Tests bookings on reserve and quota, and the rate limit, for a volume at one of two gateways. */
 class VolumeBucketsTest {
     private static final long SECOND = 1_000_000;
     private static final long START = 100 * SECOND;
-    /** Reserve 10 and quota 20 a second; the largest request has 8 units. */
-    private static final Plan FREE = TestSettings.settings().plans().get(0);
-    /** Rate limit 10 a second, burst 40. */
-    private static final Plan CAPPED = TestSettings.settings().plans().get(2);
+    /** Reserve of 10 and quota of 20 units per second, no rate limit; the largest request has 8 units. */
+    private static final Plan UNLIMITED_PLAN = TestSettings.settings().plans().get(0);
+    /** Rate limit of 10 units per second, burst of 40 units. */
+    private static final Plan RATE_LIMITED_PLAN =
+            TestSettings.settings().plans().get(2);
 
     private static VolumeBuckets buckets(Plan plan, long now) {
         return new VolumeBuckets(plan, TestSettings.settings(), 0, START, now);
     }
 
     @Test
-    void theReserveIsBookedBeforeTheQuota() {
-        VolumeBuckets buckets = buckets(FREE, START);
+    void booksReserveBeforeQuota() {
+        VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
         assertEquals(BudgetBooking.RESERVE, buckets.book(13, START));
         assertEquals(BudgetBooking.QUOTA, buckets.book(18, START));
         assertEquals(BudgetBooking.NONE, buckets.book(1, START));
@@ -31,28 +32,28 @@
     }
 
     @Test
-    void halfOfARequestIsEnoughForABooking() {
-        assertEquals(BudgetBooking.RESERVE, buckets(FREE, START).book(26, START));
-        assertEquals(BudgetBooking.QUOTA, buckets(FREE, START).book(27, START));
+    void booksIfBucketCoversHalfTheRequest() {
+        assertEquals(BudgetBooking.RESERVE, buckets(UNLIMITED_PLAN, START).book(26, START));
+        assertEquals(BudgetBooking.QUOTA, buckets(UNLIMITED_PLAN, START).book(27, START));
     }
 
     @Test
-    void aCancelledBookingReturnsItsUnits() {
-        VolumeBuckets buckets = buckets(FREE, START);
+    void cancelledBookingReturnsUnits() {
+        VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
         buckets.cancelBooking(buckets.book(13, START), 13);
         assertEquals(BudgetBooking.RESERVE, buckets.book(13, START));
     }
 
     @Test
-    void useThroughOtherGatewaysDrawsOnTheReserveFirst() {
-        VolumeBuckets buckets = buckets(FREE, START);
+    void usageThroughOtherGatewaysChargesReserveFirst() {
+        VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
         buckets.drawForOtherGateways(13, START);
         assertEquals(BudgetBooking.QUOTA, buckets.book(18, START));
     }
 
     @Test
-    void theRateLimitIsEmptyWhenTheGatewayStarts() {
-        VolumeBuckets buckets = buckets(CAPPED, START);
+    void rateLimitBucketIsEmptyAtGatewayStart() {
+        VolumeBuckets buckets = buckets(RATE_LIMITED_PLAN, START);
         assertTrue(buckets.isRateLimited());
         assertFalse(buckets.allowsAttempt(1, START));
         assertTrue(buckets.allowsAttempt(5, START + SECOND));
@@ -61,15 +62,15 @@
     }
 
     @Test
-    void halfOfWhatRefillsInTimeCounts() {
-        VolumeBuckets buckets = buckets(CAPPED, START);
+    void countsHalfOfTheRefillBeforeLatestStart() {
+        VolumeBuckets buckets = buckets(RATE_LIMITED_PLAN, START);
         assertTrue(buckets.coversInTime(5, START + 2 * SECOND, START));
         assertFalse(buckets.coversInTime(6, START + 2 * SECOND, START));
     }
 
     @Test
-    void withoutARateLimitEverythingIsAllowed() {
-        VolumeBuckets buckets = buckets(FREE, START);
+    void allowsEverythingWithoutRateLimit() {
+        VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
         assertFalse(buckets.isRateLimited());
         assertTrue(buckets.allowsAttempt(1_000, START));
         assertTrue(buckets.coversInTime(1_000, START, START));
--- a/policy/src/test/java/garnetreel/policy/retry/IdempotencyGuardTest.java
+++ b/policy/src/test/java/garnetreel/policy/retry/IdempotencyGuardTest.java
@@ -17,7 +17,7 @@
 import garnetreel.policy.timing.ProcessPause;
 import org.junit.jupiter.api.Test;
 
-/** What attempts that were possibly executed allow. */
+/** Tests which retries are permitted after attempts that may have been executed. */
 class IdempotencyGuardTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 100 * SECOND;
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void anIdempotentRequestMayBeRetriedAnywhere() {
+    void idempotentRequestMayBeRetriedAnywhere() {
         IdempotencyGuard guard = sent(TestSettings.read());
         assertTrue(guard.allowsRetry(NOW));
         assertTrue(guard.allowsEndpoint(sameZone));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aNonIdempotentRequestMayBeRetriedOnlyWhenProvenNotExecuted() {
+    void nonIdempotentRequestMayBeRetriedOnlyIfProvenNotExecuted() {
         IdempotencyGuard guard = sent(TestSettings.once());
         assertFalse(guard.allowsRetry(NOW));
         assertFalse(guard.clientMayRetry());
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aKeyedRequestMayBeRetriedWithinItsWindowLessTheMargins() {
+    void keyedRequestMayBeRetriedWithinDeduplicationWindowLessMargins() {
         IdempotencyGuard guard = sent(keyed(DeduplicationScope.ALL));
         long end = NOW + SECOND - MARGIN - ProcessPause.MARGIN;
         assertEquals(end, guard.mustStartBefore());
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void theDeduplicationScopeBoundsTheEndpoints() {
+    void deduplicationScopeLimitsEndpoints() {
         IdempotencyGuard shard = sent(keyed(DeduplicationScope.SHARD));
         assertTrue(shard.allowsEndpoint(first));
         assertTrue(shard.allowsEndpoint(sameShard));
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void moreProofsThanAttemptsAreInconsistent() {
+    void moreProofsThanAttemptsIsInconsistent() {
         IdempotencyGuard guard = sent(TestSettings.once());
         guard.provenNotExecuted();
         guard.provenNotExecuted();
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void theRetryPolicyKeepsToTimeOutcomeAndAttempts() {
+    void retryPolicyDependsOnTimeOutcomeAndAttempts() {
         RetryPolicy policy = new RetryPolicy(3, new RetryBudget(TestSettings.rules()));
         IdempotencyGuard guard = sent(TestSettings.read());
         assertEquals(RetryDecision.RETRY, policy.afterOutcome(Outcome.ERROR, 2, NOW + 1, guard, NOW));
--- a/policy/src/test/java/garnetreel/policy/retry/RetryBudgetTest.java
+++ b/policy/src/test/java/garnetreel/policy/retry/RetryBudgetTest.java
@@ -8,7 +8,7 @@
 import garnetreel.policy.config.SafetyRules;
 import org.junit.jupiter.api.Test;
 
-/** The ration of retries: two free, and one for ten requests, within 5 s. */
+/** Tests the retry budget: two free retries plus one per ten requests within 5 s. */
 class RetryBudgetTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 100 * SECOND;
@@ -16,7 +16,7 @@
     private final RetryBudget budget = new RetryBudget(TestSettings.rules());
 
     @Test
-    void aFewRetriesAreFree() {
+    void permitsFreeRetries() {
         budget.retrySent(NOW);
         assertTrue(budget.allowsRetry(NOW));
         budget.retrySent(NOW);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void tenRequestsEarnOneMore() {
+    void permitsOneMoreRetryPerTenRequests() {
         budget.retrySent(NOW);
         budget.retrySent(NOW);
         for (int i = 0; i < 10; i++) {
@@ -36,18 +36,18 @@
     }
 
     @Test
-    void retriesCountLongerAndRequestsShorterThanTheWindow() {
+    void retryWindowIsLongerThanRequestWindow() {
         budget.retrySent(NOW);
         budget.retrySent(NOW);
         budget.requestReceived(NOW);
         assertFalse(budget.allowsRetry(NOW + 5_250_000));
-        assertEquals(2, budget.size(), "the request is past its window, the retries are not");
+        assertEquals(2, budget.size(), "the request has expired, the retries have not");
         assertTrue(budget.allowsRetry(NOW + 5_250_001));
         assertEquals(0, budget.size());
     }
 
     @Test
-    void withoutAWindowThereIsNoRation() {
+    void doesNotLimitRetriesWithoutWindow() {
         RetryBudget unlimited = new RetryBudget(new SafetyRules(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0));
         unlimited.retrySent(NOW);
         assertTrue(unlimited.allowsRetry(NOW));
