--- a/core/src/main/java/garnetreel/core/platform/GatewayCounters.java
+++ b/core/src/main/java/garnetreel/core/platform/GatewayCounters.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * Counts what a gateway did and why, and which of its invariants were violated at run time. Logged at shutdown and whenever
- * a new configuration is read. The fault soak reads the line on invariants, and operators the other one, so the printed
- * labels are an interface: a constant may be renamed, its label stays.
+ * Counts the outcomes of requests, attempts and connections, and the invariant violations detected at run time. Logged
+ * at shutdown and whenever a new configuration is read. The fault soak parses the line on invariants and operators read
+ * the other one, so the printed labels are an interface: a constant may be renamed, its label must not change.
  */
 final class GatewayCounters {
-    /** How requests, attempts and connections ended. */
+    /** The counted outcomes of requests, attempts and connections. */
     enum Event {
         REQUEST_SERVED("request_served"),
         REQUEST_REJECTED("request_refused"),
@@ -25,7 +25,7 @@
         ATTEMPT_SERVER_LEFT("attempt_server_left"),
         ATTEMPT_NO_CONNECTION("attempt_no_connection"),
         ANSWER_SPOILT("answer_spoilt"),
-        CLOSED_TO_MAKE_ROOM("closed_to_make_room"),
+        CLOSED_OVER_LIMIT("closed_to_make_room"),
         CLOSED_IDLE("closed_idle"),
         CLOSED_AT_SHUTDOWN("closed_at_end"),
         CLOSED_RESPONSE_UNREAD("closed_unread"),
@@ -39,17 +39,17 @@
         }
     }
 
-    /** What must never happen; each is prevented where it is detected. */
+    /** Conditions that must always hold. Code that detects a violation counts it and, where it can, prevents it. */
     enum Invariant {
-        /** An attempt starts only while its client awaits the response. */
-        SENT_FOR_NOBODY("sent_for_nobody"),
-        /** An attempt starts only at an endpoint that is listed as up, at the address it was meant for. */
-        SENT_TO_UNLISTED("sent_to_unlisted"),
-        /** The gateway closes a connection only when no response is owed on it. */
-        CLOSED_OWING_RESPONSE("closed_owing_an_answer"),
-        /** A request gets one final response. */
-        RESPONDED_TWICE("answered_twice"),
-        /** A request gets its final response in its time. */
+        /** An attempt starts only while its client waits for the response. */
+        SENT_WITHOUT_WAITING_CLIENT("sent_for_nobody"),
+        /** An attempt starts only on an endpoint that is listed as up at the address of its connection. */
+        SENT_TO_UNLISTED_ENDPOINT("sent_to_unlisted"),
+        /** The gateway closes a connection only if no response is pending on it. */
+        CLOSED_BEFORE_RESPONSE("closed_owing_an_answer"),
+        /** A request gets at most one final response. */
+        DUPLICATE_RESPONSE("answered_twice"),
+        /** A request gets its final response before its deadline, apart from a small tolerance. */
         RESPONSE_OVERDUE("not_answered");
 
         /** The printed form. */
@@ -75,7 +75,7 @@
         return events.getOrDefault(event, 0L);
     }
 
-    /** The number of violations of all invariants. */
+    /** The total number of violations of all invariants. */
     long violations() {
         long sum = 0;
         for (long count : violations.values()) {
@@ -84,7 +84,7 @@
         return sum;
     }
 
-    /** The log line on invariants. */
+    /** The log line with the violations of invariants. */
     String invariants() {
         StringBuilder line = new StringBuilder("invariant violations: ").append(violations());
         for (Map.Entry<Invariant, Long> violation : violations.entrySet()) {
@@ -93,13 +93,13 @@
         return line.toString();
     }
 
-    /** The log line on all other counters; those at 0 are left out. */
+    /** The log line with the counters of outcomes; those at 0 are omitted. */
     String totals() {
         StringBuilder line = new StringBuilder("totals:");
         for (Map.Entry<Event, Long> event : events.entrySet()) {
             line.append(' ').append(event.getKey().label).append('=').append(event.getValue());
         }
-        // The space behind the colon is there without any count, too.
+        // Keeps the space after the colon even if there are no counters.
         return events.isEmpty() ? "totals: " : line.toString();
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/HttpClientConnection.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpClientConnection.java
@@ -7,23 +7,23 @@
 import java.util.ArrayDeque;
 
 /**
- * One client's connection: its state, the received bytes that wait to be parsed, and the count of requests beyond the limit on
- * those bytes. The state is changed by {@link HttpClientConnectionTable} alone, which orders connections by it.
+ * The connection of one client: its state, the buffered input, and the count of requests received over the limit on
+ * buffered input. Only {@link HttpClientConnectionTable} changes the state, because it orders connections by it.
  */
 final class HttpClientConnection {
     /** The states, in the order in which their time limits are checked. */
     enum State {
-        /** Accepted, and nothing has been received yet. */
+        /** Accepted; nothing has been received yet. */
         AWAITING_REQUEST,
         /** Between a response and the first byte of the next request. */
         IDLE,
         /** Part of a request has been received. */
         READING_REQUEST,
-        /** A request has been received and has no response yet. */
+        /** A complete request has been received and has no response yet. */
         PROCESSING,
-        /** A response is being written; requests are read again behind it. */
+        /** A response is being written; then the next request is parsed. */
         WRITING_RESPONSE,
-        /** The last response is being written, and the connection is closed behind it. */
+        /** The last response is being written; then the connection is closed. */
         CLOSING
     }
 
@@ -31,7 +31,7 @@
     private record ReceivedBytes(ByteBuffer data, long receivedAt) {}
 
     final long id;
-    /** No further request is read, and the connection ends after the response. */
+    /** No further request is read, and the connection is closed after the response. */
     boolean closeAfterResponse;
     /** Bytes of the response that have not been written to the client's socket. */
     int unsentBytes;
@@ -40,11 +40,13 @@
     private final ArrayDeque<ReceivedBytes> pendingInput = new ArrayDeque<>(1);
     private State state = State.AWAITING_REQUEST;
     private long stateSince;
-    /** When the first bytes of the incomplete request were received; it may have waited behind another request since. */
+    /** When the first bytes of the partial request were received; they may have waited for another request since. */
     private long partialRequestSince;
 
     private int pendingInputBytes;
-    /** The limit on waiting bytes was exceeded: requests received since are counted and rejected, and their content dropped. */
+    /**
+     * The limit on buffered input was exceeded: until the counted requests are rejected, further ones are only counted.
+     */
     private boolean overInputLimit;
 
     private int requestsToReject;
@@ -58,18 +60,20 @@
         return state;
     }
 
-    /** The time from which the limit of the current state counts. */
+    /** The time from which the time limit of the current state counts. */
     long stateSince() {
         return stateSince;
     }
 
-    /** To be called by the table only, and only while the connection is in none of its orderings. */
+    /**
+     * Called by the table only, while the connection is in none of its sorted sets, which are ordered by these values.
+     */
     void setState(State newState, long since) {
         state = newState;
         stateSince = since;
     }
 
-    /** Whether the next request may be parsed: the response to the previous one has been written. */
+    /** Whether the next request may be parsed, which is not the case until the previous response has been written. */
     boolean acceptsNextRequest() {
         return state == State.AWAITING_REQUEST || state == State.IDLE || state == State.READING_REQUEST;
     }
@@ -89,12 +93,12 @@
         return pendingInputBytes;
     }
 
-    /** When the bytes to be parsed next were received. */
+    /** When the oldest buffered bytes were received. */
     long nextInputReceivedAt() {
         return pendingInput.peekFirst().receivedAt();
     }
 
-    /** Parses the oldest waiting bytes up to the end of a request; null while the request is incomplete. */
+    /** Parses the oldest buffered bytes up to the end of a request; null if the request is still incomplete. */
     HttpRequest parseNext() throws ProtocolException {
         ReceivedBytes input = pendingInput.peekFirst();
         int sizeBefore = input.data().remaining();
@@ -126,12 +130,12 @@
 
     // ---------------------------------------------------------------- requests over the input limit
 
-    /** Whether requests are only counted, in order to be rejected. */
+    /** Whether requests are only counted, to be rejected later. */
     boolean overInputLimit() {
         return overInputLimit;
     }
 
-    /** Counts the requests that wait, and from now on those that come, and drops their content. */
+    /** Counts the buffered requests and discards their content; from now on requests are only counted. */
     void enterOverInputLimit(long now) {
         overInputLimit = true;
         for (ReceivedBytes input : pendingInput) {
@@ -140,7 +144,7 @@
         discardInput();
     }
 
-    /** Counts requests that are over the limit: a request that was received is owed a response, but not its memory. */
+    /** Counts the requests in {@code data} without storing them: each must get a response, but must not use memory. */
     void countRequests(ByteBuffer data, long receivedAt) {
         try {
             while (data.hasRemaining() && malformedInputReason == null) {
@@ -159,17 +163,17 @@
         return requestsToReject > 0;
     }
 
-    /** Removes one request from the count, which its caller rejects. */
-    void rejectedOne() {
+    /** Removes one request, which the caller rejects, from the count. */
+    void decrementRequestsToReject() {
         requestsToReject--;
     }
 
-    /** All counted requests are rejected; the next ones are parsed as usual. */
+    /** Resumes normal parsing; called when all counted requests have been rejected. */
     void leaveOverInputLimit() {
         overInputLimit = false;
     }
 
-    /** Why the input behind the counted requests could not be parsed; null where it could. */
+    /** Why the input after the counted requests could not be parsed; null if it could. */
     String malformedInputReason() {
         return malformedInputReason;
     }
--- a/core/src/main/java/garnetreel/core/platform/HttpClientConnectionTable.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpClientConnectionTable.java
@@ -8,36 +8,37 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** The clients' connections by id and by state, with the time limit of each state and the choice of the one to evict. */
+/** Client connections by id and by state. Defines the time limit of each state and selects the connection to evict. */
 final class HttpClientConnectionTable {
     /**
-     * A connection on which no whole request has been received by then is closed, microseconds; the platform asks for an end
-     * within 3 s.
+     * Time limit for receiving a complete request, in microseconds. The platform requires an incomplete request to be
+     * ended within 3 s.
      */
-    private static final long REQUEST_TIMEOUT = 2_000_000;
-    /** An idle connection may be closed after so long, microseconds; it is once connections reach half of their limit. */
-    private static final long MIN_IDLE_TIMEOUT = 2_000_000;
-    /** An idle connection is closed after so long in any case, microseconds. */
-    private static final long MAX_IDLE_TIMEOUT = 60_000_000;
-    /** A client that has not read its response by then counts as gone, microseconds. */
-    private static final long WRITE_TIMEOUT = 5_000_000;
+    private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
+    /** Idle timeout in microseconds while there are more connections than half of their limit. */
+    private static final long MIN_IDLE_TIMEOUT_MICROS = 2_000_000;
+    /** Idle timeout in microseconds while there are fewer connections. */
+    private static final long MAX_IDLE_TIMEOUT_MICROS = 60_000_000;
+    /** Time limit for writing a response, in microseconds; a client that has not read it by then is disconnected. */
+    private static final long WRITE_TIMEOUT_MICROS = 5_000_000;
     /**
-     * A new connection is not evicted for so long, microseconds. Guards against closing one whose request waits in its socket:
-     * what is accepted in one turn is read in the next. Meanwhile the listener's own limit bounds their number.
+     * How long a new connection is protected from eviction, in microseconds. Its request may still be in the socket
+     * buffer, because a connection accepted in one event loop iteration is read in the next. Meanwhile the limit of the
+     * listener bounds the number of connections.
      */
-    private static final long EVICTION_GRACE = 20_000;
-    /** While draining, the first byte on a new connection is awaited for so long, microseconds. */
-    private static final long DRAINING_FIRST_BYTE_TIMEOUT = 200_000;
-    /** While draining, the rest of a partial request is awaited for so long, microseconds. */
-    private static final long DRAINING_REQUEST_TIMEOUT = 1_000_000;
-    /** Stands for no limit; half of the range, so that a time can be added. */
+    private static final long EVICTION_GRACE_MICROS = 20_000;
+    /** While draining: time limit for the first byte on a new connection, in microseconds. */
+    private static final long DRAINING_FIRST_BYTE_TIMEOUT_MICROS = 200_000;
+    /** While draining: time limit for the rest of a partial request, in microseconds. */
+    private static final long DRAINING_REQUEST_TIMEOUT_MICROS = 1_000_000;
+    /** No time limit; half of the range of a long, so that adding a time to it does not overflow. */
     private static final long NO_TIMEOUT = Long.MAX_VALUE / 2;
 
     private static final State[] STATES = State.values();
 
     private final int maxConnections;
     private final Map<Long, HttpClientConnection> byId = new HashMap<>();
-    /** By state, in the order of the times from which their limits count. */
+    /** By state, ordered by the time from which the time limit counts. */
     private final Map<State, TreeSet<HttpClientConnection>> byState = new EnumMap<>(State.class);
 
     private boolean draining;
@@ -64,12 +65,12 @@
         return byId.containsKey(id);
     }
 
-    /** The connection of an id; null where there is none. */
+    /** The connection with an id; null if there is none. */
     HttpClientConnection get(long id) {
         return byId.get(id);
     }
 
-    /** Adds a connection that was accepted now. */
+    /** Adds a newly accepted connection. */
     void add(HttpClientConnection connection, long now) {
         byId.put(connection.id, connection);
         move(connection, State.AWAITING_REQUEST, now);
@@ -80,21 +81,21 @@
         byState.get(connection.state()).remove(connection);
     }
 
-    /** Changes a connection's state; the limit of the new state counts from {@code since}. */
+    /** Changes a connection's state; the time limit of the new state counts from {@code since}. */
     void move(HttpClientConnection connection, State to, long since) {
         byState.get(connection.state()).remove(connection);
         connection.setState(to, since);
         byState.get(to).add(connection);
     }
 
-    /** The connection that has been in a state for longest; null where there is none. */
+    /** The connection that has been in a state for longest; null if there is none. */
     HttpClientConnection oldest(State state) {
         TreeSet<HttpClientConnection> connections = byState.get(state);
         return connections.isEmpty() ? null : connections.first();
     }
 
-    /** All connections in a state, oldest first, as they are now. */
-    List<HttpClientConnection> in(State state) {
+    /** A copy of all connections in a state, oldest first. */
+    List<HttpClientConnection> allIn(State state) {
         return List.copyOf(byState.get(state));
     }
 
@@ -105,25 +106,25 @@
     }
 
     /**
-     * The connection to close first when there are too many: one on which nothing was received, then an idle one, then one
-     * with part of a request. Null where each is owed a response or is new.
+     * The connection to close next when there are too many: preferably one on which nothing was received, else an idle
+     * one, else one with a partial request. Null if each has a pending response or is still within the grace time.
      */
     HttpClientConnection evictionCandidate(long now) {
         HttpClientConnection awaiting = oldest(State.AWAITING_REQUEST);
-        if (awaiting != null && now - awaiting.stateSince() >= EVICTION_GRACE) {
+        if (awaiting != null && now - awaiting.stateSince() >= EVICTION_GRACE_MICROS) {
             return awaiting;
         }
         HttpClientConnection idle = oldest(State.IDLE);
         if (idle != null) {
             return idle;
         }
-        // A connection that is new now can be evicted in a moment, before one that has part of a request.
+        // A new connection can be evicted shortly and is preferred to one with a partial request.
         return awaiting != null ? null : oldest(State.READING_REQUEST);
     }
 
     // ---------------------------------------------------------------- time limits
 
-    /** From now on the shorter limits hold, which leave a client a little time to complete its request. */
+    /** Applies the shorter time limits from now on, which leave clients a short time to complete their requests. */
     void startDraining() {
         draining = true;
     }
@@ -132,7 +133,7 @@
         return draining;
     }
 
-    /** The connection that has exceeded the time limit of a state for longest; null where none has. */
+    /** The oldest connection in a state if it has exceeded the time limit of the state, else null. */
     HttpClientConnection oldestExpired(State state, long now) {
         HttpClientConnection oldest = oldest(state);
         return oldest != null && now - oldest.stateSince() >= timeLimit(state) ? oldest : null;
@@ -140,10 +141,10 @@
 
     private long timeLimit(State state) {
         return switch (state) {
-            case AWAITING_REQUEST -> draining ? DRAINING_FIRST_BYTE_TIMEOUT : REQUEST_TIMEOUT;
-            case READING_REQUEST -> draining ? DRAINING_REQUEST_TIMEOUT : REQUEST_TIMEOUT;
-            case IDLE -> byId.size() > maxConnections / 2 ? MIN_IDLE_TIMEOUT : MAX_IDLE_TIMEOUT;
-            case WRITING_RESPONSE, CLOSING -> WRITE_TIMEOUT;
+            case AWAITING_REQUEST -> draining ? DRAINING_FIRST_BYTE_TIMEOUT_MICROS : REQUEST_TIMEOUT_MICROS;
+            case READING_REQUEST -> draining ? DRAINING_REQUEST_TIMEOUT_MICROS : REQUEST_TIMEOUT_MICROS;
+            case IDLE -> byId.size() > maxConnections / 2 ? MIN_IDLE_TIMEOUT_MICROS : MAX_IDLE_TIMEOUT_MICROS;
+            case WRITING_RESPONSE, CLOSING -> WRITE_TIMEOUT_MICROS;
             case PROCESSING -> NO_TIMEOUT;
         };
     }
@@ -151,7 +152,7 @@
     /** When the next eviction or time limit is due. */
     long nextDeadline() {
         HttpClientConnection awaiting = oldest(State.AWAITING_REQUEST);
-        long next = overLimit() && awaiting != null ? awaiting.stateSince() + EVICTION_GRACE : Long.MAX_VALUE;
+        long next = overLimit() && awaiting != null ? awaiting.stateSince() + EVICTION_GRACE_MICROS : Long.MAX_VALUE;
         for (State state : STATES) {
             HttpClientConnection oldest = oldest(state);
             if (oldest != null) {
--- a/core/src/main/java/garnetreel/core/platform/HttpClientConnections.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpClientConnections.java
@@ -15,25 +15,25 @@
 import java.util.List;
 
 /**
- * Connections from clients. Each has at most one request in progress; bytes of further ones wait up to a limit, beyond which
- * requests are only counted and rejected in turn: a request that was received is owed a response. A connection is always
- * read, since one that is not read hides its client's close. Malformed input is answered with an error and the connection
- * closed.
+ * The HTTP connections of clients. Each has at most one request in progress. Bytes of pipelined requests are buffered
+ * up to a limit; beyond it requests are only counted and then rejected in order, since every received request must get
+ * a response. A connection is always read, because a close by the client would otherwise go unnoticed. Malformed input
+ * is answered with an error, after which the connection is closed.
  */
 final class HttpClientConnections implements ConnectionHandler {
-    /** Bytes of further requests that wait behind one in progress: a pipeline of hundreds, or a few of the largest. */
+    /** Limit on the buffered input of one connection: hundreds of small pipelined requests, or a few of the largest. */
     private static final int MAX_PENDING_INPUT_BYTES = 256 << 10;
 
     private static final State[] STATES = State.values();
-    /** States in which a client holds response bytes, in the order in which they are closed over the memory limit. */
+    /** States with unsent response bytes, in the order in which connections are closed over the memory limit. */
     private static final State[] WRITING_STATES = {State.WRITING_RESPONSE, State.CLOSING};
 
-    /** Receives requests and the ends of connections that had one in progress. */
+    /** Receives the requests, and is notified of clients that disconnect while one is in progress. */
     interface Listener {
-        /** @param receivedAt when its last byte was received; it may have waited for the previous request since */
+        /** @param receivedAt when the last byte was received; the request may have waited for the previous one since */
         void requestReceived(long connectionId, HttpRequest request, long receivedAt);
 
-        /** A request exceeds the limit on waiting requests and is to be rejected. */
+        /** A request exceeded the limit on buffered input and must be rejected. */
         void requestOverLimit(long connectionId);
 
         /** The client of a request in progress has disconnected. */
@@ -46,11 +46,11 @@
     private final HttpClientConnectionTable connections;
     private List<NetAction> actions = new ArrayList<>();
     private long now;
-    /** The time as of which input of this turn was received. */
+    /** The time at which the input of this turn counts as received; after a process pause, earlier than now. */
     private long receivedAt;
-    /** Bytes of responses that clients have not read. */
+    /** Total response bytes that have not been written to the clients' sockets. */
     private int unsentBytes;
-    /** Bytes of further requests that wait. */
+    /** Total bytes of buffered input. */
     private int pendingInputBytes;
 
     HttpClientConnections(ResourceBounds bounds, GatewayCounters counters, Listener listener) {
@@ -60,7 +60,12 @@
         this.connections = new HttpClientConnectionTable(bounds.maxClients());
     }
 
-    /** @param inputReceivedAt the time as of which input of this turn was received */
+    /**
+     * Starts a turn (one call of {@link PlatformGateway#handle}).
+     *
+     * @param inputReceivedAt the time at which the input of this turn counts as received
+     * @param turnActions receives the actions of this turn
+     */
     void beginTurn(long time, long inputReceivedAt, List<NetAction> turnActions) {
         now = time;
         receivedAt = inputReceivedAt;
@@ -72,19 +77,19 @@
         return connections.contains(connectionId);
     }
 
-    /** The number of connections, all of which count against the limit. */
+    /** The number of connections; all of them count towards the limit. */
     int size() {
         return connections.size();
     }
 
-    /** Whether no client is owed anything: a response, its bytes, or the time to complete its request. */
+    /** Whether no connection is left, so that no client waits for a response or is still sending a request. */
     boolean isEmpty() {
         return connections.isEmpty();
     }
 
-    // ---------------------------------------------------------------- life of a connection
+    // ---------------------------------------------------------------- opening and closing
 
-    /** Adds a new connection; the limit on connections is applied once everything received in this turn has been read. */
+    /** Adds a connection; the limit on connections is applied once all input of this turn has been read. */
     void accepted(long connectionId) {
         connections.add(new HttpClientConnection(connectionId), now);
     }
@@ -92,27 +97,28 @@
     @Override
     public void closed(NetEvent.Closed event) {
         HttpClientConnection connection = connections.get(event.connectionId());
-        forget(connection);
+        remove(connection);
         if (connection.state() == State.PROCESSING) {
             listener.clientDisconnected(connection.id);
         }
     }
 
     /**
-     * Closes a connection. Every close on the gateway's own initiative passes here, so that none is closed that is owed a response:
-     * to its request in progress, or to one that was only counted. A client that reads no responses for long is owed none.
+     * Closes a connection. Every close that the gateway initiates goes through this method, which detects a close
+     * before a pending response: to the request in progress, or to one that was only counted. A close is no violation
+     * if the client does not read its responses.
      */
     private void close(HttpClientConnection connection, boolean abort, Event reason) {
         counters.count(reason);
-        boolean owesResponse = connection.state() == State.PROCESSING || connection.hasRequestsToReject();
-        if (owesResponse && reason != Event.CLOSED_RESPONSE_UNREAD) {
-            counters.violated(Invariant.CLOSED_OWING_RESPONSE);
+        boolean responsePending = connection.state() == State.PROCESSING || connection.hasRequestsToReject();
+        if (responsePending && reason != Event.CLOSED_RESPONSE_UNREAD) {
+            counters.violated(Invariant.CLOSED_BEFORE_RESPONSE);
         }
         actions.add(new NetAction.Close(connection.id, abort));
-        forget(connection);
+        remove(connection);
     }
 
-    private void forget(HttpClientConnection connection) {
+    private void remove(HttpClientConnection connection) {
         unsentBytes -= connection.unsentBytes;
         connection.unsentBytes = 0;
         discardInput(connection);
@@ -130,7 +136,7 @@
     public void received(long connectionId, ByteBuffer data) {
         HttpClientConnection connection = connections.get(connectionId);
         if (connection.closeAfterResponse) {
-            return; // no further request is answered on it
+            return; // no further request on this connection is answered
         }
         if (connection.overInputLimit()) {
             connection.countRequests(data, receivedAt);
@@ -145,7 +151,7 @@
         }
     }
 
-    /** Reads requests from the waiting input until one is in progress. */
+    /** Parses requests from the buffered input until one is in progress. */
     private void readRequests(HttpClientConnection connection) {
         try {
             while (connection.acceptsNextRequest()
@@ -168,7 +174,7 @@
             connection.closeAfterResponse = request.fields().hasToken("Connection", "close");
             listener.requestReceived(connection.id, request, inputReceivedAt);
         } else if (connection.hasPartialRequest() && connection.state() != State.READING_REQUEST) {
-            // The limit of a new connection counts from when it was accepted.
+            // On a new connection the time limit for the first request counts from when it was accepted.
             long since = connection.state() == State.AWAITING_REQUEST
                     ? connection.stateSince()
                     : connection.partialRequestSince();
@@ -176,10 +182,10 @@
         }
     }
 
-    /** Rejects the next request that was only counted; false if none remains to be answered. */
-    private boolean rejectCounted(HttpClientConnection connection) {
+    /** Rejects the next counted request, or malformed input after them; false if nothing remains to be rejected. */
+    private boolean rejectNextCounted(HttpClientConnection connection) {
         if (connection.hasRequestsToReject()) {
-            connection.rejectedOne();
+            connection.decrementRequestsToReject();
             connections.move(connection, State.PROCESSING, now);
             listener.requestOverLimit(connection.id);
             return true;
@@ -199,7 +205,7 @@
 
     // ---------------------------------------------------------------- responses
 
-    /** Answers the request in progress on a connection; one that has been closed gets no response. */
+    /** Answers the request in progress on a connection; does nothing if the connection has been closed. */
     void respond(long connectionId, HttpWriter response, byte[] body) {
         HttpClientConnection connection = connections.get(connectionId);
         if (connection == null) {
@@ -208,16 +214,16 @@
         if (connection.state() == State.PROCESSING) {
             write(connection, response, body);
         } else {
-            counters.violated(Invariant.RESPONDED_TWICE);
+            counters.violated(Invariant.DUPLICATE_RESPONSE);
         }
     }
 
     private void write(HttpClientConnection connection, HttpWriter response, byte[] body) {
-        // While draining, a response is the last unless further requests were received: their client would wait for
-        // them.
-        boolean last = connection.closeAfterResponse
+        // While draining, the connection is closed after this response unless further requests were received, whose
+        // responses the client waits for.
+        boolean lastResponse = connection.closeAfterResponse
                 || connections.draining() && !connection.hasPendingInput() && !connection.overInputLimit();
-        if (last) {
+        if (lastResponse) {
             response.field("Connection", "close");
             connection.closeAfterResponse = true;
             discardInput(connection);
@@ -226,14 +232,14 @@
         connection.unsentBytes = responseBytes.remaining();
         unsentBytes += connection.unsentBytes;
         actions.add(new NetAction.Write(connection.id, responseBytes));
-        if (last) {
+        if (lastResponse) {
             actions.add(new NetAction.Close(connection.id, false));
         }
-        connections.move(connection, last ? State.CLOSING : State.WRITING_RESPONSE, now);
+        connections.move(connection, lastResponse ? State.CLOSING : State.WRITING_RESPONSE, now);
         limitUnsentBytes();
     }
 
-    /** Closes the connections that have been writing for longest while clients' unread responses exceed the limit. */
+    /** While the unsent response bytes exceed the limit, closes the connection that has been writing for longest. */
     private void limitUnsentBytes() {
         for (State state : WRITING_STATES) {
             HttpClientConnection oldest = connections.oldest(state);
@@ -253,7 +259,7 @@
             return;
         }
         if (connection.state() == State.CLOSING) {
-            forget(connection);
+            remove(connection);
         } else if (connection.state() == State.WRITING_RESPONSE) {
             responseWritten(connection);
         }
@@ -261,24 +267,24 @@
 
     private void responseWritten(HttpClientConnection connection) {
         connections.move(connection, State.IDLE, now);
-        if (connection.overInputLimit() && rejectCounted(connection)) {
+        if (connection.overInputLimit() && rejectNextCounted(connection)) {
             return;
         }
         readRequests(connection);
         if (connection.hasPartialRequest() && connection.state() == State.IDLE) {
             connections.move(connection, State.READING_REQUEST, connection.partialRequestSince());
         }
-        boolean last = connections.draining() || connection.closeAfterResponse;
-        if (last && connection.state() == State.IDLE) {
+        boolean closeWhenIdle = connections.draining() || connection.closeAfterResponse;
+        if (closeWhenIdle && connection.state() == State.IDLE) {
             close(connection, false, Event.CLOSED_AT_SHUTDOWN);
         }
     }
 
-    // ---------------------------------------------------------------- time
+    // ---------------------------------------------------------------- time limits
 
     /**
-     * Closes idle connections. From now on a response is its connection's last, unless more was received on it. A connection
-     * that is new, or that has part of a request, gets a little time to complete it.
+     * Closes idle connections. From now on a connection is closed after its response unless more requests were received
+     * on it. A new connection, or one with a partial request, gets a short time to complete its request.
      */
     void startDraining() {
         connections.startDraining();
@@ -287,40 +293,40 @@
             close(idle, false, Event.CLOSED_AT_SHUTDOWN);
             idle = connections.oldest(State.IDLE);
         }
-        for (HttpClientConnection connection : connections.in(State.READING_REQUEST)) {
+        for (HttpClientConnection connection : connections.allIn(State.READING_REQUEST)) {
             connections.move(connection, State.READING_REQUEST, now);
         }
     }
 
-    /** When {@link #expire} next has something to do. */
+    /** When {@link #expire} must be called next. */
     long nextDeadline() {
         return connections.nextDeadline();
     }
 
-    /** Applies the limit on connections, then the time limits; called once all events of a turn have been handled. */
+    /** Applies the limit on connections, then the time limits; called after all events of a turn have been handled. */
     void expire() {
         evictOverLimit();
         for (State state : STATES) {
             HttpClientConnection expired = connections.oldestExpired(state, now);
             while (expired != null) {
-                timedOut(expired);
+                handleTimeout(expired);
                 expired = connections.oldestExpired(state, now);
             }
         }
     }
 
-    /** Closes connections that are owed no response until their number is within the limit. */
+    /** Closes connections without a pending response until their number is within the limit or none of them is left. */
     private void evictOverLimit() {
         while (connections.overLimit()) {
             HttpClientConnection candidate = connections.evictionCandidate(now);
             if (candidate == null) {
                 return;
             }
-            close(candidate, false, Event.CLOSED_TO_MAKE_ROOM);
+            close(candidate, false, Event.CLOSED_OVER_LIMIT);
         }
     }
 
-    private void timedOut(HttpClientConnection connection) {
+    private void handleTimeout(HttpClientConnection connection) {
         State state = connection.state();
         if (state == State.WRITING_RESPONSE || state == State.CLOSING) {
             close(connection, true, Event.CLOSED_RESPONSE_UNREAD);
--- a/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
@@ -25,17 +25,17 @@
 import java.util.function.Consumer;
 
 /**
- * The life of requests, from the last byte received to the final response and the end of the last attempt. Each gets one
- * response. The scheduler decides; only an invalid request, or one over a limit, is answered without the scheduler's knowing
- * of it.
+ * Tracks each request from the receipt of its last byte to its final response and the end of its last attempt. Each
+ * request gets exactly one response. The scheduler decides on it; only an invalid request, one over a limit or one
+ * received at shutdown is answered without passing it to the scheduler.
  */
 final class HttpRequestRegistry {
     /**
-     * The scheduler answers ahead of a deadline; a request that is overdue by so much, microseconds, shows a defect of the
-     * scheduler and is failed here.
+     * The scheduler answers each request before its deadline. A request that is overdue by this time, in microseconds,
+     * indicates a scheduler defect and is failed here.
      */
-    private static final long OVERDUE_TOLERANCE = 20_000;
-    /** More digits than this are no count of units. */
+    private static final long OVERDUE_TOLERANCE_MICROS = 20_000;
+    /** A number of units with more digits is ignored. */
     private static final int MAX_UNITS_DIGITS = 9;
 
     /** A request without a final response, or with an attempt in flight. */
@@ -47,7 +47,7 @@
         final long deadline;
         int attemptsStarted;
         int attemptsInFlight;
-        /** Its client is owed nothing more: it has its response, or has disconnected. */
+        /** The response has been passed to the client connection, or the client has disconnected. */
         boolean completed;
 
         ActiveRequest(long id, String correlationId, long connectionId, HttpRequest message, long deadline) {
@@ -74,7 +74,7 @@
             Comparator.<ActiveRequest>comparingLong(r -> r.deadline).thenComparingLong(r -> r.id));
     private List<NetAction> actions = new ArrayList<>();
     private long now;
-    /** Bytes of the bodies of all active requests. */
+    /** Total size of the bodies of all active requests. */
     private int bodyBytes;
 
     HttpRequestRegistry(
@@ -91,26 +91,29 @@
         this.schedulerEvents = schedulerEvents;
         this.counters = counters;
         this.decoder = new RequestDecoder(settings.scheduling());
-        this.responses = new HttpResponses(settings.retryAfter());
+        this.responses = new HttpResponses(settings.retryAfterAllowed());
     }
 
+    /**
+     * Starts a turn (one call of {@link PlatformGateway#handle}): sets its time and the list that receives its actions.
+     */
     void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
     }
 
-    /** The number of requests without a final response or with an attempt in flight. */
+    /** The number of requests that have no final response or still have an attempt in flight. */
     int size() {
         return byId.size();
     }
 
-    // ---------------------------------------------------------------- requests received
+    // ---------------------------------------------------------------- received requests
 
     /**
-     * Admits a client's request and notifies the scheduler, or answers it at once if it is invalid or over a limit.
+     * Admits a client's request and passes it to the scheduler, or answers it at once if it is invalid or over a limit.
      *
-     * @param receivedAt when its last byte was received: its client's time counts from then, also while it waits behind
-     *     another request
+     * @param receivedAt when the last byte of the request was received; the client's time limit counts from then, even
+     *     while the request waits behind another one on its connection
      */
     void requestReceived(long connectionId, HttpRequest message, long receivedAt) {
         DecodedRequest decoded;
@@ -141,13 +144,13 @@
         byDeadline.add(request);
     }
 
-    /** Rejects a request that the scheduler is not asked about. */
+    /** Rejects a request that has not been passed to the scheduler. */
     void reject(long connectionId, GatewayCounters.Event reason) {
         counters.count(reason);
         clients.respond(connectionId, responses.rejected(maxRetryAfter), HttpResponses.NO_BODY);
     }
 
-    /** The client of a connection has disconnected. */
+    /** Cancels the request in progress on a connection that its client has closed. */
     void clientDisconnected(long connectionId) {
         ActiveRequest request = byConnection.get(connectionId);
         if (request != null) {
@@ -157,17 +160,17 @@
         }
     }
 
-    // ---------------------------------------------------------------- the scheduler's decisions
+    // ---------------------------------------------------------------- scheduler decisions
 
-    /** Starts an attempt. */
+    /** Sends an attempt as decided by the scheduler. */
     void send(SendAttempt action) {
         ActiveRequest request = byId.get(action.id());
         if (request == null || request.completed) {
-            logSchedulerDefect("sends request " + action.id() + ", which is completed");
+            logSchedulerDefect("decided to send request " + action.id() + ", which is already completed");
             return;
         }
-        long deadline = attemptDeadline(request.deadline, action.timeout());
-        long startDeadline = attemptDeadline(deadline, action.startWithin());
+        long deadline = earlierDeadline(request.deadline, action.timeout());
+        long startDeadline = earlierDeadline(deadline, action.startWithin());
         request.attemptsInFlight++;
         if (request.attemptsStarted > 0) {
             counters.count(GatewayCounters.Event.ATTEMPT_RETRIED);
@@ -177,24 +180,24 @@
                 request.id, attempt, action.endpoint(), now, deadline, startDeadline, request.message));
     }
 
-    /** The end of a time from now on, but no later than {@code latest}; a time of 0 is no limit. */
-    private long attemptDeadline(long latest, long within) {
+    /** The time {@code within} from now, but at most {@code latest}; {@code latest} if {@code within} is 0. */
+    private long earlierDeadline(long latest, long within) {
         return within > 0 ? Math.min(latest, now + within) : latest;
     }
 
-    /** Rejects a request as the scheduler decided. */
+    /** Rejects a request as decided by the scheduler. */
     void reject(RejectRequest action) {
         respond(byId.get(action.id()), responses.rejected(action.retryAfter()), GatewayCounters.Event.REQUEST_REJECTED);
     }
 
-    /** Fails a request as the scheduler decided. */
+    /** Fails a request as decided by the scheduler. */
     void fail(FailRequest action) {
         respond(byId.get(action.id()), responses.failed(), GatewayCounters.Event.REQUEST_FAILED);
     }
 
     private void respond(ActiveRequest request, HttpWriter response, GatewayCounters.Event result) {
         if (request == null || request.completed) {
-            return; // its client disconnected in the turn in which the scheduler decided
+            return; // the client disconnected in the turn in which the scheduler decided
         }
         counters.count(result);
         clients.respond(request.connectionId, response, HttpResponses.NO_BODY);
@@ -205,7 +208,7 @@
         actions.add(new NetAction.Log(Level.WARN, "the scheduler " + defect));
     }
 
-    /** Its client is owed nothing more, so an attempt for it that has not started never starts. */
+    /** Marks a request as completed and withdraws those of its attempts that have not started. */
     private void complete(ActiveRequest request) {
         request.completed = true;
         byConnection.remove(request.connectionId);
@@ -223,16 +226,17 @@
 
     // ---------------------------------------------------------------- attempts
 
-    /** Whether the client of an attempt still awaits its response. */
+    /** Whether the client of an attempt's request still waits for the response. */
     boolean isAwaited(UpstreamAttempt attempt) {
         ActiveRequest request = byId.get(attempt.request);
         return request != null && !request.completed;
     }
 
     /**
-     * An attempt has ended: a good response goes to the client, and the scheduler is notified in any case.
+     * Handles the end of an attempt: passes a successful response to the client and notifies the scheduler of any
+     * outcome.
      *
-     * @param response null where none was received whole
+     * @param response null if no complete response was received
      */
     void attemptCompleted(UpstreamAttempt attempt, Outcome outcome, HttpResponse response) {
         ActiveRequest request = byId.get(attempt.request);
@@ -253,29 +257,29 @@
                 outcome,
                 now - attempt.sentAt,
                 completedBefore || outcome == Outcome.OK,
-                units(fields.first(HttpHeaders.UNITS_FROM_OTHER_GATEWAYS)),
+                parseUnits(fields.first(HttpHeaders.UNITS_FROM_OTHER_GATEWAYS)),
                 0,
                 LoadReport.read(fields.first(HttpHeaders.LOAD_REPORT))));
     }
 
-    /** Units served through other gateways; an unreadable number counts as none. */
-    private static long units(String text) {
-        return text == null ? 0 : Math.max(0, DecimalText.whole(text, MAX_UNITS_DIGITS));
+    /** Parses a number of units; a missing or malformed one counts as 0. */
+    private static long parseUnits(String text) {
+        return text == null ? 0 : Math.max(0, DecimalText.parseWhole(text, MAX_UNITS_DIGITS));
     }
 
     // ---------------------------------------------------------------- time
 
-    /** When {@link #expire} next has something to do. */
+    /** When {@link #expire} must be called next. */
     long nextDeadline() {
-        return byDeadline.isEmpty() ? Long.MAX_VALUE : byDeadline.first().deadline + OVERDUE_TOLERANCE;
+        return byDeadline.isEmpty() ? Long.MAX_VALUE : byDeadline.first().deadline + OVERDUE_TOLERANCE_MICROS;
     }
 
-    /** Fails overdue requests that the scheduler did not answer. */
+    /** Fails the overdue requests that the scheduler did not answer. */
     void expire() {
         while (nextDeadline() <= now) {
             ActiveRequest request = byDeadline.first();
             counters.violated(GatewayCounters.Invariant.RESPONSE_OVERDUE);
-            logSchedulerDefect("left a request without an answer: " + request.correlationId);
+            logSchedulerDefect("did not answer a request before its deadline, correlation id " + request.correlationId);
             schedulerEvents.accept(new RequestCancelled(request.id));
             respond(request, responses.failed(), GatewayCounters.Event.REQUEST_FAILED);
         }
--- a/core/src/main/java/garnetreel/core/platform/HttpResponses.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpResponses.java
@@ -2,7 +2,7 @@
 
 import garnetreel.codec.http.HttpWriter;
 
-/** Composes the responses that this gateway gives of its own accord. */
+/** Status codes, and the responses that the gateway generates itself instead of relaying them from an endpoint. */
 final class HttpResponses {
     static final int OK = 200;
     static final int BAD_REQUEST = 400;
@@ -13,26 +13,30 @@
     static final int BAD_GATEWAY = 502;
     static final int SERVICE_UNAVAILABLE = 503;
 
-    /** The body of a response that needs none besides its status. */
+    /** Body of a response that consists of its status only. */
     static final byte[] NO_BODY = {};
 
     private final boolean sendsRetryAfter;
 
-    /** @param sendsRetryAfter whether the platform permits a rejection to state when to come back */
+    /** @param sendsRetryAfter whether rejections carry a {@code Retry-After} header */
     HttpResponses(boolean sendsRetryAfter) {
         this.sendsRetryAfter = sendsRetryAfter;
     }
 
-    /** @param retryAfter microseconds after which the client may come back; 0 when not known */
+    /**
+     * The response to a request that was rejected without having been executed.
+     *
+     * @param retryAfter microseconds after which the client may retry; 0 if not known
+     */
     HttpWriter rejected(long retryAfter) {
         HttpWriter response = HttpWriter.response(SERVICE_UNAVAILABLE);
         if (sendsRetryAfter && retryAfter > 0) {
-            response.field(HttpHeaders.RETRY_AFTER, DecimalText.seconds(retryAfter));
+            response.field(HttpHeaders.RETRY_AFTER, DecimalText.formatSeconds(retryAfter));
         }
         return response;
     }
 
-    /** The request failed, and may have run. */
+    /** The response to a request that failed and may have been executed. */
     HttpWriter failed() {
         return HttpWriter.response(BAD_GATEWAY);
     }
--- a/core/src/main/java/garnetreel/core/platform/InFlightAttempts.java
+++ b/core/src/main/java/garnetreel/core/platform/InFlightAttempts.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** The attempts that have a connection, started or not, and their deadlines. */
+/** The attempts that have been assigned a connection, whether they have started or not, ordered by deadline. */
 final class InFlightAttempts {
     private final Map<UpstreamAttempt, UpstreamConnection> connections = new HashMap<>();
     private final TreeSet<UpstreamAttempt> byDeadline =
@@ -29,11 +29,12 @@
         return connections.size();
     }
 
+    /** The connection of an attempt; null if the attempt is not in flight. */
     UpstreamConnection connectionOf(UpstreamAttempt attempt) {
         return connections.get(attempt);
     }
 
-    /** The attempts of a request; a copy, so that they can be removed meanwhile. */
+    /** The attempts of a request, as a copy, so that they can be removed during iteration. */
     List<UpstreamAttempt> ofRequest(long request) {
         List<UpstreamAttempt> attempts = new ArrayList<>();
         for (UpstreamAttempt attempt : connections.keySet()) {
@@ -44,12 +45,12 @@
         return attempts;
     }
 
-    /** The attempt with the earliest deadline if that has passed, else null. */
+    /** The attempt with the earliest deadline if the deadline has passed, else null. */
     UpstreamAttempt expired(long now) {
         return nextDeadline() <= now ? byDeadline.first() : null;
     }
 
-    /** The earliest deadline; {@link Long#MAX_VALUE} when there is none. */
+    /** The earliest deadline; {@link Long#MAX_VALUE} if there are no attempts. */
     long nextDeadline() {
         return byDeadline.isEmpty() ? Long.MAX_VALUE : byDeadline.first().deadline;
     }
--- a/core/src/main/java/garnetreel/core/platform/InvalidRequestException.java
+++ b/core/src/main/java/garnetreel/core/platform/InvalidRequestException.java
@@ -1,12 +1,12 @@
 package garnetreel.core.platform;
 
-/** A message is no request of the platform; the client gets the status, and the message as body. */
+/** Thrown for an invalid request. The client gets a response with this status and the exception message as the body. */
 final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final int status;
 
-    /** Without a stack trace: what a client sends must not cost more than a valid request. */
+    /** Has no stack trace, so that an invalid request costs no more than a valid one. */
     InvalidRequestException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
--- a/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
@@ -26,24 +26,24 @@
 import java.util.List;
 
 /**
- * A gateway on the users' platform: HTTP/1.1 to clients, upstreams and discovery. The scheduler decides what to do; this carries
- * it out.
+ * The gateway on the HTTP platform: speaks HTTP/1.1 with clients, upstream endpoints and service discovery. The
+ * scheduler decides what is sent, rejected or failed; this class executes its decisions.
  */
 public final class PlatformGateway implements StateMachine, SchedulerDriver.ActionHandler {
-    /** Name of the listener for clients. */
+    /** Name of the listening socket for client connections. */
     public static final String HTTP = "http";
     /**
-     * New connections are accepted for so long after the command to shut down, microseconds: the platform may route some here
-     * for another 0.4 s.
+     * How long new connections are still accepted after the shutdown command, in microseconds: the platform may route
+     * connections to this gateway for another 0.4 s.
      */
-    private static final long ACCEPT_AFTER_SHUTDOWN = 500_000;
+    private static final long ACCEPT_AFTER_SHUTDOWN_MICROS = 500_000;
 
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** Command: finish active requests and stop. */
+    /** Command: finish the active requests, then stop. */
     public record Shutdown() implements NetEvent.Command {}
 
-    /** Command: apply a new configuration, of which only the address of discovery can change in service. */
+    /** Command: apply a new configuration. Only the discovery address takes effect without a restart. */
     public record Reconfigure(PlatformSettings settings) implements NetEvent.Command {}
 
     private final PlatformSettings settings;
@@ -56,19 +56,19 @@
     private final DiscoveryClient discovery;
     private final HttpRequestRegistry requests;
     private final ConnectionDispatcher connectionEvents;
-    /** Events for the scheduler's next turn. */
+    /** Events to pass to the scheduler at the end of this turn or in the next one. */
     private List<SchedulerEvent> schedulerEvents = new ArrayList<>();
 
     private long now;
     private long stopAcceptingAt = NEVER;
     private boolean started;
     private boolean shutdownRequested;
-    /** No new requests are accepted; active ones are finished. */
+    /** New requests are rejected; active ones are finished. */
     private boolean draining;
 
     private boolean stopped;
 
-    /** Creates a gateway; it listens from its first turn on. */
+    /** Creates a gateway; it opens its listening socket in the first call of {@link #handle}. */
     public PlatformGateway(PlatformSettings settings, Scheduler scheduler) {
         this.settings = settings;
         this.scheduler = new SchedulerDriver(scheduler, this);
@@ -116,7 +116,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- one turn
+    // ---------------------------------------------------------------- event handling
 
     @Override
     public void handle(long time, List<NetEvent> events, List<NetAction> actions) {
@@ -131,7 +131,7 @@
         discovery.expire();
         clients.expire();
         runScheduler(actions);
-        requests.expire(); // behind the scheduler's turn: even after a pause it still answers overdue requests itself
+        requests.expire(); // after the scheduler, which answers overdue requests itself after a process pause
         continueShutdown(actions);
     }
 
@@ -168,29 +168,29 @@
             reconfigure(reconfigure.settings(), actions);
         } else if (command instanceof Shutdown && !shutdownRequested) {
             shutdownRequested = true;
-            stopAcceptingAt = now + ACCEPT_AFTER_SHUTDOWN;
+            stopAcceptingAt = now + ACCEPT_AFTER_SHUTDOWN_MICROS;
             actions.add(new NetAction.Log(
-                    Level.INFO, "shutdown requested, connections are still accepted: " + openResources()));
+                    Level.INFO, "shutdown requested, still accepting connections: " + openResources()));
         }
     }
 
     private void reconfigure(PlatformSettings newSettings, List<NetAction> actions) {
         if (!newSettings.scheduling().equals(settings.scheduling())) {
             actions.add(new NetAction.Log(
-                    Level.WARN, "the new configuration has other settings; they take effect after a restart"));
+                    Level.WARN, "the new configuration changes scheduler settings; they take effect after a restart"));
         }
         discovery.redirect(newSettings.discoveryAddress());
         logCounters(actions);
     }
 
     private void requestReceived(long connectionId, HttpRequest request, long receivedAt) {
-        if (request.path().equals(HttpHeaders.READY)) {
+        if (request.path().equals(HttpHeaders.READINESS_PATH)) {
             boolean ready = upstreams.endpointCount() > 0 && !shutdownRequested;
             int status = ready ? HttpResponses.OK : HttpResponses.SERVICE_UNAVAILABLE;
             clients.respond(connectionId, HttpWriter.response(status), HttpResponses.NO_BODY);
         } else if (draining) {
-            // An attempt started now could still be in flight when the process is killed; a client that is rejected can
-            // ask elsewhere.
+            // An attempt started now could still be in flight when the process is killed; a rejected client can use
+            // another gateway.
             requests.reject(connectionId, GatewayCounters.Event.REQUEST_REJECTED_AT_SHUTDOWN);
         } else {
             requests.requestReceived(connectionId, request, receivedAt);
@@ -201,18 +201,20 @@
         scheduler.expireTimers(now, schedulerEvents::add);
         if (!schedulerEvents.isEmpty()) {
             List<SchedulerEvent> events = schedulerEvents;
-            schedulerEvents = new ArrayList<>(); // its decisions may cause events, which belong to the next turn
+            schedulerEvents = new ArrayList<>(); // events caused by the decisions are for the next turn
             scheduler.decide(now, events, actions);
         }
     }
 
-    /** Shutdown in steps: at first new requests are still accepted, then only active ones are finished. */
+    /**
+     * Advances the shutdown: first connections are still accepted, then active requests are finished, then it stops.
+     */
     private void continueShutdown(List<NetAction> actions) {
         if (now >= stopAcceptingAt) {
             stopAcceptingAt = NEVER;
             draining = true;
             actions.add(new NetAction.StopListening(HTTP));
-            actions.add(new NetAction.Log(Level.INFO, "draining, no new requests accepted: " + openResources()));
+            actions.add(new NetAction.Log(Level.INFO, "draining, rejecting new requests: " + openResources()));
             clients.startDraining();
         }
         if (draining && !stopped && clients.isEmpty()) {
@@ -240,7 +242,7 @@
         return Math.min(next, scheduler.nextDeadline());
     }
 
-    // ---------------------------------------------------------------- the scheduler's decisions
+    // ---------------------------------------------------------------- scheduler decisions
 
     @Override
     public void send(SendAttempt action) {
@@ -282,24 +284,24 @@
         discovery.poll();
     }
 
-    // ---------------------------------------------------------------- what it reports of itself
+    // ---------------------------------------------------------------- monitoring
 
-    /** What it did, and which invariants were violated. */
+    /** Counters of outcomes and of violated invariants. */
     GatewayCounters counters() {
         return counters;
     }
 
-    /** What is open now. */
+    /** The numbers of connections, requests and attempts that are open now. */
     OpenResources openResources() {
         return new OpenResources(clients.size(), requests.size(), upstreams.connections(), upstreams.pendingAttempts());
     }
 
     /**
-     * What a gateway has open. Its text is part of log lines.
+     * The numbers of open resources of a gateway. Its string form is part of log lines.
      *
-     * @param clients connections of clients
+     * @param clients client connections
      * @param requests active requests
-     * @param upstreamConnections connections to upstreams, idle ones included
+     * @param upstreamConnections connections to endpoints, including idle ones
      * @param attempts attempts in flight
      */
     record OpenResources(int clients, int requests, int upstreamConnections, int attempts) {}
--- a/core/src/main/java/garnetreel/core/platform/PlatformSettings.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformSettings.java
@@ -7,17 +7,17 @@
 import java.util.List;
 
 /**
- * The configuration that the platform gives a gateway at its start.
+ * The configuration that the platform passes to a gateway at startup.
  *
  * @param name the gateway's name
- * @param listenAddress the only address that clients connect to, host:port
- * @param discoveryAddress the address of discovery, host:port
+ * @param listenAddress the only address at which client connections are accepted, host:port
+ * @param discoveryAddress the address of the service discovery, host:port
  * @param seed random seed of this gateway
- * @param limits what its process may use
- * @param cachedEndpoints the endpoint list as this gateway last had it, perhaps long ago
- * @param scheduling the scheduler's settings
- * @param idleClose time after which upstreams close an idle connection, microseconds; 0 when not stated
- * @param retryAfter whether a rejection may state when to come back
+ * @param limits resource limits of the process
+ * @param cachedEndpoints the endpoint list that this gateway last received; it may be long out of date
+ * @param scheduling scheduler settings
+ * @param idleClose time after which endpoints close an idle connection, microseconds; 0 if not configured
+ * @param retryAfterAllowed whether rejections may carry a {@code Retry-After} header
  */
 public record PlatformSettings(
         String name,
@@ -28,21 +28,21 @@
         ListUpdate cachedEndpoints,
         SchedulerSettings scheduling,
         long idleClose,
-        boolean retryAfter) {
+        boolean retryAfterAllowed) {
     private static final int HEX_RADIX = 16;
 
     /**
-     * What the processes of one gateway may use together.
+     * Resource limits that apply to all processes of one gateway together.
      *
      * @param memoryMb memory, MiB
-     * @param sockets file descriptors
+     * @param sockets number of file descriptors
      */
     public record Limits(int memoryMb, int sockets) {}
 
     /**
      * Reads the configuration file.
      *
-     * @throws JsonException when a field is missing or malformed; the message names it
+     * @throws JsonException if a field is missing or malformed; the message names the field
      */
     public static PlatformSettings read(byte[] config) throws JsonException {
         Json json = Json.parse(config, 0, config.length, "configuration");
@@ -63,8 +63,8 @@
     private static int atLeast(Json limits, String name, int minimum) throws JsonException {
         long number = limits.need(name).whole(name, 0);
         if (number < minimum) {
-            throw new JsonException(
-                    "configuration, in \"limits\": field \"" + name + "\" is " + number + ", at least " + minimum);
+            throw new JsonException("configuration, in \"limits\": field \"" + name + "\" is " + number
+                    + ", must be at least " + minimum);
         }
         return (int) Math.min(number, Integer.MAX_VALUE);
     }
@@ -72,7 +72,7 @@
     private static String address(Json json, String name) throws JsonException {
         String text = json.need(name).text(name, "");
         if (!text.matches("[^\\s:]+:[0-9]{1,5}")) {
-            throw new JsonException("configuration: field \"" + name + "\" is not host:port");
+            throw new JsonException("configuration: field \"" + name + "\" is not of the form host:port");
         }
         return text;
     }
@@ -81,7 +81,7 @@
         try {
             return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw new JsonException("configuration: field \"seed\" is not hexadecimal");
+            throw new JsonException("configuration: field \"seed\" is not a hexadecimal number of up to 64 bits");
         }
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/RequestDecoder.java
+++ b/core/src/main/java/garnetreel/core/platform/RequestDecoder.java
@@ -13,15 +13,16 @@
 import java.util.Set;
 
 /**
- * Validates an HTTP request and decodes it into the scheduler's event. The checks run in a fixed order, since the first one
- * that fails decides the status: request class, method, correlation id, whether that id is in use, the other header fields.
+ * Validates HTTP requests and decodes them into {@link RequestReceived} events. The checks run in a fixed order,
+ * because the first one that fails determines the status: request class, method, correlation id, its uniqueness, other
+ * header fields.
  */
 final class RequestDecoder {
     private static final int HEX_RADIX = 16;
     private static final String READ_METHOD = "GET";
     private static final String WRITE_METHOD = "PUT";
-    private static final String RETRY_MARK = "1";
-    /** Stands for a request without a key. */
+    private static final String RETRY_VALUE = "1";
+    /** Key of a request without one. */
     private static final long NO_KEY = -1;
 
     private final Map<String, RequestClass> classes = new HashMap<>();
@@ -33,14 +34,14 @@
         settings.plans().forEach(p -> plans.add(p.name()));
     }
 
-    /** A valid request: its correlation id in lower case, and the scheduler's event. */
+    /** A valid request: its correlation id in lower case, and the event for the scheduler. */
     record DecodedRequest(String correlationId, RequestReceived event) {}
 
     /**
-     * Decodes a request and gives it a number.
+     * Decodes a request and assigns it a number.
      *
-     * @param receivedAt when its last byte was received, from which the client's time counts
-     * @param idsInUse the correlation ids, in lower case, of the requests in progress
+     * @param receivedAt when the last byte was received, from which the client's time limit counts
+     * @param idsInUse the correlation ids of the active requests, in lower case
      */
     DecodedRequest decode(HttpRequest request, long receivedAt, Set<String> idsInUse) throws InvalidRequestException {
         RequestClass requestClass = requestClass(request.path());
@@ -50,7 +51,7 @@
         }
         try {
             String correlationId =
-                    hexField(request.fields(), HttpHeaders.CORRELATION_ID, true).toLowerCase(Locale.ROOT);
+                    hexId(request.fields(), HttpHeaders.CORRELATION_ID, true).toLowerCase(Locale.ROOT);
             if (idsInUse.contains(correlationId)) {
                 throw new InvalidRequestException(HttpResponses.CONFLICT, "a request of this id is open");
             }
@@ -60,7 +61,7 @@
         }
     }
 
-    /** The class that the first segment of the path names. */
+    /** The request class, which the first segment of the path names. */
     private RequestClass requestClass(String path) throws InvalidRequestException {
         int end = path.indexOf('/', 1);
         RequestClass requestClass = classes.get(path.substring(1, end < 0 ? path.length() : end));
@@ -76,24 +77,24 @@
         if (plan == null || !plans.contains(plan)) {
             throw new ProtocolException("no such plan");
         }
-        String key = hexField(fields, HttpHeaders.REQUEST_KEY, false);
+        String key = hexId(fields, HttpHeaders.REQUEST_KEY, false);
         RequestMetadata metadata = RequestMetadata.read(fields.only(HttpHeaders.METADATA));
         long timeLeft = Math.min(timeLeft(fields.only(HttpHeaders.TIME_LEFT)), requestClass.deadline());
         return new RequestReceived(
                 ++lastRequestId,
                 requestClass.name(),
                 plan,
-                key == null ? NO_KEY : nonNegative(key),
+                key == null ? NO_KEY : parseNonNegative(key),
                 receivedAt + timeLeft,
-                nonNegative(metadata.volume()),
+                parseNonNegative(metadata.volume()),
                 metadata.units(),
                 metadata.shard(),
                 metadata.gateways(),
-                RETRY_MARK.equals(fields.first(HttpHeaders.RETRY)),
+                RETRY_VALUE.equals(fields.first(HttpHeaders.RETRY)),
                 write);
     }
 
-    private static String hexField(Fields fields, String name, boolean required) throws ProtocolException {
+    private static String hexId(Fields fields, String name, boolean required) throws ProtocolException {
         String text = fields.only(name);
         if (text == null ? required : !RequestMetadata.isHexId(text)) {
             throw new ProtocolException(name + " is not 16 hexadecimal digits");
@@ -101,13 +102,13 @@
         return text;
     }
 
-    /** Without the sign: numbers below 0 stand for none in the scheduler's events. */
-    private static long nonNegative(String hex) {
+    /** Parses 64 bits and clears the sign bit: in scheduler events, a negative number means that there is no value. */
+    private static long parseNonNegative(String hex) {
         return Long.parseUnsignedLong(hex, HEX_RADIX) & Long.MAX_VALUE;
     }
 
     private static long timeLeft(String text) throws ProtocolException {
-        long timeLeft = text == null ? -1 : DecimalText.micros(text);
+        long timeLeft = text == null ? -1 : DecimalText.parseSecondsAsMicros(text);
         if (timeLeft <= 0) {
             throw new ProtocolException(HttpHeaders.TIME_LEFT + " is no time left in seconds");
         }
--- a/core/src/main/java/garnetreel/core/platform/RequestMetadata.java
+++ b/core/src/main/java/garnetreel/core/platform/RequestMetadata.java
@@ -3,25 +3,28 @@
 import garnetreel.codec.ProtocolException;
 
 /**
- * A client's description of the data that its request concerns, from the header field {@link HttpHeaders#METADATA}.
+ * The client's description of the data that its request accesses, read from the header field {@link
+ * HttpHeaders#METADATA}.
  *
- * @param volume 16 hexadecimal digits
- * @param units the size of the request
+ * @param volume id of the volume, 16 hexadecimal digits
+ * @param units size of the request in units
  * @param shard the shard that holds the data; -1 for a new object
- * @param gateways gateways that requests of the volume come through; 0 when not stated
+ * @param gateways number of gateways that handle requests for the volume; 0 if not specified
  */
 record RequestMetadata(String volume, int units, int shard, int gateways) {
-    /** Digits of an id: 64 bits. */
+    /** An id has 64 bits. */
     private static final int ID_DIGITS = 16;
 
     private static final int HEX_RADIX = 16;
     private static final int ASCII_SIZE = 0x80;
-    /** More digits than this are no number of units, shards or gateways. */
+    /** Numbers of units, shards and gateways with more digits are invalid. */
     private static final int MAX_NUMBER_DIGITS = 6;
 
     private static final int NEW_OBJECT = -1;
 
-    /** Reads {@code volume=16hex,units=2,shard=5,hosts=3}; unknown names are ignored. */
+    /**
+     * Parses a value of the form {@code volume=0123456789abcdef,units=2,shard=5,hosts=3}; unknown names are ignored.
+     */
     static RequestMetadata read(String text) throws ProtocolException {
         if (text == null) {
             throw new ProtocolException(HttpHeaders.METADATA + " is missing");
@@ -53,20 +56,20 @@
     }
 
     private static int number(String text) throws ProtocolException {
-        long number = DecimalText.whole(text, MAX_NUMBER_DIGITS);
+        long number = DecimalText.parseWhole(text, MAX_NUMBER_DIGITS);
         if (number < 0) {
             throw new ProtocolException(HttpHeaders.METADATA + " holds \"" + text + "\" for a number");
         }
         return (int) number;
     }
 
-    /** Whether a text is an id of the platform: 16 hexadecimal digits, in either case. */
+    /** Whether a text is a valid id: 16 hexadecimal digits, in upper or lower case. */
     static boolean isHexId(String text) {
         if (text.length() != ID_DIGITS) {
             return false;
         }
         for (int i = 0; i < ID_DIGITS; i++) {
-            // Character.digit alone would take digits of other scripts.
+            // Character.digit alone would also accept non-ASCII digits.
             if (text.charAt(i) >= ASCII_SIZE || Character.digit(text.charAt(i), HEX_RADIX) < 0) {
                 return false;
             }
--- a/core/src/main/java/garnetreel/core/platform/SendGuard.java
+++ b/core/src/main/java/garnetreel/core/platform/SendGuard.java
@@ -5,11 +5,11 @@
 import java.util.function.Predicate;
 
 /**
- * Decides whether an attempt may start, at the moment at which its bytes are encoded. Every attempt passes here: first
- * attempts, retries, and those whose connection opened late. What is denied never starts.
+ * Checks immediately before an attempt is encoded and written whether it may start. Applies to every attempt: first
+ * attempts, retries, and those that had to wait for their connection to open. An attempt that is denied never starts.
  */
 final class SendGuard {
-    /** The endpoints as the endpoint list has them. */
+    /** Looks up endpoints in the current endpoint list. */
     @FunctionalInterface
     interface EndpointLookup {
         /** Whether an endpoint accepts new requests and is listed at this address. */
@@ -18,30 +18,30 @@
 
     private final GatewayCounters counters;
     private final EndpointLookup endpoints;
-    private final Predicate<UpstreamAttempt> awaited;
+    private final Predicate<UpstreamAttempt> clientWaiting;
 
-    /** @param awaited whether the client of an attempt still waits for its response */
-    SendGuard(GatewayCounters counters, EndpointLookup endpoints, Predicate<UpstreamAttempt> awaited) {
+    /** @param clientWaiting whether the client of an attempt's request still waits for the response */
+    SendGuard(GatewayCounters counters, EndpointLookup endpoints, Predicate<UpstreamAttempt> clientWaiting) {
         this.counters = counters;
         this.endpoints = endpoints;
-        this.awaited = awaited;
+        this.clientWaiting = clientWaiting;
     }
 
     /**
      * Whether an attempt may start now; counts the decision.
      *
-     * @param address where its connection leads
+     * @param address the remote address of its connection
      */
     boolean mayStart(UpstreamAttempt attempt, String address, long now) {
-        if (!awaited.test(attempt)) {
-            counters.violated(Invariant.SENT_FOR_NOBODY);
+        if (!clientWaiting.test(attempt)) {
+            counters.violated(Invariant.SENT_WITHOUT_WAITING_CLIENT);
             return false;
         }
         if (!endpoints.acceptsRequests(attempt.node, address)) {
-            counters.violated(Invariant.SENT_TO_UNLISTED);
+            counters.violated(Invariant.SENT_TO_UNLISTED_ENDPOINT);
             return false;
         }
-        if (now >= attempt.startBefore) {
+        if (now >= attempt.startDeadline) {
             counters.count(Event.ATTEMPT_TOO_LATE);
             return false;
         }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamAttempt.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamAttempt.java
@@ -4,15 +4,15 @@
 import garnetreel.codec.http.HttpWriter;
 import java.nio.ByteBuffer;
 
-/** One attempt to have an endpoint execute a request. Compared by identity only: no two attempts are equal. */
+/** One attempt to execute a request on an endpoint. Attempts are compared by identity. */
 final class UpstreamAttempt {
-    /** The least time left that a request states, microseconds, also when its deadline is closer than that. */
+    /** Minimum value of the {@code X-Time-Left} header in microseconds, used also when the deadline is closer. */
     private static final long MIN_TIME_LEFT_MICROS = 1_000;
 
-    /** The scheduler's number of the request. */
+    /** Id of the request in scheduler events. */
     final long request;
 
-    /** Distinguishes the attempts of one request. */
+    /** Number of the attempt among those of its request, from 0. */
     final int number;
 
     /** Name of the endpoint in the endpoint list. */
@@ -20,33 +20,39 @@
 
     final long sentAt;
 
-    /** When its response is no longer waited for. */
+    /** When the attempt times out. */
     final long deadline;
 
-    /** When it may no longer start; at most the deadline. */
-    final long startBefore;
+    /** From this time on the attempt must not start any more; at most {@link #deadline}. */
+    final long startDeadline;
 
     private final HttpRequest message;
 
     UpstreamAttempt(
-            long request, int number, String node, long sentAt, long deadline, long startBefore, HttpRequest message) {
+            long request,
+            int number,
+            String node,
+            long sentAt,
+            long deadline,
+            long startDeadline,
+            HttpRequest message) {
         this.request = request;
         this.number = number;
         this.node = node;
         this.sentAt = sentAt;
         this.deadline = deadline;
-        this.startBefore = startBefore;
+        this.startDeadline = startDeadline;
         this.message = message;
     }
 
     /**
-     * Encodes the request as of the time at which it is written, because its connection may have opened late and the time
-     * that is left shrinks meanwhile.
+     * Encodes the request with the time that is left at {@code now}, the time of the write; the connection may have
+     * taken long to open.
      */
     ByteBuffer encode(long now) {
         long timeLeft = Math.max(MIN_TIME_LEFT_MICROS, deadline - now);
         HttpWriter writer = HttpWriter.request(message.method(), message.target(), HttpHeaders.HOST)
-                .field(HttpHeaders.TIME_LEFT, DecimalText.seconds(timeLeft))
+                .field(HttpHeaders.TIME_LEFT, DecimalText.formatSeconds(timeLeft))
                 .passOn(message.fields(), HttpHeaders.TIME_LEFT);
         return writer.body(message.body(), message.method().equals("PUT"));
     }
--- a/core/src/main/java/garnetreel/core/platform/package-info.java
+++ b/core/src/main/java/garnetreel/core/platform/package-info.java
@@ -1,13 +1,14 @@
 /**
- * The HTTP channel of the operators' platform, as a state machine without I/O: a {@link garnetreel.core.platform.PlatformGateway}
- * takes events of sockets and a time, and returns actions.
+ * The gateway for the HTTP protocol of the operators' platform, as a state machine without I/O: {@link
+ * garnetreel.core.platform.PlatformGateway} takes socket events and the current time, and returns actions. One such
+ * call is a turn.
  *
- * <p>A request comes in through {@code HttpClientConnections} (parsed, one in progress per connection), is validated and kept until its
- * final response by {@code HttpRequestRegistry}, and is decided on by the scheduler. Its attempts go out through {@code
- * UpstreamConnectionPool}; {@code SendGuard} is passed by each before it starts. {@code DiscoveryClient} keeps the list of
- * endpoints. {@code ResourceBounds} divides the process's descriptors and memory among them, and {@code GatewayCounters}
- * counts outcomes and violated invariants.
+ * <p>{@code HttpClientConnections} parses requests, one in progress per connection. {@code HttpRequestRegistry}
+ * validates each request and keeps it until its final response; the scheduler decides on it. Its attempts are sent by
+ * {@code UpstreamConnectionPool}, after {@code SendGuard} has checked that they may start. {@code DiscoveryClient}
+ * maintains the list of endpoints. {@code ResourceBounds} divides the file descriptors and memory of the process among
+ * these classes, and {@code GatewayCounters} counts outcomes and violated invariants.
  *
- * <p>All times are microseconds on the caller's clock. Everything in this package is used by one thread.
+ * <p>All times are in microseconds on the caller's clock. All classes of this package are used by a single thread.
  */
 package garnetreel.core.platform;
