--- a/core/src/main/java/garnetreel/core/platform/ConnectionsByAge.java
+++ b/core/src/main/java/garnetreel/core/platform/ConnectionsByAge.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * Connections in one state, in the order in which they entered it, with the time that they may spend in it. Since all have
- * the same limit, the first is the first to expire.
+ * Connections in one state, in the order in which they entered it, and the time that they may stay in it. Because the
+ * limit is the same for all, the oldest connection is the next to expire.
  */
 final class ConnectionsByAge {
-    private final long limitMicros;
+    private final long maxAgeMicros;
     private final Map<Long, UpstreamConnection> byId = new LinkedHashMap<>();
 
-    ConnectionsByAge(long limitMicros) {
-        this.limitMicros = limitMicros;
+    ConnectionsByAge(long maxAgeMicros) {
+        this.maxAgeMicros = maxAgeMicros;
     }
 
     void add(UpstreamConnection connection) {
@@ -30,20 +30,20 @@
         return byId.values();
     }
 
-    /** The connection that entered first; null when there is none. */
+    /** The connection that entered the state first; null if there is none. */
     UpstreamConnection oldest() {
         return byId.isEmpty() ? null : byId.values().iterator().next();
     }
 
-    /** The oldest connection if its time has run out, else null. */
+    /** The oldest connection if it has expired, else null. */
     UpstreamConnection expired(long now) {
         UpstreamConnection oldest = oldest();
-        return oldest != null && now - oldest.stateSince() >= limitMicros ? oldest : null;
+        return oldest != null && now - oldest.stateSince() >= maxAgeMicros ? oldest : null;
     }
 
-    /** When the oldest connection expires; {@link Long#MAX_VALUE} when there is none. */
+    /** The time at which the oldest connection expires; {@link Long#MAX_VALUE} if there is none. */
     long nextDeadline() {
         UpstreamConnection oldest = oldest();
-        return oldest == null ? Long.MAX_VALUE : oldest.stateSince() + limitMicros;
+        return oldest == null ? Long.MAX_VALUE : oldest.stateSince() + maxAgeMicros;
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
@@ -6,17 +6,18 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** One call to discovery in flight, a watch or a poll: what has been received on it, and how long it is waited for. */
+/** One HTTP call to discovery in flight, a watch or a poll: its received data and its deadline. */
 final class DiscoveryCall {
-    /** Longest JSON object, bytes: an indented list of 3,200 endpoints with long names takes 0.9 MiB. */
+    /** Maximum size of a JSON object. An indented list of 3,200 endpoints with long names takes 0.9 MiB. */
     private static final int MAX_OBJECT_BYTES = 2 << 20;
 
     private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
 
     /**
-     * How long the first response is waited for, microseconds. Guards against a discovery that is overloaded and gets
-     * nothing done: it handles calls in turn, one that waits for 1 to 2 s ends with a 503, and a caller that gives up before
-     * that wastes its turn and calls again (at 1.3 s, nineteen gateways made 239 calls in vain where 21 were enough).
+     * Maximum time to wait for the first data of a response, microseconds. Discovery handles calls one after the other
+     * and rejects a call that has waited for 1 to 2 s with status 503. A caller that gives up earlier wastes its place
+     * in the queue and calls again, so that an overloaded discovery makes no progress: with 1.3 s, nineteen gateways
+     * made 239 futile calls where 21 were enough.
      */
     private static final long RESPONSE_TIMEOUT_MICROS = 2_600_000;
 
@@ -25,7 +26,7 @@
     /** Id of the connection that carries the call. */
     final long connection;
 
-    /** Whether it is a watch; else it is a poll. */
+    /** True for a watch, false for a poll. */
     final boolean watch;
 
     private final long silenceTimeoutMicros;
@@ -37,7 +38,7 @@
     private long lastActivityAt;
     private long connectedAt;
 
-    /** @param silenceTimeoutMicros how long a watch may be silent once its response has started */
+    /** @param silenceTimeoutMicros how long a watch may receive no data once its response has started */
     DiscoveryCall(long connection, boolean watch, long silenceTimeoutMicros, long now) {
         this.connection = connection;
         this.watch = watch;
@@ -55,12 +56,12 @@
         return connected;
     }
 
-    /** When its connection opened; 0 before. */
+    /** Time at which its connection was established; 0 before. */
     long connectedAt() {
         return connectedAt;
     }
 
-    /** Whether a list or an update has arrived on it. */
+    /** Whether a list or an update was received on this call. */
     boolean isListReceived() {
         return listReceived;
     }
@@ -70,9 +71,9 @@
     }
 
     /**
-     * Reads received bytes.
+     * Parses received bytes.
      *
-     * @return the response, once it is complete; null before
+     * @return the response once it is complete; null before
      */
     HttpResponse read(ByteBuffer data, long now) throws ProtocolException {
         lastActivityAt = now;
@@ -83,27 +84,27 @@
         return response;
     }
 
-    /** Whether it is a watch that discovery has accepted: its response is the stream of updates. */
+    /** Whether this is a watch that discovery has accepted, so that its response is the stream of updates. */
     boolean isStreaming() {
         return streaming;
     }
 
-    /** The objects that the last bytes read have completed, of a response that is incomplete. */
+    /** Returns the JSON objects completed by the last bytes read, while the response as a whole is incomplete. */
     List<byte[]> takeObjects() throws ProtocolException {
         return splitter.next(parser.part());
     }
 
-    /** The objects in the body of a complete response. */
+    /** Returns the JSON objects of the body of a complete response that were not returned before. */
     List<byte[]> objectsOf(HttpResponse response) throws ProtocolException {
         return splitter.next(response.body());
     }
 
-    /** The response that the end of the connection completes, as it states no length; null when there is none. */
+    /** The response without a stated length that the end of the connection completes; null if there is none. */
     HttpResponse responseCompletedByClose() {
         return parser.ended();
     }
 
-    /** When the call has failed, unless discovery sends something before. */
+    /** The time at which the call fails unless it makes progress before. */
     long deadline() {
         if (streaming) {
             return lastActivityAt + silenceTimeoutMicros;
--- a/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
@@ -22,23 +22,27 @@
 import java.util.function.Consumer;
 
 /**
- * The client of discovery. The scheduler decides when to watch, to poll and to retry; this carries it out. It starts a call
- * of its own accord only when the address of discovery changes.
+ * Client of the discovery service, from which the gateway gets its list of endpoints. The scheduler decides when to
+ * watch, to poll and to retry; this class executes these decisions. It starts calls without the scheduler only when the
+ * address of discovery changes.
  *
- * <p>A change counts as notified 6 s after discovery had it and could be reached. So from the start of a watch's silence, or
- * from the return of a discovery that was down, to the first response there are 6 s in all, the scheduler's backoff included
- * (the sum is in docs/platform.md). Each gateway adds a random part, so that a fleet whose watches fall silent at the same
- * time does not call at the same time.
+ * <p>The platform considers a gateway notified of a change 6 s after discovery had the change and could be reached.
+ * Therefore the first response has to arrive within 6 s after a watch stops receiving data, or after discovery becomes
+ * available again, including the scheduler's backoff (docs/platform.md itemises this budget). Each gateway adds random
+ * jitter, so that gateways whose watches fail at the same time do not all call at the same time.
  */
 final class DiscoveryClient implements ConnectionHandler {
-    /** A watch without data for this long, and up to a random part longer, is broken, microseconds: it has some every 2 s. */
+    /**
+     * Time without data after which a watch has failed, microseconds; jitter is added to it. Discovery sends data on a
+     * watch every 2 s.
+     */
     private static final long SILENCE_TIMEOUT_MICROS = 2_700_000;
 
     private static final long SILENCE_JITTER_MICROS = 400_000;
 
     /**
-     * A call that is rejected within this time of connecting has not waited for its turn, microseconds: discovery runs, and
-     * too many calls wait.
+     * A call that is rejected within this time after connecting was not queued, microseconds: discovery is running, but
+     * too many calls are waiting.
      */
     private static final long IMMEDIATE_REJECTION_MICROS = 500_000;
 
@@ -49,7 +53,7 @@
     private final ConnectionIdAllocator connectionIds;
     private final Consumer<SchedulerEvent> events;
     private final UpstreamConnectionPool pool;
-    private final EndpointListReceiver list;
+    private final EndpointListReceiver listReceiver;
     private final SplittableRandom random;
     private String address;
     private boolean watchRequested;
@@ -57,7 +61,7 @@
     private DiscoveryCall poll;
     private List<NetAction> actions = new ArrayList<>();
     private long now;
-    private long receivedAt;
+    private long dataReceivedAt;
 
     DiscoveryClient(
             PlatformSettings settings,
@@ -67,49 +71,49 @@
         this.connectionIds = connectionIds;
         this.events = events;
         this.pool = pool;
-        this.list = new EndpointListReceiver(pool, events);
+        this.listReceiver = new EndpointListReceiver(pool, events);
         this.address = settings.discoveryAddress();
         this.random = new SplittableRandom(settings.seed());
     }
 
     /**
-     * Starts a turn.
+     * Starts a turn of the event loop.
      *
-     * @param since time at which the data of this turn was received at the earliest
-     * @param turnActions takes the actions of this turn
+     * @param earliestReceivedAt earliest time at which data that is handled in this turn may have been received
+     * @param turnActions the list to which the actions of this turn are added
      */
-    void beginTurn(long time, long since, List<NetAction> turnActions) {
+    void beginTurn(long time, long earliestReceivedAt, List<NetAction> turnActions) {
         now = time;
-        receivedAt = since;
+        dataReceivedAt = earliestReceivedAt;
         actions = turnActions;
     }
 
-    /** Starts with the cached list. */
+    /** Starts with the endpoint list cached before this gateway's start. */
     void restore(ListUpdate cached) {
-        list.restore(cached, now);
+        listReceiver.restore(cached, now);
     }
 
-    /** Subscribes to changes, unless a watch is in flight, or ends the subscription. */
+    /** Starts a watch unless one is in flight, or ends it. */
     void setSubscribed(boolean subscribe) {
         watchRequested = subscribe;
         if (!subscribe) {
             abort(watch);
             watch = null;
         } else if (watch == null) {
-            watch = call(true);
+            watch = startCall(true);
         }
     }
 
-    /** Asks for the complete list once, unless a poll is in flight. */
+    /** Requests the complete list once, unless a poll is in flight. */
     void poll() {
         if (poll == null) {
-            poll = call(false);
+            poll = startCall(false);
         }
     }
 
     /**
-     * Takes a new configuration. The scheduler learns of it also when the address is the same, because a change counts as
-     * notified sooner after a new configuration.
+     * Applies the address of discovery from a new configuration. The scheduler is notified even if the address is the
+     * same, because after a reconfiguration the platform considers the gateway notified of a change sooner.
      */
     void redirect(String newAddress) {
         events.accept(new DiscoveryAddressChanged());
@@ -118,47 +122,52 @@
         }
         actions.add(new NetAction.Log(Level.INFO, "discovery moves from " + address + " to " + newAddress));
         address = newAddress;
-        list.requireSnapshot();
-        // A call in flight at the old address could be answered after the new one; a backoff was meant for the old one.
+        listReceiver.requireSnapshot();
+        // Calls to the old address are aborted, since it could respond later than the new one. The new calls start
+        // without
+        // a backoff, which applied to the old address.
         abort(watch);
         watch = null;
         setSubscribed(watchRequested);
         if (poll != null) {
             abort(poll);
-            poll = call(false);
+            poll = startCall(false);
         }
     }
 
-    private DiscoveryCall call(boolean watching) {
+    private DiscoveryCall startCall(boolean isWatch) {
         long silenceTimeout = SILENCE_TIMEOUT_MICROS + random.nextLong(SILENCE_JITTER_MICROS);
-        DiscoveryCall call = new DiscoveryCall(connectionIds.next(), watching, silenceTimeout, now);
+        DiscoveryCall call = new DiscoveryCall(connectionIds.next(), isWatch, silenceTimeout, now);
         actions.add(new NetAction.Connect(call.connection, address));
         return call;
     }
 
     @Override
     public boolean owns(long connection) {
-        return carries(watch, connection) || carries(poll, connection);
+        return usesConnection(watch, connection) || usesConnection(poll, connection);
     }
 
-    private static boolean carries(DiscoveryCall call, long connection) {
+    private static boolean usesConnection(DiscoveryCall call, long connection) {
         return call != null && call.connection == connection;
     }
 
     private DiscoveryCall callOn(long connection) {
-        return carries(watch, connection) ? watch : poll;
+        return usesConnection(watch, connection) ? watch : poll;
     }
 
     @Override
     public void connected(long connection) {
         DiscoveryCall call = callOn(connection);
         call.connected(now);
-        String target = call.watch ? list.watchTarget() : HttpHeaders.LIST;
+        String target = call.watch ? listReceiver.watchTarget() : HttpHeaders.LIST;
         ByteBuffer request = HttpWriter.request("GET", target, HttpHeaders.HOST).body(EMPTY_BODY, false);
         actions.add(new NetAction.Write(connection, request));
     }
 
-    /** @param orderly discovery ended its output, which completes a response without a length; after a reset it is cut short */
+    /**
+     * Handles the end of a connection. An orderly end completes a response without a stated length; after a reset such
+     * a response may be truncated.
+     */
     @Override
     public void closed(NetEvent.Closed event) {
         DiscoveryCall call = callOn(event.connectionId());
@@ -168,18 +177,18 @@
             return;
         }
         try {
-            completed(call, response);
+            handleResponse(call, response);
         } catch (ProtocolException | JsonException e) {
-            failed(call, e.getMessage());
+            handleFailure(call, e.getMessage());
         }
     }
 
     private void closedWithoutResponse(DiscoveryCall call) {
         if (call.isListReceived()) {
             events.accept(new DiscoveryObserved(false));
-            failed(call, "its connection was closed");
+            handleFailure(call, "connection closed after the endpoint list was received");
         } else {
-            failed(call, "its connection was closed before a response");
+            handleFailure(call, "connection closed before a complete response was received");
         }
     }
 
@@ -189,23 +198,23 @@
         try {
             HttpResponse response = call.read(data, now);
             if (response != null) {
-                completed(call, response);
+                handleResponse(call, response);
             } else if (call.isStreaming()) {
-                take(call, call.takeObjects());
-                confirm(call);
+                applyUpdates(call, call.takeObjects());
+                confirmListIsCurrent(call);
             }
         } catch (ProtocolException | JsonException e) {
             abort(call);
-            failed(call, e.getMessage());
+            handleFailure(call, e.getMessage());
         }
     }
 
-    /** A call has its complete response; for a watch that is its end. */
-    private void completed(DiscoveryCall call, HttpResponse response) throws JsonException, ProtocolException {
+    /** Handles the complete response of a call. For a watch, it is the end of the subscription. */
+    private void handleResponse(DiscoveryCall call, HttpResponse response) throws JsonException, ProtocolException {
         boolean ok = response.status() == STATUS_OK;
         if (ok) {
-            take(call, call.objectsOf(response));
-            confirm(call);
+            applyUpdates(call, call.objectsOf(response));
+            confirmListIsCurrent(call);
         }
         abort(call);
         if (response.status() == STATUS_UNAVAILABLE && now - call.connectedAt() < IMMEDIATE_REJECTION_MICROS) {
@@ -214,29 +223,30 @@
             events.accept(new DiscoveryObserved(false));
         }
         if (!ok) {
-            failed(call, "answered " + response.status());
+            handleFailure(call, "request failed with HTTP status " + response.status());
         } else if (call.watch) {
-            failed(call, "the watch ended");
+            handleFailure(call, "watch ended by discovery");
         } else {
             poll = null;
         }
     }
 
-    private void take(DiscoveryCall call, List<byte[]> objects) throws JsonException, ProtocolException {
+    private void applyUpdates(DiscoveryCall call, List<byte[]> objects) throws JsonException, ProtocolException {
         for (byte[] object : objects) {
-            list.take(ListUpdate.read(Json.parse(object, 0, object.length, "list")), now);
+            listReceiver.take(ListUpdate.read(Json.parse(object, 0, object.length, "list")), now);
             if (!call.isListReceived()) {
                 call.listReceived();
-                String text = "discovery: " + pool.endpointCount() + " endpoints in version " + list.version();
+                String text = "discovery: endpoint list has " + pool.endpointCount() + " endpoints, version "
+                        + listReceiver.version();
                 actions.add(new NetAction.Log(Level.INFO, text));
             }
         }
     }
 
-    /** Any data on a call that has delivered the list shows that the list is current. */
-    private void confirm(DiscoveryCall call) {
+    /** Records that the list is current, which any data shows that arrives on a call that has delivered the list. */
+    private void confirmListIsCurrent(DiscoveryCall call) {
         if (call.isListReceived()) {
-            list.confirm(receivedAt);
+            listReceiver.confirm(dataReceivedAt);
         }
     }
 
@@ -246,7 +256,7 @@
         }
     }
 
-    private void failed(DiscoveryCall call, String reason) {
+    private void handleFailure(DiscoveryCall call, String reason) {
         actions.add(new NetAction.Log(Level.INFO, "discovery: " + reason));
         if (call == watch) {
             watch = null;
@@ -256,7 +266,7 @@
         events.accept(new EndpointUpdate(EndpointUpdateKind.UNAVAILABLE, List.of()));
     }
 
-    /** When {@link #expire} has something to do next. */
+    /** The time at which {@link #expire} next has to be called. */
     long nextDeadline() {
         return Math.min(deadlineOf(watch), deadlineOf(poll));
     }
@@ -265,7 +275,7 @@
         return call == null ? Long.MAX_VALUE : call.deadline();
     }
 
-    /** Fails the calls that have run out of time. */
+    /** Fails the calls whose deadline has passed. */
     void expire() {
         expire(watch);
         expire(poll);
@@ -279,6 +289,6 @@
         if (call.isConnected() && !call.isListReceived()) {
             events.accept(new DiscoveryObserved(true));
         }
-        failed(call, "silent");
+        handleFailure(call, "call timed out");
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/EndpointIncarnations.java
+++ b/core/src/main/java/garnetreel/core/platform/EndpointIncarnations.java
@@ -8,38 +8,38 @@
 import java.util.Map;
 
 /**
- * When the endpoints' processes started, on this process's monotonic clock. The endpoint list states it in wall-clock time,
- * which may have been stepped by an hour between that start and now, on one machine or on all. So the start of an
- * incarnation is estimated once, when it is first reported:
+ * Estimates when the endpoints' processes started, on this process's monotonic clock. An incarnation is one run of an
+ * endpoint's process. The endpoint list states start times in wall-clock time, which may have been stepped by an hour
+ * since, on one machine or on all. Therefore the start of an incarnation is estimated once, when it is first reported:
  *
  * <ul>
- * <li>one in the future counts as now: an endpoint is better taken for colder than it is;
- * <li>one that was not in the list that was current lately is no earlier than that list, less the time that discovery may
- * take to report it.
+ * <li>A start in the future counts as now, since it is safer to treat an endpoint as less warmed up than it is.
+ * <li>An incarnation that was absent from the previous list started no earlier than the time at which that list was
+ * last known to be current, less the time that discovery may take to report a start.
  * </ul>
  */
 final class EndpointIncarnations {
-    /** How late discovery may report a start, microseconds. */
+    /** Maximum delay with which discovery reports a start, microseconds. */
     private static final long MAX_REPORT_DELAY_MICROS = 2_000_000;
-    /** Endpoints that are remembered, also after their removal: several times the largest fleet. */
+    /** Maximum number of endpoints remembered, including removed ones; several times the largest fleet. */
     private static final int MAX_REMEMBERED = 16_384;
 
     /**
      * The start of one incarnation.
      *
-     * @param reportedAs the start as the list states it, which identifies the incarnation
-     * @param estimate the start on this process's clock
+     * @param reportedStart the start as the endpoint list states it; identifies the incarnation
+     * @param estimatedStart the start on this process's clock, microseconds
      */
-    private record Start(long reportedAs, long estimate) {}
+    private record Start(long reportedStart, long estimatedStart) {}
 
-    /** Least recently reported first. */
+    /** By endpoint name; the least recently reported endpoint comes first. */
     private final Map<String, Start> starts = new LinkedHashMap<>();
 
     /**
-     * Replaces the start times of an update by times on this process's clock.
+     * Replaces the start times of an update by estimates on this process's clock.
      *
-     * @param now this process's time, microseconds
-     * @param listCurrentAt when the previous list was last known to be current; negative when there was no such list
+     * @param now current time on this process's clock, microseconds
+     * @param listCurrentAt time at which the previous list was last known to be current; negative if there was none
      */
     ListUpdate resolve(ListUpdate update, long now, long listCurrentAt) {
         List<ListUpdate.Entry> entries = new ArrayList<>(update.entries().size());
@@ -54,24 +54,24 @@
             return endpoint;
         }
         String name = endpoint.address();
-        long reportedAs = endpoint.startedAt();
+        long reportedStart = endpoint.startedAt();
         Start start = starts.remove(name);
-        if (start == null || start.reportedAs() != reportedAs) {
-            start = new Start(reportedAs, estimate(reportedAs, now, listCurrentAt));
+        if (start == null || start.reportedStart() != reportedStart) {
+            start = new Start(reportedStart, estimateStart(reportedStart, now, listCurrentAt));
         }
         starts.put(name, start);
         if (starts.size() > MAX_REMEMBERED) {
             starts.remove(starts.keySet().iterator().next());
         }
         return new EndpointEntry(
-                name, endpoint.zone(), endpoint.shard(), endpoint.state(), endpoint.weight(), start.estimate());
+                name, endpoint.zone(), endpoint.shard(), endpoint.state(), endpoint.weight(), start.estimatedStart());
     }
 
-    private static long estimate(long reportedAs, long now, long listCurrentAt) {
-        if (reportedAs <= 0) {
-            return 0; // long ago
+    private static long estimateStart(long reportedStart, long now, long listCurrentAt) {
+        if (reportedStart <= 0) {
+            return 0; // no start time stated: treated as started long ago
         }
-        long startedAt = Math.min(reportedAs, now);
+        long startedAt = Math.min(reportedStart, now);
         if (listCurrentAt < 0) {
             return startedAt;
         }
--- a/core/src/main/java/garnetreel/core/platform/EndpointListReceiver.java
+++ b/core/src/main/java/garnetreel/core/platform/EndpointListReceiver.java
@@ -6,21 +6,18 @@
 import garnetreel.policy.event.SchedulerEvent;
 import java.util.function.Consumer;
 
-/**
- * Takes updates of the endpoint list in the order of their versions and passes them on to the connection pool and the
- * scheduler.
- */
+/** Checks the versions of endpoint list updates and passes the updates on to the connection pool and the scheduler. */
 final class EndpointListReceiver {
     private static final long NEVER = -1;
 
     private final UpstreamConnectionPool pool;
     private final Consumer<SchedulerEvent> events;
     private final EndpointIncarnations incarnations = new EndpointIncarnations();
-    /** When the list was last known to be current. */
-    private long currentAt = NEVER;
+    /** Time at which the list was last known to be current. */
+    private long listCurrentAt = NEVER;
 
     private long version;
-    /** Whether the next update has to be a complete list, which is taken whatever its version. */
+    /** Whether the next update has to be a complete list, which is then accepted regardless of its version. */
     private boolean snapshotRequired;
 
     EndpointListReceiver(UpstreamConnectionPool pool, Consumer<SchedulerEvent> events) {
@@ -28,42 +25,47 @@
         this.events = events;
     }
 
-    /** Starts with the cached list. It may be old, so discovery has to send a complete one first. */
+    /**
+     * Starts with the cached list. It may be outdated, so the first update from discovery has to be a complete list.
+     */
     void restore(ListUpdate cached, long now) {
         snapshotRequired = true;
-        ListUpdate resolved = incarnations.resolve(cached, now, currentAt);
+        ListUpdate resolved = incarnations.resolve(cached, now, listCurrentAt);
         pool.applyUpdate(resolved);
         events.accept(new EndpointListConfirmed(now));
         events.accept(resolved.toEvent(EndpointUpdateKind.CACHED));
     }
 
-    /** Requires a complete list next: the versions of another discovery are not comparable. */
+    /**
+     * Requires the next update to be a complete list, because the versions of different discovery instances are not
+     * comparable.
+     */
     void requireSnapshot() {
         snapshotRequired = true;
     }
 
-    /** Version of the last list or change that was taken. */
+    /** Version of the last update that was accepted. */
     long version() {
         return version;
     }
 
-    /** The target of a watch: from the last version taken, or from a complete list. */
+    /** The request target of a watch: for the changes since the last accepted version, or for a complete list first. */
     String watchTarget() {
         String target = HttpHeaders.LIST + "?watch=1";
         return snapshotRequired ? target : target + "&from=" + version;
     }
 
     /**
-     * Takes an update.
+     * Applies an update.
      *
-     * <p>An older version than the last one is not taken, since it would restore endpoints that are known to be removed. The
-     * next call then requires a complete list, which is taken whatever its version; so a discovery whose versions start anew
-     * is believed the second time.
+     * <p>An update with an older version than the last one is rejected, because it would restore endpoints that are
+     * known to be removed. The next update then has to be a complete list, which is accepted regardless of its version,
+     * so that a discovery whose versions were reset is accepted at the second attempt.
      *
-     * @throws ProtocolException when the version is older, or a complete list is required and this is none
+     * @throws ProtocolException if the version is older, or a complete list is required and the update is not one
      */
     void take(ListUpdate received, long now) throws ProtocolException {
-        ListUpdate update = incarnations.resolve(received, now, currentAt);
+        ListUpdate update = incarnations.resolve(received, now, listCurrentAt);
         if (!snapshotRequired && update.version() < version) {
             snapshotRequired = true;
             throw new ProtocolException("version went back from " + version + " to " + update.version());
@@ -77,9 +79,11 @@
         events.accept(update.toEvent(update.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA));
     }
 
-    /** The list was current at a time, as any data on a call that has delivered it shows. */
+    /**
+     * Records that the list was current at a time. Any data on a call that has delivered the list is evidence of that.
+     */
     void confirm(long asOf) {
-        currentAt = asOf;
+        listCurrentAt = asOf;
         events.accept(new EndpointListConfirmed(asOf));
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/HealthChecks.java
+++ b/core/src/main/java/garnetreel/core/platform/HealthChecks.java
@@ -7,9 +7,11 @@
 import java.nio.ByteBuffer;
 import java.util.Map;
 
-/** The health checks in flight: what they send, how long they may take and how their results are read. */
+/**
+ * Health checks of endpoints: their request, their timeout, the evaluation of their results and the checks in flight.
+ */
 final class HealthChecks {
-    /** A check without a response within this time has failed, microseconds. */
+    /** A check that has no complete response within this time fails, microseconds. */
     private static final long TIMEOUT_MICROS = 1_000_000;
 
     private static final int STATUS_OK = 200;
@@ -38,11 +40,11 @@
     }
 
     /**
-     * The result of a check. An endpoint is healthy if it responds with 200, also when the body is empty, which for an
-     * attempt would be an error.
+     * Returns the result of a check. An endpoint that responds with status 200 is healthy, even if the body is empty,
+     * which for an attempt would be an error.
      *
-     * @param outcome how the exchange would have ended for an attempt
-     * @param response null when there was no complete one
+     * @param outcome the outcome that an attempt would have had
+     * @param response the complete response; null if there was none
      */
     static HealthCheckCompleted result(String endpoint, Outcome outcome, long elapsed, HttpResponse response) {
         if (response != null && response.status() == STATUS_OK) {
@@ -52,7 +54,7 @@
         return new HealthCheckCompleted(endpoint, failure, elapsed, Map.of());
     }
 
-    /** The result of a check for which there was no connection. */
+    /** Returns the result of a check for which no connection could be acquired. */
     static HealthCheckCompleted notConnected(String endpoint) {
         return new HealthCheckCompleted(endpoint, Outcome.CONNECT_FAILED, 0, Map.of());
     }
--- a/core/src/main/java/garnetreel/core/platform/JsonFrameSplitter.java
+++ b/core/src/main/java/garnetreel/core/platform/JsonFrameSplitter.java
@@ -7,27 +7,27 @@
 import java.util.List;
 
 /**
- * Splits a stream of bytes into JSON objects by their braces; between objects only whitespace is allowed. Guards against
- * splitting it by lines: an object may be indented over many lines, several may be on one line, and one may arrive in
- * pieces. It does not check that an object is valid JSON.
+ * Splits a byte stream into JSON objects by matching braces. Only whitespace is allowed between objects. Lines can't
+ * serve as delimiters, because an object may span several lines, a line may hold several objects, and an object may
+ * arrive in several pieces. The splitter does not check that an object is valid JSON.
  */
 final class JsonFrameSplitter {
     private static final int INITIAL_CAPACITY_BYTES = 64;
 
     private final int maxObjectBytes;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream(INITIAL_CAPACITY_BYTES);
-    /** Braces that are open; 0 between objects. */
+    /** Number of open braces; 0 between objects. */
     private int depth;
 
     private boolean inString;
     private boolean escaped;
 
-    /** @param maxObjectBytes longest object; a longer one is a protocol error */
+    /** @param maxObjectBytes maximum size of an object; a larger one is a protocol error */
     JsonFrameSplitter(int maxObjectBytes) {
         this.maxObjectBytes = maxObjectBytes;
     }
 
-    /** Takes the next piece of the stream; returns the objects that it completes. */
+    /** Consumes the next piece of the stream. Returns the objects that it completes. */
     List<byte[]> next(byte[] piece) throws ProtocolException {
         List<byte[]> complete = new ArrayList<>(1);
         for (byte octet : piece) {
@@ -44,11 +44,11 @@
     private static void requireWhitespace(byte octet) throws ProtocolException {
         if (octet != '\n' && octet != '\r' && octet != ' ' && octet != '\t') {
             String text = new String(new byte[] {octet}, StandardCharsets.ISO_8859_1);
-            throw new ProtocolException("not the start of a JSON object: " + text);
+            throw new ProtocolException("expected the start of a JSON object, got: " + text);
         }
     }
 
-    /** Appends a byte to the object; true when it is the object's last. */
+    /** Appends a byte to the current object. Returns true if the byte completes the object. */
     private boolean append(byte octet) throws ProtocolException {
         if (object.size() == maxObjectBytes) {
             throw new ProtocolException("a JSON object of more than " + maxObjectBytes + " bytes");
--- a/core/src/main/java/garnetreel/core/platform/ListUpdate.java
+++ b/core/src/main/java/garnetreel/core/platform/ListUpdate.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * One message of discovery about the endpoint list.
+ * One message from discovery about the endpoint list.
  *
- * @param version the list's version with this update
+ * @param version version of the endpoint list after this update
  * @param complete true for the complete list, false for the entries that changed
  */
 record ListUpdate(long version, boolean complete, List<Entry> entries) {
@@ -21,38 +21,38 @@
     /**
      * One endpoint.
      *
-     * @param address where this gateway reaches it
-     * @param endpoint the endpoint as the scheduler knows it
+     * @param address the address to which this gateway connects
+     * @param endpoint the endpoint as passed to the scheduler
      */
     record Entry(String address, EndpointEntry endpoint) {}
 
     /**
      * Decodes a message.
      *
-     * @throws JsonException when a field is missing or has the wrong form
+     * @throws JsonException if a field is missing or malformed
      */
     static ListUpdate read(Json json) throws JsonException {
         List<Entry> entries = new ArrayList<>();
-        for (Json host : json.children("hosts")) {
-            entries.add(readEntry(host));
+        for (Json entry : json.children("hosts")) {
+            entries.add(readEntry(entry));
         }
         return new ListUpdate(json.need("seq").whole("seq", 0), json.flag("whole", false), entries);
     }
 
-    private static Entry readEntry(Json host) throws JsonException {
-        EndpointState state = readState(host.text("health", "up"));
-        String address = host.text("dial", "");
+    private static Entry readEntry(Json json) throws JsonException {
+        EndpointState state = readState(json.text("health", "up"));
+        String address = json.text("dial", "");
         EndpointEntry endpoint = new EndpointEntry(
-                host.need("host").text("host", ""),
-                host.text("site", ""),
-                (int) host.whole("block", 0),
+                json.need("host").text("host", ""),
+                json.text("site", ""),
+                (int) json.whole("block", 0),
                 state,
-                host.number("share", 1),
-                host.whole("born_ms", 0) * MICROS_PER_MILLI);
+                json.number("share", 1),
+                json.whole("born_ms", 0) * MICROS_PER_MILLI);
         return new Entry(address, endpoint);
     }
 
-    /** A state that is not known counts as draining: an endpoint that is not surely up gets no new requests. */
+    /** An unknown state counts as draining, so that only endpoints known to be up get new requests. */
     private static EndpointState readState(String health) {
         return switch (health) {
             case "up" -> EndpointState.UP;
@@ -61,7 +61,7 @@
         };
     }
 
-    /** The update as an event for the scheduler. */
+    /** Converts the update to an event for the scheduler. */
     EndpointUpdate toEvent(EndpointUpdateKind kind) {
         return new EndpointUpdate(kind, entries.stream().map(Entry::endpoint).toList());
     }
--- a/core/src/main/java/garnetreel/core/platform/LoadReport.java
+++ b/core/src/main/java/garnetreel/core/platform/LoadReport.java
@@ -6,21 +6,27 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads an upstream's load report. A malformed one counts as none: the response that carries it is still good. */
+/**
+ * Parses the load report of an upstream. A malformed report is ignored, because the response that carries it is still
+ * valid.
+ */
 final class LoadReport {
-    /** What errors of the JSON parser call the document. */
+    /** Name of the document in error messages of the JSON parser. */
     private static final String DOCUMENT_NAME = "load";
-    /** A report with more fields counts as malformed; bounds what one response adds to memory. */
+    /** A report with more fields counts as malformed, which limits the memory that one response can occupy. */
     private static final int MAX_FIELDS = 32;
 
     private LoadReport() {}
 
-    /** @param text null for no report */
+    /** @param text the report; null if there is none */
     static Map<String, Double> read(String text) {
         return text == null ? Map.of() : read(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The report's numbers that are finite and not negative, in its order; empty for no report or a malformed one. */
+    /**
+     * Returns the report's finite, non-negative numbers in their original order; empty if the report is empty or
+     * malformed.
+     */
     static Map<String, Double> read(byte[] text) {
         if (text.length == 0) {
             return Map.of();
--- a/core/src/main/java/garnetreel/core/platform/MalformedResponseLog.java
+++ b/core/src/main/java/garnetreel/core/platform/MalformedResponseLog.java
@@ -5,15 +5,18 @@
 import java.util.List;
 
 /**
- * Logs malformed responses at a limited rate. Guards against a defect of the gateway that takes good responses for
- * malformed ones and shows in no other place.
+ * Logs malformed responses at a limited rate. A defect of the gateway's parser that rejects valid responses would not
+ * be visible anywhere else.
  */
 final class MalformedResponseLog {
-    /** Shortest time between two messages, microseconds: one faulty endpoint must not flood the log. */
+    /** Minimum time between two messages, microseconds, so that one faulty endpoint can't flood the log. */
     private static final long MIN_INTERVAL_MICROS = 5_000_000;
 
     private long count;
-    /** Half of the least value, so that the subtraction from any time does not overflow. */
+    /**
+     * Time of the last message. Starts at half of the minimum value, so that subtracting it from any time can't
+     * overflow.
+     */
     private long loggedAt = Long.MIN_VALUE / 2;
 
     void report(String endpoint, String reason, long now, List<NetAction> actions) {
--- a/core/src/main/java/garnetreel/core/platform/ResourceBounds.java
+++ b/core/src/main/java/garnetreel/core/platform/ResourceBounds.java
@@ -1,64 +1,71 @@
 package garnetreel.core.platform;
 
 /**
- * How the limits on a gateway's process are divided. When one is reached: of clients' connections one on which nothing was
- * received is closed first, then an idle one, then the new one; of connections to upstreams an idle one is closed, and where there
- * is none the attempt counts as unable to connect; a request is rejected.
+ * Divides the descriptors and the memory of a gateway's process among clients, upstreams and requests. When a limit is
+ * reached:
+ *
+ * <ul>
+ * <li>Client connections: one on which nothing was received is closed; if there is none, an idle one; otherwise the new
+ * one.
+ * <li>Upstream connections: an idle one is closed; if there is none, the attempt is not started.
+ * <li>Requests: the new request is rejected.
+ * </ul>
  *
  * @param maxClients connections from clients
- * @param maxUpstreamConnections connections to upstreams, established or being opened
- * @param maxRequests active requests, those included whose client has disconnected and whose attempt is in flight
- * @param maxBufferedBytes bytes of request bodies; as many of responses being received; as many of responses that clients have not
- *     read. Beyond it a request is rejected, a response counts as malformed, the client that has been reading for longest is
- *     disconnected
- * @param maxResponseBytes bytes of one response; a longer one counts as malformed. The platform's page says 64 KiB, its upstreams
- *     send 400
+ * @param maxUpstreamConnections connections to upstreams, established or being established
+ * @param maxRequests active requests, including those whose client has disconnected while an attempt is in flight
+ * @param maxBufferedBytes bytes that may be buffered of each of three kinds: request bodies, responses being received,
+ *     and responses not yet read by clients. Above the limit, the request is rejected, the response counts as
+ *     malformed, or the client that has been reading for longest is disconnected
+ * @param maxResponseBytes bytes of one response; a larger one counts as malformed. The platform's documentation states
+ *     64 KiB; its upstreams send 400 bytes
  */
 record ResourceBounds(
         int maxClients, int maxUpstreamConnections, int maxRequests, int maxBufferedBytes, int maxResponseBytes) {
     /**
-     * Descriptors for all else: about 20 files of the JVM, the selector, the listener, discovery, connections that are being
-     * closed, and what is accepted before the limit on maxClients is applied.
+     * Descriptors reserved for everything else: about 20 files of the JVM, the selector, the listener, discovery,
+     * connections that are being closed, and connections accepted before maxClients is enforced.
      */
     private static final int RESERVED_SOCKETS = 72;
-    /** Part of the reserve for maxClients' connections over their limit, and for those that are being closed. */
-    private static final int CLIENTS_OVER_LIMIT = 36;
-    /** Upstreams get 1/3 of the remaining descriptors: there are fewer attempts than maxRequests. */
+    /** Part of the reserve that covers client connections above maxClients and those that are being closed. */
+    private static final int MAX_CLIENTS_OVER_LIMIT = 36;
+    /** Upstreams get 1/3 of the remaining descriptors, because fewer attempts than maxRequests are in flight. */
     private static final int UPSTREAM_DIVISOR = 3;
-    /** Requests per connection of a client: one in progress, and one whose client has disconnected. */
+    /** Requests per client connection: one in progress, and one whose client has disconnected. */
     private static final int REQUESTS_PER_CLIENT = 2;
-    /** Connections that each side gets at least. */
+    /** Minimum number of connections for clients and for upstreams. */
     private static final int MIN_CONNECTIONS = 8;
-    /** Fewer descriptors can't be divided. */
+    /** Minimum number of descriptors that allows the minimum number of connections on both sides. */
     static final int MIN_SOCKETS = RESERVED_SOCKETS + 2 * MIN_CONNECTIONS;
-    /** More memory than this, MiB, raises no limit. */
+    /** Memory above this, MiB, does not raise the limits. */
     private static final int MAX_MEMORY_MB = 1024;
 
     private static final int MB_SHIFT = 20;
-    /** Each kind of body may use 1/16 of the memory. */
-    private static final int BYTES_DIVISOR = 16;
+    /** Each of the three kinds of buffered bytes may use 1/16 of the memory. */
+    private static final int BUFFER_DIVISOR = 16;
     /** One response may use 1/64 of the memory. */
     private static final int RESPONSE_DIVISOR = 64;
 
     /**
-     * Clients' connections that may be open at once, those included that the gateway has not been notified of or has closed. Guards
-     * against a burst that takes the descriptors of upstreams and discovery before the gateway had a turn in which to evict.
+     * Maximum number of client sockets open at once, including those that the gateway has not been notified of yet and
+     * those that it is closing. Otherwise a burst of connections could take the descriptors of upstreams and discovery
+     * before the gateway gets a turn in which to evict connections.
      */
     int maxAccepted() {
-        return maxClients + CLIENTS_OVER_LIMIT;
+        return maxClients + MAX_CLIENTS_OVER_LIMIT;
     }
 
-    /** Divides what the process may use. */
+    /** Computes the division from the limits of the process. */
     static ResourceBounds of(PlatformSettings.Limits limits) {
-        int sockets = limits.sockets() - RESERVED_SOCKETS;
-        int upstreams = Math.max(MIN_CONNECTIONS, sockets / UPSTREAM_DIVISOR);
-        int maxClients = Math.max(MIN_CONNECTIONS, sockets - upstreams);
-        int memory = Math.min(limits.memoryMb(), MAX_MEMORY_MB) << MB_SHIFT;
+        int availableSockets = limits.sockets() - RESERVED_SOCKETS;
+        int maxUpstreamConnections = Math.max(MIN_CONNECTIONS, availableSockets / UPSTREAM_DIVISOR);
+        int maxClients = Math.max(MIN_CONNECTIONS, availableSockets - maxUpstreamConnections);
+        int memoryBytes = Math.min(limits.memoryMb(), MAX_MEMORY_MB) << MB_SHIFT;
         return new ResourceBounds(
                 maxClients,
-                upstreams,
+                maxUpstreamConnections,
                 REQUESTS_PER_CLIENT * maxClients,
-                memory / BYTES_DIVISOR,
-                memory / RESPONSE_DIVISOR);
+                memoryBytes / BUFFER_DIVISOR,
+                memoryBytes / RESPONSE_DIVISOR);
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnection.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnection.java
@@ -6,8 +6,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * The state of one connection to an endpoint. It is unassigned, or it carries one attempt or one health check; that may be
- * assigned before the connection is open.
+ * The state of one connection to an endpoint. A connection is unassigned, or carries one attempt or one health check,
+ * which may be assigned before the connection is open.
  */
 final class UpstreamConnection {
     final long id;
@@ -15,18 +15,18 @@
     /** Name of the endpoint in the endpoint list. */
     final String endpoint;
 
-    /** Where the connection leads. Kept beside the name, because an endpoint may move to another address. */
+    /** Remote address. Kept in addition to the name, because the address of an endpoint may change. */
     final String address;
 
     private final HttpResponseParser parser;
     private UpstreamAttempt attempt;
     private boolean healthCheck;
     private boolean open;
-    private int undrainedBytes;
+    private int unsentBytes;
     private int bufferedBytes;
     private long stateSince;
 
-    /** @param maxResponseBytes longest body of a response; a longer one is malformed */
+    /** @param maxResponseBytes maximum size of a response body; a larger one counts as malformed */
     UpstreamConnection(long id, String endpoint, String address, int maxResponseBytes, long now) {
         this.parser = new HttpResponseParser(maxResponseBytes);
         this.id = id;
@@ -35,7 +35,7 @@
         this.stateSince = now;
     }
 
-    /** When it started to connect, was last written to or last became idle. */
+    /** The latest of: the start of connecting, the last write of a request, and the time it last became idle. */
     long stateSince() {
         return stateSince;
     }
@@ -56,7 +56,7 @@
         return attempt != null || healthCheck;
     }
 
-    /** The attempt that it carries; null when it carries none. */
+    /** The assigned attempt; null if there is none. */
     UpstreamAttempt attempt() {
         return attempt;
     }
@@ -73,48 +73,48 @@
         healthCheck = true;
     }
 
-    /** Ends the assignment. */
+    /** Makes the connection unassigned. */
     void release() {
         attempt = null;
         healthCheck = false;
     }
 
-    /** A request of this size is being written. */
+    /** Records that the write of a request of this size has started. */
     void writing(int bytes, long now) {
         stateSince = now;
-        undrainedBytes = bytes;
+        unsentBytes = bytes;
     }
 
-    /** Bytes of the request have left. */
+    /** Records that bytes of the request were passed to the socket. */
     void drained(int bytes) {
-        undrainedBytes -= bytes;
+        unsentBytes -= bytes;
     }
 
     boolean hasUndrainedBytes() {
-        return undrainedBytes > 0;
+        return unsentBytes > 0;
     }
 
-    /** Whether its request has been sent completely, so that it can no longer be kept from being executed. */
+    /** Whether the request was sent completely, so that the endpoint may execute it. */
     boolean isRequestSent() {
         return open && !hasUndrainedBytes();
     }
 
-    /** Reads received bytes up to the end of a response; null while the response is incomplete. */
+    /** Parses received bytes up to the end of a response. Returns null while the response is incomplete. */
     HttpResponse read(ByteBuffer data) throws ProtocolException {
         return parser.next(data);
     }
 
-    /** The response that the end of the connection completes, as it states no length; null when there is none. */
+    /** The response without a stated length that the end of the connection completes; null if there is none. */
     HttpResponse responseCompletedByClose() {
         return parser.ended();
     }
 
-    /** Bytes of an incomplete response that the parser holds now. */
+    /** Bytes of an incomplete response that the parser buffers at present. */
     int parsedBytes() {
         return parser.held();
     }
 
-    /** Bytes of an incomplete response as last accounted for. */
+    /** The value of {@link #parsedBytes} that is included in the total over all connections. */
     int bufferedBytes() {
         return bufferedBytes;
     }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
@@ -16,26 +16,27 @@
 import java.util.Set;
 
 /**
- * Connections to the endpoints; each carries one request at a time. Every attempt completes here exactly once.
+ * Sends attempts and health checks to endpoints over pooled HTTP connections, each of which carries one request at a
+ * time. The pool reports the completion of each attempt exactly once.
  *
- * <p>Only the pool knows whether an attempt has started: its bytes are encoded and written once its connection is open, and
- * until then it can be withdrawn, because its client left, its request was answered, the endpoint drains or the time in
- * which it may start has passed. A withdrawn attempt never starts.
+ * <p>Only the pool knows whether an attempt has started: its bytes are encoded and written once its connection is open.
+ * Until then it can be withdrawn, because its client disconnected, its request was answered, the endpoint drains or the
+ * latest time at which it may start has passed. A withdrawn attempt never starts.
  *
- * <p>The outcome decides whether a retry is allowed. An attempt that was not written completely to an open connection was
- * not executed; one that was, and has no good response, may have been. A connection is reused only after a complete
- * response with no bytes behind it.
+ * <p>The outcome decides whether a retry is allowed. An attempt that was not completely written to an open connection
+ * was not executed. One that was completely written may have been executed, unless its response shows that it was not.
+ * A connection is reused only after a complete response that is not followed by further bytes.
  */
 final class UpstreamConnectionPool implements ConnectionHandler {
-    /** Whom the pool notifies. */
+    /** Receives the results of attempts and health checks. */
     interface Listener {
-        /** Whether the client of an attempt still waits. */
+        /** Whether the client that an attempt serves is still waiting for its response. */
         boolean isAwaited(UpstreamAttempt attempt);
 
-        /** @param answer the response; null when there was no complete one */
-        void attemptCompleted(UpstreamAttempt attempt, Outcome outcome, HttpResponse answer);
+        /** @param response the complete response; null if there was none */
+        void attemptCompleted(UpstreamAttempt attempt, Outcome outcome, HttpResponse response);
 
-        void healthCheckCompleted(HealthCheckCompleted checked);
+        void healthCheckCompleted(HealthCheckCompleted event);
     }
 
     private final Listener listener;
@@ -45,8 +46,11 @@
     private final UpstreamConnectionTable connections;
     private final InFlightAttempts inFlight = new InFlightAttempts();
     private final HealthChecks healthChecks = new HealthChecks();
-    /** Attempts without a connection; completed in the next turn, since they arise within a turn of the scheduler. */
-    private final ArrayDeque<UpstreamAttempt> unsendable = new ArrayDeque<>();
+    /**
+     * Attempts for which no connection could be acquired. They complete in the next turn, because {@link #send} is
+     * called while the scheduler is still making its decisions.
+     */
+    private final ArrayDeque<UpstreamAttempt> attemptsWithoutConnection = new ArrayDeque<>();
 
     private final MalformedResponseLog malformedResponses = new MalformedResponseLog();
     private List<NetAction> actions = new ArrayList<>();
@@ -64,7 +68,7 @@
         this.connections = new UpstreamConnectionTable(settings, bounds, connectionIds, endpoints);
     }
 
-    /** Starts a turn: sets its time and the list that takes its actions. */
+    /** Starts a turn of the event loop: sets the current time and the list to which actions are added. */
     void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
@@ -83,24 +87,24 @@
 
     /** Number of attempts that have not completed. */
     int pendingAttempts() {
-        return inFlight.size() + unsendable.size();
+        return inFlight.size() + attemptsWithoutConnection.size();
     }
 
-    /** Number of endpoints in the list. */
+    /** Number of endpoints in the endpoint list. */
     int endpointCount() {
         return endpoints.size();
     }
 
     /**
-     * Applies an update of the endpoint list. Idle connections to an endpoint that was removed, moved, restarted or changed
-     * its state are closed, and attempts that wait for a connection to it are withdrawn.
+     * Applies an update of the endpoint list. When an endpoint was removed or restarted, or its address or state
+     * changed, idle connections to it are closed and attempts that are waiting for a connection to it are withdrawn.
      */
     void applyUpdate(ListUpdate update) {
-        Set<String> changed = endpoints.apply(update);
-        for (String endpoint : changed) {
+        Set<String> changedEndpoints = endpoints.apply(update);
+        for (String endpoint : changedEndpoints) {
             connections.closeIdle(endpoint);
         }
-        for (UpstreamConnection connection : connections.connectingTo(changed)) {
+        for (UpstreamConnection connection : connections.connectingTo(changedEndpoints)) {
             counters.count(Event.ATTEMPT_SERVER_LEFT);
             connections.abort(connection);
             complete(connection, Outcome.NOT_STARTED, null);
@@ -112,11 +116,11 @@
         connections.closeIdle(endpoint);
     }
 
-    /** Sends an attempt, at once or when its connection is open. */
+    /** Sends an attempt: at once on an open connection, otherwise when its connection opens. */
     void send(UpstreamAttempt attempt) {
         UpstreamConnection connection = connections.acquire(attempt.node);
         if (connection == null) {
-            unsendable.add(attempt);
+            attemptsWithoutConnection.add(attempt);
             return;
         }
         connection.assign(attempt);
@@ -135,7 +139,7 @@
         writeRequest(connection);
     }
 
-    /** Writes the request that a connection is assigned, if it is open. */
+    /** Writes the request assigned to a connection; does nothing if there is none or the connection is not open yet. */
     private void writeRequest(UpstreamConnection connection) {
         if (!connection.isOpen() || !connection.isAssigned()) {
             return;
@@ -151,7 +155,7 @@
         actions.add(new NetAction.Write(connection.id, request));
     }
 
-    /** Cancels an attempt. Its connection is aborted, which is how an endpoint learns of it. */
+    /** Cancels an attempt. Its connection is aborted, which signals the cancellation to the endpoint. */
     void cancel(long request, int number) {
         for (UpstreamAttempt attempt : inFlight.ofRequest(request)) {
             if (attempt.number == number) {
@@ -160,14 +164,16 @@
         }
     }
 
-    /** Completes the attempts of a request that have not started. A connection that is connecting serves the next one. */
+    /**
+     * Withdraws the attempts of a request that have not been sent completely. A connection that is still being
+     * established is kept for the next attempt.
+     */
     void withdraw(long request) {
         for (UpstreamAttempt attempt : inFlight.ofRequest(request)) {
             UpstreamConnection connection = inFlight.connectionOf(attempt);
             if (!connection.isRequestSent()) {
                 if (connection.isOpen()) {
-                    connections.abort(
-                            connection); // a part of the request has left: without the rest it is never executed
+                    connections.abort(connection); // a partly sent request is never executed
                 }
                 counters.count(Event.ATTEMPT_WITHDRAWN);
                 complete(connection, Outcome.NOT_STARTED, null);
@@ -175,12 +181,12 @@
         }
     }
 
-    /** @param outcome the outcome if the attempt has started; else it counts as not connected */
+    /** @param outcome the outcome if the request was sent completely; otherwise it is {@link Outcome#CONNECT_FAILED} */
     private void abortAttempt(UpstreamAttempt attempt, Outcome outcome) {
         UpstreamConnection connection = inFlight.connectionOf(attempt);
-        boolean started = connection.isRequestSent();
+        boolean requestSent = connection.isRequestSent();
         connections.abort(connection);
-        complete(connection, started ? outcome : Outcome.CONNECT_FAILED, null);
+        complete(connection, requestSent ? outcome : Outcome.CONNECT_FAILED, null);
     }
 
     @Override
@@ -208,7 +214,10 @@
         }
     }
 
-    /** A connection could not be opened for lack of a local resource: nothing was executed, and the endpoint is not at fault. */
+    /**
+     * Handles a connection that could not be opened for lack of a local resource. Nothing was executed, and the failure
+     * must not count against the endpoint.
+     */
     private void connectFailedLocally(long id) {
         UpstreamConnection connection = connections.get(id);
         counters.count(Event.ATTEMPT_NO_CONNECTION);
@@ -216,19 +225,22 @@
         complete(connection, Outcome.NOT_STARTED, null);
     }
 
-    /** @param orderly the endpoint ended its output, which completes a response without a length; after a reset it is cut short */
+    /**
+     * @param orderly true if the endpoint closed its side in order, which completes a response without a stated length;
+     *     false for a reset, after which such a response may be truncated
+     */
     private void closed(long id, boolean orderly) {
         UpstreamConnection connection = connections.get(id);
         connections.forget(connection);
         if (!connection.isAssigned()) {
             return;
         }
-        boolean started = connection.isRequestSent();
-        HttpResponse response = orderly && started ? connection.responseCompletedByClose() : null;
+        boolean requestSent = connection.isRequestSent();
+        HttpResponse response = orderly && requestSent ? connection.responseCompletedByClose() : null;
         if (response != null) {
             complete(connection, ResponseClassifier.outcome(response), response);
         } else {
-            complete(connection, started ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+            complete(connection, requestSent ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
         }
     }
 
@@ -236,7 +248,7 @@
     public void received(long id, ByteBuffer data) {
         UpstreamConnection connection = connections.get(id);
         if (!connection.isAssigned()) {
-            connections.abort(connection); // bytes that belong to no request
+            connections.abort(connection); // unsolicited bytes: no request is outstanding
             return;
         }
         HttpResponse response;
@@ -250,14 +262,17 @@
             return;
         }
         if (response != null) {
-            responded(connection, response, data.hasRemaining());
+            handleResponse(connection, response, data.hasRemaining());
         }
     }
 
-    /** A complete response arrived. One that precedes the end of its request can't be the response to it. */
-    private void responded(UpstreamConnection connection, HttpResponse response, boolean bytesBehind) {
+    /**
+     * Handles a complete response. One that arrives before its request was sent completely can't belong to that
+     * request.
+     */
+    private void handleResponse(UpstreamConnection connection, HttpResponse response, boolean hasTrailingBytes) {
         boolean premature = connection.hasUndrainedBytes();
-        if (premature || bytesBehind || !response.reusable()) {
+        if (premature || hasTrailingBytes || !response.reusable()) {
             connections.abort(connection);
         }
         if (premature) {
@@ -270,7 +285,7 @@
         }
     }
 
-    /** Completes what a connection is assigned, if anything, and notifies the listener. */
+    /** Completes the attempt or health check assigned to a connection, if any, and notifies the listener. */
     private void complete(UpstreamConnection connection, Outcome outcome, HttpResponse response) {
         UpstreamAttempt attempt = connection.attempt();
         if (attempt != null) {
@@ -284,9 +299,9 @@
         }
     }
 
-    /** When {@link #expire} has something to do next. */
+    /** The time at which {@link #expire} next has to be called. */
     long nextDeadline() {
-        if (!unsendable.isEmpty()) {
+        if (!attemptsWithoutConnection.isEmpty()) {
             return now;
         }
         long requestDeadline =
@@ -294,20 +309,22 @@
         return Math.min(requestDeadline, connections.nextDeadline());
     }
 
-    /** Ends what has run out of time. */
+    /** Ends attempts, health checks, connection set-ups and idle connections that have reached their time limits. */
     void expire() {
-        completeUnsendable();
+        completeAttemptsWithoutConnection();
         expireAttempts();
         abortExpired(connections.connecting(), Outcome.CONNECT_FAILED);
         abortExpired(healthChecks.inFlight(), Outcome.TIMEOUT);
         connections.closeExpiredIdle();
     }
 
-    /** Completes the attempts that had no connection. Those that are added meanwhile wait for the next turn. */
-    private void completeUnsendable() {
-        for (int left = unsendable.size(); left > 0; left--) {
+    /**
+     * Completes the attempts that got no connection. Attempts that the listener adds meanwhile wait for the next turn.
+     */
+    private void completeAttemptsWithoutConnection() {
+        for (int remaining = attemptsWithoutConnection.size(); remaining > 0; remaining--) {
             counters.count(Event.ATTEMPT_NO_CONNECTION);
-            listener.attemptCompleted(unsendable.poll(), Outcome.NOT_STARTED, null);
+            listener.attemptCompleted(attemptsWithoutConnection.poll(), Outcome.NOT_STARTED, null);
         }
     }
 
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnectionTable.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnectionTable.java
@@ -12,24 +12,24 @@
 import java.util.Set;
 
 /**
- * All connections to endpoints: opens, reuses and closes them, and bounds their number and the bytes that they buffer. It
- * completes no attempts; whoever aborts a connection does that.
+ * Opens, reuses and closes the connections to endpoints, and limits their number and the bytes buffered for them. It
+ * does not complete attempts; the caller that aborts a connection has to complete the attempt assigned to it.
  */
 final class UpstreamConnectionTable {
     /**
-     * How long a connection is left unused after a response, microseconds. Guards against bytes right behind a response: a
-     * second copy of it would pass for the response to the next request. Bytes that arrive within this time close the
-     * connection while no attempt depends on it.
+     * Minimum time between a response and the reuse of its connection, microseconds. An endpoint may send a duplicate
+     * right after a response, which would be taken for the response to the next request. Bytes that arrive within this
+     * time close the connection while no attempt depends on it.
      */
     private static final long REUSE_DELAY_MICROS = 2_000;
 
     /**
-     * Fraction of the endpoints' idle timeout after which an idle connection is closed from this side, so that no request
-     * is written to a connection that the endpoint is closing.
+     * Fraction of the endpoints' idle timeout after which the gateway closes an idle connection, so that it never
+     * writes a request to a connection that the endpoint is about to close.
      */
     private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
-    /** The endpoints' idle timeout where the settings state none, microseconds. */
+    /** The endpoints' idle timeout if the settings do not state it, microseconds. */
     private static final long DEFAULT_IDLE_TIMEOUT_MICROS = 10_000_000;
 
     private final ConnectionIdAllocator connectionIds;
@@ -39,10 +39,10 @@
     private final int maxBufferedBytes;
     private final Map<Long, UpstreamConnection> byId = new LinkedHashMap<>();
     private final ConnectionsByAge connecting;
-    private final IdleConnections idle;
+    private final IdleConnections idleConnections;
     private List<NetAction> actions = new ArrayList<>();
     private long now;
-    /** Bytes of incomplete responses on all connections. */
+    /** Total bytes of incomplete responses buffered on all connections. */
     private int bufferedBytes;
 
     UpstreamConnectionTable(
@@ -57,10 +57,10 @@
         this.maxBufferedBytes = bounds.maxBufferedBytes();
         this.connecting = new ConnectionsByAge(settings.scheduling().connectTimeout());
         long idleTimeout = settings.idleClose() > 0 ? settings.idleClose() : DEFAULT_IDLE_TIMEOUT_MICROS;
-        this.idle = new IdleConnections((long) (IDLE_TIMEOUT_FRACTION * idleTimeout));
+        this.idleConnections = new IdleConnections((long) (IDLE_TIMEOUT_FRACTION * idleTimeout));
     }
 
-    /** Sets the time of a turn and the list that takes its actions. */
+    /** Starts a turn of the event loop: sets the current time and the list to which actions are added. */
     void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
@@ -79,48 +79,55 @@
         return byId.size();
     }
 
-    /** The connections that are not open yet. */
+    /** The connections that are being established. */
     ConnectionsByAge connecting() {
         return connecting;
     }
 
-    /** The connections to these endpoints that are not open yet; a copy, so that they can be removed meanwhile. */
-    List<UpstreamConnection> connectingTo(Set<String> names) {
-        List<UpstreamConnection> found = new ArrayList<>();
+    /**
+     * The connections being established to the given endpoints; a copy, so that callers can remove them while
+     * iterating.
+     */
+    List<UpstreamConnection> connectingTo(Set<String> endpointNames) {
+        List<UpstreamConnection> matching = new ArrayList<>();
         for (UpstreamConnection connection : connecting.all()) {
-            if (names.contains(connection.endpoint)) {
-                found.add(connection);
+            if (endpointNames.contains(connection.endpoint)) {
+                matching.add(connection);
             }
         }
-        return found;
+        return matching;
     }
 
     /**
-     * A connection to an endpoint: the one that has been idle for longest, if it may be reused; else one that is connecting
-     * and unassigned; else a new one. Null when the endpoint is not listed or no connection is left for it.
+     * Returns a connection to an endpoint: the one that has been idle longest, if it may be reused; otherwise one that
+     * is being established and unassigned; otherwise a new one. Returns null if the endpoint is not listed, or if the
+     * connection limit is reached and no connection is idle.
      */
-    UpstreamConnection acquire(String name) {
-        UpstreamEndpoint endpoint = endpoints.get(name);
+    UpstreamConnection acquire(String endpointName) {
+        UpstreamEndpoint endpoint = endpoints.get(endpointName);
         if (endpoint == null) {
             return null;
         }
-        UpstreamConnection reusable = idle.oldestOf(name);
-        if (reusable != null && now - reusable.stateSince() >= REUSE_DELAY_MICROS) {
-            idle.remove(reusable);
-            return reusable;
+        UpstreamConnection longestIdle = idleConnections.oldestOf(endpointName);
+        if (longestIdle != null && now - longestIdle.stateSince() >= REUSE_DELAY_MICROS) {
+            idleConnections.remove(longestIdle);
+            return longestIdle;
         }
         for (UpstreamConnection connection : connecting.all()) {
-            if (!connection.isAssigned() && connection.endpoint.equals(name)) {
+            if (!connection.isAssigned() && connection.endpoint.equals(endpointName)) {
                 return connection;
             }
         }
-        return connect(name, endpoint.address());
+        return connect(endpointName, endpoint.address());
     }
 
-    /** Opens a connection, at the bound in place of the one that has been idle for longest; null when there is none. */
+    /**
+     * Opens a connection. At the connection limit it first closes the one that has been idle longest; returns null if
+     * none is idle.
+     */
     private UpstreamConnection connect(String endpoint, String address) {
         if (byId.size() >= maxConnections) {
-            UpstreamConnection evicted = idle.oldest();
+            UpstreamConnection evicted = idleConnections.oldest();
             if (evicted == null) {
                 return null;
             }
@@ -140,13 +147,13 @@
     }
 
     /**
-     * Reads received bytes; null while the response is incomplete.
+     * Parses received bytes. Returns null while the response is incomplete.
      *
-     * @throws ProtocolException when the response is malformed, or too many bytes of incomplete responses are buffered
+     * @throws ProtocolException if the response is malformed, or too many bytes of incomplete responses are buffered
      */
     HttpResponse read(UpstreamConnection connection, ByteBuffer data) throws ProtocolException {
         HttpResponse response = connection.read(data);
-        accountFor(connection, connection.parsedBytes());
+        updateBufferedBytes(connection, connection.parsedBytes());
         if (bufferedBytes > maxBufferedBytes) {
             throw new ProtocolException(
                     bufferedBytes + " bytes of incomplete responses buffered, limit " + maxBufferedBytes);
@@ -154,15 +161,15 @@
         return response;
     }
 
-    private void accountFor(UpstreamConnection connection, int bytes) {
+    private void updateBufferedBytes(UpstreamConnection connection, int bytes) {
         bufferedBytes += bytes - connection.bufferedBytes();
         connection.setBufferedBytes(bytes);
     }
 
-    /** Keeps a connection for the next request, if its endpoint accepts any. */
+    /** Keeps a connection open for reuse, or closes it if its endpoint accepts no requests. */
     void keepIdle(UpstreamConnection connection) {
         connection.becameIdle(now);
-        idle.add(connection);
+        idleConnections.add(connection);
         if (!endpoints.acceptsRequests(connection.endpoint, connection.address)) {
             close(connection);
         }
@@ -170,23 +177,23 @@
 
     /** Closes the idle connections to an endpoint. */
     void closeIdle(String endpoint) {
-        UpstreamConnection connection = idle.oldestOf(endpoint);
+        UpstreamConnection connection = idleConnections.oldestOf(endpoint);
         while (connection != null) {
             close(connection);
-            connection = idle.oldestOf(endpoint);
+            connection = idleConnections.oldestOf(endpoint);
         }
     }
 
-    /** Closes the connections that have been idle for too long. */
+    /** Closes the connections whose idle timeout has passed. */
     void closeExpiredIdle() {
-        UpstreamConnection connection = idle.expired(now);
+        UpstreamConnection connection = idleConnections.expired(now);
         while (connection != null) {
             close(connection);
-            connection = idle.expired(now);
+            connection = idleConnections.expired(now);
         }
     }
 
-    /** Ends a connection at once, with whatever is on its way. */
+    /** Resets a connection; data in transit is discarded. */
     void abort(UpstreamConnection connection) {
         actions.add(new NetAction.Close(connection.id, true));
         forget(connection);
@@ -197,16 +204,16 @@
         forget(connection);
     }
 
-    /** Removes a connection that has ended. */
+    /** Removes a connection that was closed by either side. */
     void forget(UpstreamConnection connection) {
-        accountFor(connection, 0);
+        updateBufferedBytes(connection, 0);
         byId.remove(connection.id);
         connecting.remove(connection);
-        idle.remove(connection);
+        idleConnections.remove(connection);
     }
 
-    /** When the first connection has been connecting or idle for too long. */
+    /** The time at which the next connection reaches its connect timeout or idle timeout. */
     long nextDeadline() {
-        return Math.min(connecting.nextDeadline(), idle.nextDeadline());
+        return Math.min(connecting.nextDeadline(), idleConnections.nextDeadline());
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamEndpoint.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamEndpoint.java
@@ -3,11 +3,11 @@
 import garnetreel.policy.event.EndpointState;
 
 /**
- * One endpoint as the endpoint list has it. If any component changes, idle connections to the endpoint are closed.
+ * One endpoint of the endpoint list. If any component changes, idle connections to the endpoint are closed.
  *
- * @param address where it is reached
- * @param startedAt when its process started
- * @param up whether it accepts new requests; one that drains does not
+ * @param address the address to connect to
+ * @param startedAt start time of the endpoint's process, microseconds
+ * @param up whether it accepts new requests; false while it drains
  */
 record UpstreamEndpoint(String address, long startedAt, boolean up) {
     static UpstreamEndpoint of(ListUpdate.Entry entry) {
--- a/core/src/main/java/garnetreel/core/platform/UpstreamEndpoints.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamEndpoints.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The endpoints as the endpoint list last had them. */
+/** The endpoints of the current endpoint list, by name. */
 final class UpstreamEndpoints {
     private final Map<String, UpstreamEndpoint> byName = new HashMap<>();
 
@@ -15,20 +15,23 @@
         return byName.size();
     }
 
-    /** An endpoint by its name; null when it is not listed. */
+    /** Returns the endpoint of this name; null if it is not listed. */
     UpstreamEndpoint get(String name) {
         return byName.get(name);
     }
 
+    /** Whether an endpoint is listed at this address and accepts new requests. */
     boolean acceptsRequests(String name, String address) {
         UpstreamEndpoint endpoint = byName.get(name);
         return endpoint != null && endpoint.up() && endpoint.address().equals(address);
     }
 
-    /** Applies an update; returns the names of known endpoints that were removed or changed, in the order of the update. */
+    /**
+     * Applies an update. Returns the names of the known endpoints that it removed or changed, in the update's order.
+     */
     Set<String> apply(ListUpdate update) {
         Set<String> changed = new LinkedHashSet<>();
-        for (Map.Entry<String, UpstreamEndpoint> entry : target(update).entrySet()) {
+        for (Map.Entry<String, UpstreamEndpoint> entry : stateAfter(update).entrySet()) {
             String name = entry.getKey();
             UpstreamEndpoint endpoint = entry.getValue();
             UpstreamEndpoint previous = endpoint == null ? byName.remove(name) : byName.put(name, endpoint);
@@ -39,18 +42,18 @@
         return changed;
     }
 
-    /** What each endpoint concerned is after an update; null where it is removed. */
-    private Map<String, UpstreamEndpoint> target(ListUpdate update) {
-        Map<String, UpstreamEndpoint> target = new LinkedHashMap<>();
+    /** The state after an update of each endpoint that the update concerns; null for one that is removed. */
+    private Map<String, UpstreamEndpoint> stateAfter(ListUpdate update) {
+        Map<String, UpstreamEndpoint> stateAfter = new LinkedHashMap<>();
         for (ListUpdate.Entry entry : update.entries()) {
             boolean removed = entry.endpoint().state() == EndpointState.REMOVED;
-            target.put(entry.endpoint().address(), removed ? null : UpstreamEndpoint.of(entry));
+            stateAfter.put(entry.endpoint().address(), removed ? null : UpstreamEndpoint.of(entry));
         }
         if (update.complete()) {
             for (String name : byName.keySet()) {
-                target.putIfAbsent(name, null);
+                stateAfter.putIfAbsent(name, null);
             }
         }
-        return target;
+        return stateAfter;
     }
 }
