--- a/cli/src/main/java/garnetreel/cli/ClassDataArchiveTraining.java
+++ b/cli/src/main/java/garnetreel/cli/ClassDataArchiveTraining.java
@@ -60,7 +60,7 @@
             EventLoop gateway = new PlatformMain(file).start(process);
             reload(file, gateway);
             Files.delete(file);
-            String address = ServiceProcess.bound(gateway, PlatformGateway.HTTP);
+            String address = ServiceProcess.bound(gateway, PlatformGateway.CLIENT_LISTENER);
             sendRequests(Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
             gateway.submitCommand(new PlatformGateway.Shutdown());
             return ServiceProcess.awaitStopped(gateway);
--- a/cli/src/main/java/garnetreel/cli/PlatformMain.java
+++ b/cli/src/main/java/garnetreel/cli/PlatformMain.java
@@ -127,7 +127,7 @@
         }
         FairQueueScheduler scheduler = new FairQueueScheduler(settings.scheduling(), settings.seed());
         EventLoop eventLoop = process.run("head", wrapper.apply(new PlatformGateway(settings, scheduler)));
-        log.info("{} listens on {}", settings.name(), ServiceProcess.bound(eventLoop, PlatformGateway.HTTP));
+        log.info("{} listens on {}", settings.name(), ServiceProcess.bound(eventLoop, PlatformGateway.CLIENT_LISTENER));
         return eventLoop;
     }
 }
--- a/cli/src/test/java/garnetreel/cli/SocketGatewayHarness.java
+++ b/cli/src/test/java/garnetreel/cli/SocketGatewayHarness.java
@@ -103,7 +103,7 @@
         eventLoop = new EventLoop(
                         "head", new Watched(new PlatformGateway(settings, spied)), clock::get, (name, data) -> {})
                 .start();
-        address = eventLoop.boundAddress(PlatformGateway.HTTP).get(WAIT_SECONDS, TimeUnit.SECONDS);
+        address = eventLoop.boundAddress(PlatformGateway.CLIENT_LISTENER).get(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
     static PlatformSettings config(String discovery, String shelf) throws Exception {
--- a/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
@@ -275,7 +275,7 @@
                                 c -> c,
                                 p -> p,
                                 r -> new SafetyRules(
-                                        r.answerSlack(),
+                                        r.responseGrace(),
                                         r.pollInterval(),
                                         r.freeRetries(),
                                         r.retryRatio(),
@@ -325,7 +325,7 @@
                         c -> c,
                         p -> p,
                         r -> new SafetyRules(
-                                r.answerSlack(),
+                                r.responseGrace(),
                                 r.pollInterval(),
                                 0,
                                 0,
--- a/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
@@ -115,7 +115,7 @@
      * Applies the address of discovery from a new configuration. The scheduler is notified even if the address is the
      * same, because after a reconfiguration the platform considers the gateway notified of a change sooner.
      */
-    void redirect(String newAddress) {
+    void updateAddress(String newAddress) {
         events.accept(new DiscoveryAddressChanged());
         if (newAddress.equals(address)) {
             return;
@@ -159,7 +159,7 @@
     public void connected(long connection) {
         DiscoveryCall call = callOn(connection);
         call.connected(now);
-        String target = call.watch ? listReceiver.watchTarget() : HttpHeaders.LIST;
+        String target = call.watch ? listReceiver.watchTarget() : HttpHeaders.ENDPOINT_LIST_PATH;
         ByteBuffer request = HttpWriter.request("GET", target, HttpHeaders.HOST).body(EMPTY_BODY, false);
         actions.add(new NetAction.Write(connection, request));
     }
@@ -233,7 +233,7 @@
 
     private void applyUpdates(DiscoveryCall call, List<byte[]> objects) throws JsonException, ProtocolException {
         for (byte[] object : objects) {
-            listReceiver.take(ListUpdate.read(Json.parse(object, 0, object.length, "list")), now);
+            listReceiver.apply(ListUpdate.read(Json.parse(object, 0, object.length, "list")), now);
             if (!call.isListReceived()) {
                 call.listReceived();
                 String text = "discovery: endpoint list has " + pool.endpointCount() + " endpoints, version "
--- a/core/src/main/java/garnetreel/core/platform/EndpointListReceiver.java
+++ b/core/src/main/java/garnetreel/core/platform/EndpointListReceiver.java
@@ -51,7 +51,7 @@
 
     /** The request target of a watch: for the changes since the last accepted version, or for a complete list first. */
     String watchTarget() {
-        String target = HttpHeaders.LIST + "?watch=1";
+        String target = HttpHeaders.ENDPOINT_LIST_PATH + "?watch=1";
         return snapshotRequired ? target : target + "&from=" + version;
     }
 
@@ -64,7 +64,7 @@
      *
      * @throws ProtocolException if the version is older, or a complete list is required and the update is not one
      */
-    void take(ListUpdate received, long now) throws ProtocolException {
+    void apply(ListUpdate received, long now) throws ProtocolException {
         ListUpdate update = incarnations.resolve(received, now, listCurrentAt);
         if (!snapshotRequired && update.version() < version) {
             snapshotRequired = true;
--- a/core/src/main/java/garnetreel/core/platform/GatewayCounters.java
+++ b/core/src/main/java/garnetreel/core/platform/GatewayCounters.java
@@ -18,13 +18,13 @@
         REQUEST_FAILED("request_failed"),
         REQUEST_INVALID("request_invalid"),
         CLIENT_DISCONNECTED("client_left"),
-        ATTEMPT_BEGUN("attempt_begun"),
+        ATTEMPT_STARTED("attempt_begun"),
         ATTEMPT_RETRIED("attempt_again"),
         ATTEMPT_WITHDRAWN("attempt_withdrawn"),
-        ATTEMPT_TOO_LATE("attempt_too_late"),
-        ATTEMPT_SERVER_LEFT("attempt_server_left"),
+        ATTEMPT_START_DEADLINE_PASSED("attempt_too_late"),
+        ATTEMPT_ENDPOINT_CHANGED("attempt_server_left"),
         ATTEMPT_NO_CONNECTION("attempt_no_connection"),
-        ANSWER_SPOILT("answer_spoilt"),
+        RESPONSE_MALFORMED("answer_spoilt"),
         CLOSED_OVER_LIMIT("closed_to_make_room"),
         CLOSED_IDLE("closed_idle"),
         CLOSED_AT_SHUTDOWN("closed_at_end"),
@@ -67,11 +67,11 @@
         events.merge(event, 1L, Long::sum);
     }
 
-    void violated(Invariant invariant) {
+    void recordViolation(Invariant invariant) {
         violations.merge(invariant, 1L, Long::sum);
     }
 
-    long of(Event event) {
+    long get(Event event) {
         return events.getOrDefault(event, 0L);
     }
 
--- a/core/src/main/java/garnetreel/core/platform/HealthChecks.java
+++ b/core/src/main/java/garnetreel/core/platform/HealthChecks.java
@@ -36,7 +36,8 @@
     }
 
     static ByteBuffer request() {
-        return HttpWriter.request("GET", HttpHeaders.STATS, HttpHeaders.HOST).body(EMPTY_BODY, false);
+        return HttpWriter.request("GET", HttpHeaders.STATS_PATH, HttpHeaders.HOST)
+                .body(EMPTY_BODY, false);
     }
 
     /**
--- a/core/src/main/java/garnetreel/core/platform/HttpClientConnections.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpClientConnections.java
@@ -112,7 +112,7 @@
         counters.count(reason);
         boolean responsePending = connection.state() == State.PROCESSING || connection.hasRequestsToReject();
         if (responsePending && reason != Event.CLOSED_RESPONSE_UNREAD) {
-            counters.violated(Invariant.CLOSED_BEFORE_RESPONSE);
+            counters.recordViolation(Invariant.CLOSED_BEFORE_RESPONSE);
         }
         actions.add(new NetAction.Close(connection.id, abort));
         remove(connection);
@@ -214,7 +214,7 @@
         if (connection.state() == State.PROCESSING) {
             write(connection, response, body);
         } else {
-            counters.violated(Invariant.DUPLICATE_RESPONSE);
+            counters.recordViolation(Invariant.DUPLICATE_RESPONSE);
         }
     }
 
--- a/core/src/main/java/garnetreel/core/platform/HttpHeaders.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpHeaders.java
@@ -17,7 +17,7 @@
     /** An endpoint's load report; see {@link LoadReport}. */
     static final String LOAD_REPORT = "X-Backend-Load";
     /** "1" on a response whose request was not executed. */
-    static final String NOT_RUN = "X-Unprocessed";
+    static final String UNPROCESSED = "X-Unprocessed";
     /** Units that an endpoint has served for other gateways. */
     static final String UNITS_FROM_OTHER_GATEWAYS = "Other-Hosts";
     /** Time after which a rejected client may retry, in seconds with decimals. */
@@ -28,9 +28,9 @@
     /** Path of this gateway's readiness check. */
     static final String READINESS_PATH = "/health/ready";
     /** Path of an endpoint's health check, answered with its load report. */
-    static final String STATS = "/stats";
+    static final String STATS_PATH = "/stats";
     /** Path of the endpoint list of the service discovery. */
-    static final String LIST = "/registry/instances";
+    static final String ENDPOINT_LIST_PATH = "/registry/instances";
 
     private HttpHeaders() {}
 }
--- a/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
@@ -228,7 +228,7 @@
 
     /** Whether the client of an attempt's request still waits for the response. */
     boolean isAwaited(UpstreamAttempt attempt) {
-        ActiveRequest request = byId.get(attempt.request);
+        ActiveRequest request = byId.get(attempt.requestId);
         return request != null && !request.completed;
     }
 
@@ -239,7 +239,7 @@
      * @param response null if no complete response was received
      */
     void attemptCompleted(UpstreamAttempt attempt, Outcome outcome, HttpResponse response) {
-        ActiveRequest request = byId.get(attempt.request);
+        ActiveRequest request = byId.get(attempt.requestId);
         request.attemptsInFlight--;
         boolean completedBefore = request.completed;
         if (!completedBefore && outcome == Outcome.OK) {
@@ -251,9 +251,9 @@
         }
         Fields fields = response == null ? new Fields() : response.fields();
         schedulerEvents.accept(new AttemptCompleted(
-                attempt.request,
+                attempt.requestId,
                 attempt.number,
-                attempt.node,
+                attempt.endpoint,
                 outcome,
                 now - attempt.sentAt,
                 completedBefore || outcome == Outcome.OK,
@@ -278,7 +278,7 @@
     void expire() {
         while (nextDeadline() <= now) {
             ActiveRequest request = byDeadline.first();
-            counters.violated(GatewayCounters.Invariant.RESPONSE_OVERDUE);
+            counters.recordViolation(GatewayCounters.Invariant.RESPONSE_OVERDUE);
             logSchedulerDefect("did not answer a request before its deadline, correlation id " + request.correlationId);
             schedulerEvents.accept(new RequestCancelled(request.id));
             respond(request, responses.failed(), GatewayCounters.Event.REQUEST_FAILED);
--- a/core/src/main/java/garnetreel/core/platform/InFlightAttempts.java
+++ b/core/src/main/java/garnetreel/core/platform/InFlightAttempts.java
@@ -12,7 +12,7 @@
     private final Map<UpstreamAttempt, UpstreamConnection> connections = new HashMap<>();
     private final TreeSet<UpstreamAttempt> byDeadline =
             new TreeSet<>(Comparator.<UpstreamAttempt>comparingLong(attempt -> attempt.deadline)
-                    .thenComparingLong(attempt -> attempt.request)
+                    .thenComparingLong(attempt -> attempt.requestId)
                     .thenComparingInt(attempt -> attempt.number));
 
     void add(UpstreamAttempt attempt, UpstreamConnection connection) {
@@ -38,7 +38,7 @@
     List<UpstreamAttempt> ofRequest(long request) {
         List<UpstreamAttempt> attempts = new ArrayList<>();
         for (UpstreamAttempt attempt : connections.keySet()) {
-            if (attempt.request == request) {
+            if (attempt.requestId == request) {
                 attempts.add(attempt);
             }
         }
--- a/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
@@ -31,7 +31,7 @@
  */
 public final class PlatformGateway implements StateMachine, SchedulerDriver.ActionHandler {
     /** Name of the listening socket for client connections. */
-    public static final String HTTP = "http";
+    public static final String CLIENT_LISTENER = "http";
     /**
      * How long new connections are still accepted after the shutdown command, in microseconds: the platform may route
      * connections to this gateway for another 0.4 s.
@@ -147,7 +147,7 @@
     private void start(List<NetAction> actions) {
         started = true;
         discovery.restore(settings.cachedEndpoints());
-        actions.add(new NetAction.Listen(HTTP, settings.listenAddress(), bounds.maxAccepted()));
+        actions.add(new NetAction.Listen(CLIENT_LISTENER, settings.listenAddress(), bounds.maxAccepted()));
     }
 
     private void handleEvent(NetEvent event, List<NetAction> actions) {
@@ -179,7 +179,7 @@
             actions.add(new NetAction.Log(
                     Level.WARN, "the new configuration changes scheduler settings; they take effect after a restart"));
         }
-        discovery.redirect(newSettings.discoveryAddress());
+        discovery.updateAddress(newSettings.discoveryAddress());
         logCounters(actions);
     }
 
@@ -213,7 +213,7 @@
         if (now >= stopAcceptingAt) {
             stopAcceptingAt = NEVER;
             draining = true;
-            actions.add(new NetAction.StopListening(HTTP));
+            actions.add(new NetAction.StopListening(CLIENT_LISTENER));
             actions.add(new NetAction.Log(Level.INFO, "draining, rejecting new requests: " + openResources()));
             clients.startDraining();
         }
--- a/core/src/main/java/garnetreel/core/platform/PlatformSettings.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformSettings.java
@@ -16,7 +16,7 @@
  * @param limits resource limits of the process
  * @param cachedEndpoints the endpoint list that this gateway last received; it may be long out of date
  * @param scheduling scheduler settings
- * @param idleClose time after which endpoints close an idle connection, microseconds; 0 if not configured
+ * @param upstreamIdleTimeout time after which endpoints close an idle connection, microseconds; 0 if not configured
  * @param retryAfterAllowed whether rejections may carry a {@code Retry-After} header
  */
 public record PlatformSettings(
@@ -27,7 +27,7 @@
         Limits limits,
         ListUpdate cachedEndpoints,
         SchedulerSettings scheduling,
-        long idleClose,
+        long upstreamIdleTimeout,
         boolean retryAfterAllowed) {
     private static final int HEX_RADIX = 16;
 
--- a/core/src/main/java/garnetreel/core/platform/ResponseClassifier.java
+++ b/core/src/main/java/garnetreel/core/platform/ResponseClassifier.java
@@ -20,7 +20,7 @@
         if (response.status() == STATUS_OK && response.body().length > 0) {
             return Outcome.OK;
         }
-        if (!NOT_EXECUTED.equals(response.fields().first(HttpHeaders.NOT_RUN))) {
+        if (!NOT_EXECUTED.equals(response.fields().first(HttpHeaders.UNPROCESSED))) {
             return Outcome.ERROR;
         }
         return switch (response.status()) {
--- a/core/src/main/java/garnetreel/core/platform/SendGuard.java
+++ b/core/src/main/java/garnetreel/core/platform/SendGuard.java
@@ -34,18 +34,18 @@
      */
     boolean mayStart(UpstreamAttempt attempt, String address, long now) {
         if (!clientWaiting.test(attempt)) {
-            counters.violated(Invariant.SENT_WITHOUT_WAITING_CLIENT);
+            counters.recordViolation(Invariant.SENT_WITHOUT_WAITING_CLIENT);
             return false;
         }
-        if (!endpoints.acceptsRequests(attempt.node, address)) {
-            counters.violated(Invariant.SENT_TO_UNLISTED_ENDPOINT);
+        if (!endpoints.acceptsRequests(attempt.endpoint, address)) {
+            counters.recordViolation(Invariant.SENT_TO_UNLISTED_ENDPOINT);
             return false;
         }
         if (now >= attempt.startDeadline) {
-            counters.count(Event.ATTEMPT_TOO_LATE);
+            counters.count(Event.ATTEMPT_START_DEADLINE_PASSED);
             return false;
         }
-        counters.count(Event.ATTEMPT_BEGUN);
+        counters.count(Event.ATTEMPT_STARTED);
         return true;
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamAttempt.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamAttempt.java
@@ -10,13 +10,13 @@
     private static final long MIN_TIME_LEFT_MICROS = 1_000;
 
     /** Id of the request in scheduler events. */
-    final long request;
+    final long requestId;
 
     /** Number of the attempt among those of its request, from 0. */
     final int number;
 
     /** Name of the endpoint in the endpoint list. */
-    final String node;
+    final String endpoint;
 
     final long sentAt;
 
@@ -29,16 +29,16 @@
     private final HttpRequest message;
 
     UpstreamAttempt(
-            long request,
+            long requestId,
             int number,
-            String node,
+            String endpoint,
             long sentAt,
             long deadline,
             long startDeadline,
             HttpRequest message) {
-        this.request = request;
+        this.requestId = requestId;
         this.number = number;
-        this.node = node;
+        this.endpoint = endpoint;
         this.sentAt = sentAt;
         this.deadline = deadline;
         this.startDeadline = startDeadline;
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnection.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnection.java
@@ -80,7 +80,7 @@
     }
 
     /** Records that the write of a request of this size has started. */
-    void writing(int bytes, long now) {
+    void requestWriteStarted(int bytes, long now) {
         stateSince = now;
         unsentBytes = bytes;
     }
@@ -90,13 +90,13 @@
         unsentBytes -= bytes;
     }
 
-    boolean hasUndrainedBytes() {
+    boolean hasUnsentBytes() {
         return unsentBytes > 0;
     }
 
     /** Whether the request was sent completely, so that the endpoint may execute it. */
     boolean isRequestSent() {
-        return open && !hasUndrainedBytes();
+        return open && !hasUnsentBytes();
     }
 
     /** Parses received bytes up to the end of a response. Returns null while the response is incomplete. */
@@ -110,11 +110,11 @@
     }
 
     /** Bytes of an incomplete response that the parser buffers at present. */
-    int parsedBytes() {
+    int parserBufferedBytes() {
         return parser.held();
     }
 
-    /** The value of {@link #parsedBytes} that is included in the total over all connections. */
+    /** The value of {@link #parserBufferedBytes} that is included in the total over all connections. */
     int bufferedBytes() {
         return bufferedBytes;
     }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
@@ -105,7 +105,7 @@
             connections.closeIdle(endpoint);
         }
         for (UpstreamConnection connection : connections.connectingTo(changedEndpoints)) {
-            counters.count(Event.ATTEMPT_SERVER_LEFT);
+            counters.count(Event.ATTEMPT_ENDPOINT_CHANGED);
             connections.abort(connection);
             complete(connection, Outcome.NOT_STARTED, null);
         }
@@ -118,7 +118,7 @@
 
     /** Sends an attempt: at once on an open connection, otherwise when its connection opens. */
     void send(UpstreamAttempt attempt) {
-        UpstreamConnection connection = connections.acquire(attempt.node);
+        UpstreamConnection connection = connections.acquire(attempt.endpoint);
         if (connection == null) {
             attemptsWithoutConnection.add(attempt);
             return;
@@ -151,7 +151,7 @@
             return;
         }
         ByteBuffer request = attempt == null ? HealthChecks.request() : attempt.encode(now);
-        connection.writing(request.remaining(), now);
+        connection.requestWriteStarted(request.remaining(), now);
         actions.add(new NetAction.Write(connection.id, request));
     }
 
@@ -221,7 +221,7 @@
     private void connectFailedLocally(long id) {
         UpstreamConnection connection = connections.get(id);
         counters.count(Event.ATTEMPT_NO_CONNECTION);
-        connections.forget(connection);
+        connections.remove(connection);
         complete(connection, Outcome.NOT_STARTED, null);
     }
 
@@ -231,7 +231,7 @@
      */
     private void closed(long id, boolean orderly) {
         UpstreamConnection connection = connections.get(id);
-        connections.forget(connection);
+        connections.remove(connection);
         if (!connection.isAssigned()) {
             return;
         }
@@ -255,7 +255,7 @@
         try {
             response = connections.read(connection, data);
         } catch (ProtocolException e) {
-            counters.count(Event.ANSWER_SPOILT);
+            counters.count(Event.RESPONSE_MALFORMED);
             malformedResponses.report(connection.endpoint, e.getMessage(), now, actions);
             connections.abort(connection);
             complete(connection, Outcome.ERROR, null);
@@ -271,7 +271,7 @@
      * request.
      */
     private void handleResponse(UpstreamConnection connection, HttpResponse response, boolean hasTrailingBytes) {
-        boolean premature = connection.hasUndrainedBytes();
+        boolean premature = connection.hasUnsentBytes();
         if (premature || hasTrailingBytes || !response.reusable()) {
             connections.abort(connection);
         }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnectionTable.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnectionTable.java
@@ -56,7 +56,8 @@
         this.maxResponseBytes = bounds.maxResponseBytes();
         this.maxBufferedBytes = bounds.maxBufferedBytes();
         this.connecting = new ConnectionsByAge(settings.scheduling().connectTimeout());
-        long idleTimeout = settings.idleClose() > 0 ? settings.idleClose() : DEFAULT_IDLE_TIMEOUT_MICROS;
+        long idleTimeout =
+                settings.upstreamIdleTimeout() > 0 ? settings.upstreamIdleTimeout() : DEFAULT_IDLE_TIMEOUT_MICROS;
         this.idleConnections = new IdleConnections((long) (IDLE_TIMEOUT_FRACTION * idleTimeout));
     }
 
@@ -153,7 +154,7 @@
      */
     HttpResponse read(UpstreamConnection connection, ByteBuffer data) throws ProtocolException {
         HttpResponse response = connection.read(data);
-        updateBufferedBytes(connection, connection.parsedBytes());
+        updateBufferedBytes(connection, connection.parserBufferedBytes());
         if (bufferedBytes > maxBufferedBytes) {
             throw new ProtocolException(
                     bufferedBytes + " bytes of incomplete responses buffered, limit " + maxBufferedBytes);
@@ -196,16 +197,16 @@
     /** Resets a connection; data in transit is discarded. */
     void abort(UpstreamConnection connection) {
         actions.add(new NetAction.Close(connection.id, true));
-        forget(connection);
+        remove(connection);
     }
 
     private void close(UpstreamConnection connection) {
         actions.add(new NetAction.Close(connection.id, false));
-        forget(connection);
+        remove(connection);
     }
 
     /** Removes a connection that was closed by either side. */
-    void forget(UpstreamConnection connection) {
+    void remove(UpstreamConnection connection) {
         updateBufferedBytes(connection, 0);
         byId.remove(connection.id);
         connecting.remove(connection);
--- a/core/src/main/java/garnetreel/core/request/RequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/request/RequestRegistry.java
@@ -339,7 +339,7 @@
         long deadline = subRequests.earliestDeadline();
         return deadline == Long.MAX_VALUE
                 ? Long.MAX_VALUE
-                : deadline + settings.scheduling().rules().answerSlack();
+                : deadline + settings.scheduling().rules().responseGrace();
     }
 
     /**
--- a/core/src/test/java/garnetreel/core/platform/EndpointListReceiverTest.java
+++ b/core/src/test/java/garnetreel/core/platform/EndpointListReceiverTest.java
@@ -78,12 +78,12 @@
     @Test
     void changesAreTakenOnlyAfterACompleteList() throws ProtocolException {
         ListUpdate changes = changes(9, entry("s-2", EndpointState.UP, 0));
-        ProtocolException thrown = assertThrows(ProtocolException.class, () -> list.take(changes, NOW));
+        ProtocolException thrown = assertThrows(ProtocolException.class, () -> list.apply(changes, NOW));
         assertEquals("changes without a complete list before them", thrown.getMessage());
         assertEquals(1, pool.endpointCount());
-        list.take(complete(3, entry("s-1", EndpointState.UP, 0)), NOW);
+        list.apply(complete(3, entry("s-1", EndpointState.UP, 0)), NOW);
         assertEquals(EndpointUpdateKind.SNAPSHOT, lastKind());
-        list.take(changes, NOW);
+        list.apply(changes, NOW);
         assertEquals(EndpointUpdateKind.DELTA, lastKind());
         assertEquals(2, pool.endpointCount());
         assertEquals(9, list.version());
@@ -92,32 +92,32 @@
 
     @Test
     void anOlderVersionIsRefusedOnce() throws ProtocolException {
-        list.take(complete(9, entry("s-1", EndpointState.UP, 0)), NOW);
+        list.apply(complete(9, entry("s-1", EndpointState.UP, 0)), NOW);
         ListUpdate older = complete(8);
-        ProtocolException thrown = assertThrows(ProtocolException.class, () -> list.take(older, NOW));
+        ProtocolException thrown = assertThrows(ProtocolException.class, () -> list.apply(older, NOW));
         assertEquals("version went back from 9 to 8", thrown.getMessage());
         assertEquals(1, pool.endpointCount());
         assertEquals("/registry/instances?watch=1", list.watchTarget());
-        list.take(older, NOW);
+        list.apply(older, NOW);
         assertEquals(0, pool.endpointCount());
         assertEquals(8, list.version());
     }
 
     @Test
     void afterAMoveAnyVersionOfACompleteListIsTaken() throws ProtocolException {
-        list.take(complete(9, entry("s-1", EndpointState.UP, 0)), NOW);
+        list.apply(complete(9, entry("s-1", EndpointState.UP, 0)), NOW);
         list.requireSnapshot();
         assertEquals("/registry/instances?watch=1", list.watchTarget());
-        list.take(complete(2, entry("s-1", EndpointState.UP, 0)), NOW);
+        list.apply(complete(2, entry("s-1", EndpointState.UP, 0)), NOW);
         assertEquals(2, list.version());
     }
 
     @Test
     void aStartThatIsNewSinceTheConfirmedListIsNoOlderThanIt() throws ProtocolException {
-        list.take(complete(9, entry("s-1", EndpointState.UP, 0)), NOW);
+        list.apply(complete(9, entry("s-1", EndpointState.UP, 0)), NOW);
         list.confirm(NOW);
         assertEquals(new EndpointListConfirmed(NOW), events.get(events.size() - 1));
-        list.take(changes(10, entry("s-2", EndpointState.UP, 5)), NOW + 1_000_000);
+        list.apply(changes(10, entry("s-2", EndpointState.UP, 5)), NOW + 1_000_000);
         EndpointUpdate update = assertInstanceOf(EndpointUpdate.class, events.get(events.size() - 1));
         assertEquals(NOW - 2_000_000, update.entries().get(0).startedAt());
     }
--- a/core/src/test/java/garnetreel/core/platform/EventInterleavingTest.java
+++ b/core/src/test/java/garnetreel/core/platform/EventInterleavingTest.java
@@ -134,7 +134,7 @@
                 case EVICTION -> {
                     List<NetEvent> accepted = new ArrayList<>();
                     for (long conn = 2; conn <= 600; conn++) {
-                        accepted.add(new NetEvent.Accepted(conn, PlatformGateway.HTTP, "peer"));
+                        accepted.add(new NetEvent.Accepted(conn, PlatformGateway.CLIENT_LISTENER, "peer"));
                     }
                     yield accepted;
                 }
--- a/core/src/test/java/garnetreel/core/platform/GatewayCountersTest.java
+++ b/core/src/test/java/garnetreel/core/platform/GatewayCountersTest.java
@@ -15,7 +15,7 @@
             counters.count(event);
         }
         for (Invariant invariant : Invariant.values()) {
-            counters.violated(invariant);
+            counters.recordViolation(invariant);
         }
         counters.count(Event.REQUEST_SERVED);
         assertEquals(
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayHarness.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayHarness.java
@@ -190,7 +190,7 @@
     }
 
     PlatformGatewayHarness accept(long conn) {
-        return deliver(new NetEvent.Accepted(conn, PlatformGateway.HTTP, "peer"));
+        return deliver(new NetEvent.Accepted(conn, PlatformGateway.CLIENT_LISTENER, "peer"));
     }
 
     PlatformGatewayHarness receive(long conn, String text) {
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayRequestsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayRequestsTest.java
@@ -137,7 +137,7 @@
         PlatformGatewayHarness harness = withAttemptInFlight("");
         harness.deliver(new NetEvent.Closed(1, true, "left")).advance(500_000);
         assertEquals(Outcome.TIMEOUT, harness.onlyOutcome());
-        assertTrue(harness.notified(AttemptCompleted.class).get(0).completed());
+        assertTrue(harness.notified(AttemptCompleted.class).get(0).requestCompleted());
         assertEquals(new PlatformGateway.OpenResources(0, 0, 0, 0), harness.gateway.openResources());
     }
 
--- a/core/src/test/java/garnetreel/core/platform/SendGuardTest.java
+++ b/core/src/test/java/garnetreel/core/platform/SendGuardTest.java
@@ -22,14 +22,14 @@
     @Test
     void anAttemptInTimeToAListedEndpointMayStart() {
         assertTrue(guard.mayStart(attempt, ADDRESS, START_BEFORE - 1));
-        assertEquals(1, counters.of(Event.ATTEMPT_BEGUN));
+        assertEquals(1, counters.get(Event.ATTEMPT_STARTED));
         assertEquals("invariant violations: 0", counters.invariants());
     }
 
     @Test
     void aLateAttemptIsDeniedWithoutAViolation() {
         assertFalse(guard.mayStart(attempt, ADDRESS, START_BEFORE));
-        assertEquals(1, counters.of(Event.ATTEMPT_TOO_LATE));
+        assertEquals(1, counters.get(Event.ATTEMPT_START_DEADLINE_PASSED));
         assertEquals(0, counters.violations());
     }
 
@@ -45,6 +45,6 @@
         listedAt = "127.0.0.1:2002";
         assertFalse(guard.mayStart(attempt, ADDRESS, 0));
         assertEquals("invariant violations: 1 sent_to_unlisted=1", counters.invariants());
-        assertEquals(0, counters.of(Event.ATTEMPT_BEGUN));
+        assertEquals(0, counters.get(Event.ATTEMPT_STARTED));
     }
 }
--- a/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTableTest.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTableTest.java
@@ -82,7 +82,7 @@
         beginTurn(REUSE_DELAY - 1);
         UpstreamConnection second = table.acquire("s-1");
         assertNotSame(connection, second);
-        table.forget(second);
+        table.remove(second);
         beginTurn(REUSE_DELAY);
         assertSame(connection, table.acquire("s-1"));
         assertEquals(List.of(), actions);
--- a/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTest.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTest.java
@@ -18,10 +18,10 @@
     void aRequestIsSentOnceItsLastByteHasLeft() {
         assertFalse(connection.isRequestSent(), "it is not open");
         connection.opened();
-        connection.writing(100, 9);
+        connection.requestWriteStarted(100, 9);
         assertEquals(9, connection.stateSince());
         connection.drained(99);
-        assertTrue(connection.hasUndrainedBytes());
+        assertTrue(connection.hasUnsentBytes());
         assertFalse(connection.isRequestSent());
         connection.drained(1);
         assertTrue(connection.isRequestSent());
@@ -48,7 +48,7 @@
     void aResponseWithoutALengthIsCompletedByTheClose() throws ProtocolException {
         assertNull(connection.responseCompletedByClose());
         assertNull(connection.read(UpstreamTestData.bytes("HTTP/1.1 200 OK\r\n\r\nresult")));
-        assertEquals("result".length(), connection.parsedBytes());
+        assertEquals("result".length(), connection.parserBufferedBytes());
         assertNotNull(connection.responseCompletedByClose());
     }
 
--- a/policy/src/main/java/garnetreel/policy/AttemptDispatcher.java
+++ b/policy/src/main/java/garnetreel/policy/AttemptDispatcher.java
@@ -22,7 +22,7 @@
         now = time;
         while (!shard.queue.isEmpty()) {
             Endpoint endpoint = modules.endpoints.select(shard.number, now);
-            if (endpoint == null || endpoint.limiter().freeTokens(now) < 1) {
+            if (endpoint == null || endpoint.limiter().freeSlots(now) < 1) {
                 return;
             }
             PendingRequest next = modules.fairQueue.select(shard.queue, endpoint, maySend, now);
--- a/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
+++ b/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
@@ -33,7 +33,7 @@
         }
         updateLease(attempt, event.outcome());
         updateHealth(request, attempt, event, now);
-        if (event.completed() || request.closed) {
+        if (event.requestCompleted() || request.closed) {
             modules.requests.close(request, now);
         } else if (isRetried(request, event.outcome(), now)) {
             modules.requests.hold(request);
--- a/policy/src/main/java/garnetreel/policy/ShardTable.java
+++ b/policy/src/main/java/garnetreel/policy/ShardTable.java
@@ -41,7 +41,7 @@
         int chosen = number;
         for (Endpoint endpoint : endpoints.all()) {
             Shard shard = shards.get(endpoint.shard());
-            double free = endpoint.limiter().freeTokens(now) - (shard == null ? 0 : shard.queue.size());
+            double free = endpoint.limiter().freeSlots(now) - (shard == null ? 0 : shard.queue.size());
             if (endpoints.maySendTo(endpoint, now) && !endpoint.health().isUnreachable() && free > mostFree) {
                 mostFree = free;
                 chosen = endpoint.shard();
@@ -75,7 +75,7 @@
         long retention = Retention.of(shards.size());
         shards.values()
                 .removeIf(shard -> shard.queue.isEmpty()
-                        && now - shard.demand.lastAskedAt() > retention
+                        && now - shard.demand.lastRequestAt() > retention
                         && !endpoints.hasShard(shard.number));
     }
 
--- a/policy/src/main/java/garnetreel/policy/admission/DemandEstimate.java
+++ b/policy/src/main/java/garnetreel/policy/admission/DemandEstimate.java
@@ -28,7 +28,7 @@
     }
 
     /** Time of the latest request for the shard. */
-    public long lastAskedAt() {
+    public long lastRequestAt() {
         return demandAt;
     }
 
--- a/policy/src/main/java/garnetreel/policy/concurrency/ConcurrencyLimiter.java
+++ b/policy/src/main/java/garnetreel/policy/concurrency/ConcurrencyLimiter.java
@@ -58,7 +58,7 @@
      * Number of free slots. An attempt is lost if it is past its latency objective and a later attempt has been
      * answered: it occupies no worker of the endpoint, so it holds no slot.
      */
-    public double freeTokens(long now) {
+    public double freeSlots(long now) {
         int occupied = 0;
         for (InFlightAttempt attempt : inFlight) {
             occupied += !isOvertaken(attempt.sentAt()) || attempt.inObjectives(now - attempt.sentAt()) < 1 ? 1 : 0;
@@ -76,7 +76,7 @@
 
     /** Whether the window is full or nearly full. */
     public boolean isNearlyFull(long now) {
-        return freeTokens(now) < FULL_BELOW;
+        return freeSlots(now) < FULL_BELOW;
     }
 
     /** Records that an attempt sent at the given time was answered. */
--- a/policy/src/main/java/garnetreel/policy/config/SafetyRules.java
+++ b/policy/src/main/java/garnetreel/policy/config/SafetyRules.java
@@ -3,7 +3,7 @@
 /**
  * Limits that the scheduler must never violate. A value of 0 or less disables a rule.
  *
- * @param answerSlack time past the deadline within which a final response still counts as sent in time
+ * @param responseGrace time past the deadline within which a final response still counts as sent in time
  * @param pollInterval maximum time between polls of the endpoint list by a gateway without subscription
  * @param freeRetries number of retries always allowed within the retry window
  * @param retryRatio additional retries allowed per request received within the retry window
@@ -17,7 +17,7 @@
  * @param keyQuietPeriod pause for all requests with a key after an outcome that may leave work on it running
  */
 public record SafetyRules(
-        long answerSlack,
+        long responseGrace,
         long pollInterval,
         double freeRetries,
         double retryRatio,
--- a/policy/src/main/java/garnetreel/policy/endpoint/EndpointTable.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/EndpointTable.java
@@ -87,7 +87,7 @@
         if (unreachable != best.health().isUnreachable()) {
             return !unreachable;
         }
-        return endpoint.limiter().freeTokens(now) > best.limiter().freeTokens(now);
+        return endpoint.limiter().freeSlots(now) > best.limiter().freeSlots(now);
     }
 
     /** Whether a shard has endpoints that are up, but none of them may be sent requests. */
--- a/policy/src/main/java/garnetreel/policy/event/AttemptCompleted.java
+++ b/policy/src/main/java/garnetreel/policy/event/AttemptCompleted.java
@@ -10,7 +10,7 @@
  * @param endpoint address of the endpoint
  * @param outcome result of the attempt
  * @param elapsed time since it was sent
- * @param completed true if the client already got its final response; false if the scheduler has to retry or send one
+ * @param requestCompleted true if the client already got its final response; false if the scheduler has to retry or send one
  * @param unitsFromOtherGateways units that the endpoint served for the volume through other gateways since its last
  *     response to this gateway
  * @param usage 1 + the volume's total usage in a completed metering period in percent of the plan's provisioned rate; 0
@@ -23,7 +23,7 @@
         String endpoint,
         Outcome outcome,
         long elapsed,
-        boolean completed,
+        boolean requestCompleted,
         long unitsFromOtherGateways,
         long usage,
         Map<String, Double> load)
--- a/policy/src/test/java/garnetreel/policy/SafetyRulesChecker.java
+++ b/policy/src/test/java/garnetreel/policy/SafetyRulesChecker.java
@@ -124,7 +124,7 @@
         if (completed.outcome() == Outcome.OK) {
             servedByEndpoint.merge(completed.endpoint(), observed.request.units(), Double::sum);
         }
-        observed.over |= completed.completed();
+        observed.over |= completed.requestCompleted();
         if (observed.requestClass.ordered()
                 && List.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED).contains(completed.outcome())) {
             quietUntil.put(observed.request.key(), now + settings.rules().keyQuietPeriod());
@@ -163,7 +163,8 @@
         ObservedRequest observed = request(id);
         assertTrue(observed != null, "responded to a request that was never received");
         assertFalse(observed.over, "a second final response");
-        assertTrue(now <= observed.request.deadline() + settings.rules().answerSlack(), "responded past the deadline");
+        assertTrue(
+                now <= observed.request.deadline() + settings.rules().responseGrace(), "responded past the deadline");
         observed.over = true;
     }
 
--- a/policy/src/test/java/garnetreel/policy/concurrency/ConcurrencyLimiterTest.java
+++ b/policy/src/test/java/garnetreel/policy/concurrency/ConcurrencyLimiterTest.java
@@ -21,13 +21,13 @@
 
     @Test
     void attemptsInFlightOccupySlots() {
-        assertEquals(2, limiter.freeTokens(0));
+        assertEquals(2, limiter.freeSlots(0));
         SentAttempt attempt = new SentAttempt(0);
         limiter.started(attempt);
-        assertEquals(1, limiter.freeTokens(0));
+        assertEquals(1, limiter.freeSlots(0));
         limiter.ended(attempt);
         assertTrue(limiter.isIdle());
-        assertEquals(2, limiter.freeTokens(0));
+        assertEquals(2, limiter.freeSlots(0));
     }
 
     @Test
@@ -35,33 +35,33 @@
         limiter.started(new SentAttempt(0));
         limiter.answered(1);
         assertTrue(limiter.isOvertaken(0));
-        assertEquals(1, limiter.freeTokens(OBJECTIVE - 1));
-        assertEquals(2, limiter.freeTokens(OBJECTIVE));
+        assertEquals(1, limiter.freeSlots(OBJECTIVE - 1));
+        assertEquals(2, limiter.freeSlots(OBJECTIVE));
     }
 
     @Test
     void quickResponsesGrowFullWindowUpToSix() {
         limiter.adapt(0, 0.29, false, 0);
-        assertEquals(2, limiter.freeTokens(0), "the window was not full");
+        assertEquals(2, limiter.freeSlots(0), "the window was not full");
         limiter.adapt(0, 0.3, true, 0);
-        assertEquals(2, limiter.freeTokens(0), "the response was not quick");
+        assertEquals(2, limiter.freeSlots(0), "the response was not quick");
         for (int i = 0; i < 100; i++) {
             limiter.adapt(0, 0.29, true, 0);
         }
-        assertEquals(6, limiter.freeTokens(0));
+        assertEquals(6, limiter.freeSlots(0));
         assertTrue(limiter.isConsistent());
     }
 
     @Test
     void slowResponseShrinksWindowOncePerRoundTrip() {
         limiter.adapt(5, 0.51, true, 10);
-        assertEquals(1.6, limiter.freeTokens(10));
+        assertEquals(1.6, limiter.freeSlots(10));
         limiter.adapt(9, 0.51, true, 11);
-        assertEquals(1.6, limiter.freeTokens(11), "sent before the decrease");
+        assertEquals(1.6, limiter.freeSlots(11), "sent before the decrease");
         for (int i = 0; i < 100; i++) {
             limiter.adapt(20 + i, 0.51, true, 20 + i);
         }
-        assertEquals(1, limiter.freeTokens(200));
+        assertEquals(1, limiter.freeSlots(200));
     }
 
     @Test
@@ -70,7 +70,7 @@
             limiter.started(new SentAttempt(0));
         }
         limiter.answered(1);
-        assertEquals(0, limiter.freeTokens(OBJECTIVE));
+        assertEquals(0, limiter.freeSlots(OBJECTIVE));
         assertTrue(limiter.isConsistent());
         limiter.started(new SentAttempt(0));
         assertFalse(limiter.isConsistent());
@@ -79,7 +79,7 @@
     @Test
     void resetWindowIsOne() {
         limiter.resetWindow();
-        assertEquals(1, limiter.freeTokens(0));
+        assertEquals(1, limiter.freeSlots(0));
         assertTrue(limiter.isNearlyFull(0));
     }
 }
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointTableTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointTableTest.java
@@ -104,7 +104,7 @@
         assertFalse(endpoint.restarted(NOW));
         assertFalse(endpoint.restarted(NOW - 1));
         assertEquals(NOW, endpoint.startedAt());
-        assertEquals(1, endpoint.limiter().freeTokens(NOW));
+        assertEquals(1, endpoint.limiter().freeSlots(NOW));
     }
 
     @Test
