--- a/map/src/main/java/garnetreel/map/Adoption.java
+++ b/map/src/main/java/garnetreel/map/Adoption.java
@@ -7,23 +7,25 @@
 import java.util.TreeMap;
 
 /**
- * Rebuilds maps from what nodes report that they hold, for a service that lost the newest part of its journal. Free of I/O.
+ * Rebuilds maps from the extents that nodes report, for a service that lost the newest part of its journal. Without
+ * I/O.
  *
- * <p>Why nodes have the truth: an extent is served by one node at a time, under a version that only grew; a migration fences
- * the old holder durably before the switch, and the old holder drops its data only when the new one serves. So of an extent's
- * entries the newest that serves is its holder; where none serves, a lost migration fenced the holder, which still has all
- * that was acknowledged, since nobody served after it. It is put back to serving.
+ * <p>The nodes' entries determine the holder of each extent: an extent is served by one node at a time, under a version
+ * that only grows; a migration durably fences the old holder before the switch, and the old holder drops its data only
+ * when the new one serves. So the holder is the node that serves the extent under the highest version. If no node
+ * serves it, a migration that is missing from the journal has fenced the holder. It still has all acknowledged writes,
+ * since no node has served the extent after it, and is made to serve again.
  */
 public final class Adoption {
-    /** How a node holds an extent. The codes are those of the node protocol (docs/node-protocol.md). */
+    /** State of an extent at a node. The codes are those of the node protocol (docs/node-protocol.md). */
     public enum State {
-        /** The node serves it. */
+        /** The node serves the extent. */
         SERVING(0),
-        /** The node has all of it and serves nothing. */
+        /** The node has all pages of the extent but does not serve it. */
         FENCED(1),
-        /** The node waits for pages. */
+        /** The node is receiving pages of the extent. */
         RECEIVING(2),
-        /** The node dropped it and remembers the version under which it went. */
+        /** The node has dropped the extent and retains the version under which it was released. */
         GONE(3);
 
         private final int code;
@@ -37,7 +39,10 @@
             return code;
         }
 
-        /** The state of a reported byte. One that is not known counts as GONE: its node can't be made the holder by it. */
+        /**
+         * The state with a reported code. An unknown code is taken as GONE, so that its node does not become the
+         * holder.
+         */
         public static State ofCode(int code) {
             for (State state : values()) {
                 if (state.code == code) {
@@ -52,13 +57,14 @@
     public record Held(long volume, long extent, int shard, State state, long version) {}
 
     /**
-     * What follows from all entries.
+     * Result of comparing the nodes' entries with the maps.
      *
-     * @param changes extents whose shard or version is not what the map says
-     * @param highestVersion highest version that any node knows
-     * @param lost migrations to roll back: their old holder is fenced, or their new one still waits for pages
-     * @param missing extents that were elsewhere than all nodes that answered; the map keeps its entry for them
-     * @param conflicts extents that two nodes claim to serve, which must never be; the newer one is taken
+     * @param changes extents whose shard or version differs from the map
+     * @param highestVersion highest version that any node reported
+     * @param lost migrations to roll back: their old holder is fenced, or their new holder is still receiving pages
+     * @param missing extents whose holder is not among the nodes that answered; the map keeps its entry for them
+     * @param conflicts entries of nodes that claim an extent beside a node with a newer version, which becomes the
+     *     holder; a correct system has none
      */
     public record Found(
             List<Change> changes, long highestVersion, List<Migration> lost, List<Held> missing, List<Held> conflicts) {
@@ -71,9 +77,9 @@
     private Adoption() {}
 
     /**
-     * Compares entries of nodes with the maps.
+     * Compares the entries of nodes with the maps.
      *
-     * @param state the maps that are to be mended; entries of volumes it does not know are passed over
+     * @param state the maps to correct; entries of volumes or extents that it does not have are ignored
      */
     public static Found of(MapState state, List<Held> entries) {
         Map<ExtentId, List<Held>> byExtent = new TreeMap<>();
@@ -81,20 +87,20 @@
         for (Held held : entries) {
             ExtentMap map = state.map(held.volume());
             if (map != null && map.contains(held.extent())) {
-                byExtent.computeIfAbsent(new ExtentId(held.volume(), held.extent()), any -> new ArrayList<>())
+                byExtent.computeIfAbsent(new ExtentId(held.volume(), held.extent()), unused -> new ArrayList<>())
                         .add(held);
                 highestVersion = Math.max(highestVersion, held.version());
             }
         }
         Found found = new Found(highestVersion);
-        byExtent.forEach((id, held) -> examine(state.map(id.volume()), id, held, found));
+        byExtent.forEach((id, held) -> examineExtent(state.map(id.volume()), id, held, found));
         return found;
     }
 
-    private static void examine(ExtentMap map, ExtentId id, List<Held> entries, Found found) {
+    private static void examineExtent(ExtentMap map, ExtentId id, List<Held> entries, Found found) {
         Held holder = null;
         Held receiver = null;
-        Held gone = null;
+        Held newestGone = null;
         for (Held held : entries) {
             switch (held.state()) {
                 case SERVING, FENCED -> {
@@ -104,12 +110,12 @@
                     holder = newer(holder, held);
                 }
                 case RECEIVING -> receiver = held;
-                case GONE -> gone = newer(gone, held);
+                case GONE -> newestGone = newer(newestGone, held);
             }
         }
-        if (holder == null || gone != null && gone.version() > holder.version()) {
-            // A node that dropped it under a version knew that its new holder serves; that one has not answered.
-            Held newest = gone == null ? receiver : gone;
+        if (holder == null || newestGone != null && newestGone.version() > holder.version()) {
+            // The extent was dropped only once its new holder served it; that node has not answered.
+            Held newest = newestGone == null ? receiver : newestGone;
             boolean neverMigrated = newest.version() == 0 && map.version(id.extent()) == ExtentMap.FIRST;
             if (!neverMigrated) {
                 found.missing().add(newest);
@@ -124,11 +130,13 @@
         }
     }
 
-    private static Held newer(Held known, Held other) {
-        return known == null || other.version() > known.version() ? other : known;
+    private static Held newer(Held current, Held other) {
+        return current == null || other.version() > current.version() ? other : current;
     }
 
-    /** The migration that was lost, as one to abort: its holder serves again and its receiver, if any, forgets. */
+    /**
+     * The lost migration, as one to abort: its holder serves again, and its receiver, if there is one, drops the pages.
+     */
     private static Migration rollback(ExtentId id, Held holder, Held receiver) {
         int to = receiver == null ? holder.shard() : receiver.shard();
         return new Migration(
--- a/map/src/main/java/garnetreel/map/CorruptJournalException.java
+++ b/map/src/main/java/garnetreel/map/CorruptJournalException.java
@@ -1,18 +1,18 @@
 package garnetreel.map;
 
 /**
- * Journal or snapshot of the map service cannot be read, or its records do not follow one another. Nothing is guessed over:
- * a service that recovered half a map would serve extents from where they no longer are.
+ * A journal or snapshot of the map service cannot be decoded, or its records are not consecutive. Recovery fails
+ * instead of continuing with a partial map, which would direct requests to shards that no longer hold the extents.
  */
 public final class CorruptJournalException extends IllegalStateException {
     private static final long serialVersionUID = 1L;
 
-    /** Damage that was found by checking. */
+    /** Damage found by a check. */
     public CorruptJournalException(String message) {
         super(message);
     }
 
-    /** Damage that showed while bytes were decoded. */
+    /** Damage that made decoding fail. */
     public CorruptJournalException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/map/src/main/java/garnetreel/map/ExtentChangedException.java
+++ b/map/src/main/java/garnetreel/map/ExtentChangedException.java
@@ -1,10 +1,13 @@
 package garnetreel.map;
 
-/** A switch lost its compare-and-set: the extent is no longer held as its migration found it. */
+/**
+ * The compare-and-set of a migration's switch failed: the extent's shard or version has changed since the migration
+ * began.
+ */
 public final class ExtentChangedException extends IllegalStateException {
     private static final long serialVersionUID = 1L;
 
-    /** What was found instead, for the log. */
+    /** Creates it with the expected and the actual version, which the service logs. */
     public ExtentChangedException(String message) {
         super(message);
     }
--- a/map/src/main/java/garnetreel/map/ExtentId.java
+++ b/map/src/main/java/garnetreel/map/ExtentId.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 
-/** Names one extent; ordered by volume, then by number. */
+/** Identifies an extent; ordered by volume, then by number. */
 record ExtentId(long volume, long extent) implements Comparable<ExtentId> {
     private static final Comparator<ExtentId> ORDER =
             Comparator.comparingLong(ExtentId::volume).thenComparingLong(ExtentId::extent);
--- a/map/src/main/java/garnetreel/map/ExtentMap.java
+++ b/map/src/main/java/garnetreel/map/ExtentMap.java
@@ -9,27 +9,30 @@
 import java.util.TreeSet;
 
 /**
- * Where the extents of one volume are: an immutable snapshot. A change makes a new snapshot that shares all chunks but
- * those it touches, so that readers keep one consistent state while the next is made.
+ * Shard and version of each extent of one volume. Immutable and copy-on-write: a change gives a new map that shares all
+ * unmodified chunks, so that readers keep a consistent view.
  *
- * <p>An extent that never migrated costs nothing: the first rule gives its shard. Chunks of {@link #CHUNK} extents come
- * into being when the first of them migrates; a volume whose every extent has migrated costs 12 bytes an extent.
+ * <p>The initial placement puts extent n at the shard with index n modulo the number of initial shards. Only extents
+ * that have migrated are stored, in chunks of {@link #CHUNK_EXTENTS} extents that are allocated when the first of them
+ * migrates. A volume whose extents have all migrated takes 12 bytes per extent.
  */
 public final class ExtentMap {
-    /** Extents in a chunk: small enough to copy for one change, large enough that a million extents need few. */
-    static final int CHUNK = 512;
-    /** Version of an extent that never migrated. */
+    /**
+     * Extents in a chunk: few enough to copy a chunk for one change, and enough that a million extents need few chunks.
+     */
+    static final int CHUNK_EXTENTS = 512;
+    /** Version of an extent that has never migrated. */
     public static final long FIRST = 1;
 
     private static final class Chunk {
-        final int[] shards = new int[CHUNK];
-        /** 0 where the extent never migrated. */
-        final long[] versions = new long[CHUNK];
+        final int[] shards = new int[CHUNK_EXTENTS];
+        /** Versions; 0 for an extent that has never migrated. */
+        final long[] versions = new long[CHUNK_EXTENTS];
 
         Chunk copy() {
             Chunk copy = new Chunk();
-            System.arraycopy(shards, 0, copy.shards, 0, CHUNK);
-            System.arraycopy(versions, 0, copy.versions, 0, CHUNK);
+            System.arraycopy(shards, 0, copy.shards, 0, CHUNK_EXTENTS);
+            System.arraycopy(versions, 0, copy.versions, 0, CHUNK_EXTENTS);
             return copy;
         }
     }
@@ -37,31 +40,32 @@
     private final long volume;
     private final long extents;
     private final int extentBytes;
-    private final int[] rule;
+    private final int[] initialShards;
     private final Chunk[] chunks;
 
-    private ExtentMap(long volume, long extents, int extentBytes, int[] rule, Chunk[] chunks) {
+    private ExtentMap(long volume, long extents, int extentBytes, int[] initialShards, Chunk[] chunks) {
         this.volume = volume;
         this.extents = extents;
         this.extentBytes = extentBytes;
-        this.rule = rule;
+        this.initialShards = initialShards;
         this.chunks = chunks;
     }
 
-    /** A volume whose extents are where the first rule puts them: extent n at shard n modulo the number of shards. */
+    /** The map of a volume whose extents are all at the shards of the initial placement. */
     public static ExtentMap of(long volume, long extents, int extentBytes, List<Integer> shards) {
         if (extents <= 0 || extentBytes <= 0 || shards.isEmpty()) {
-            throw new IllegalArgumentException("a map needs extents and shards");
+            throw new IllegalArgumentException(
+                    "an extent map needs at least one extent, a positive extent size and at least one shard");
         }
         return new ExtentMap(
                 volume,
                 extents,
                 extentBytes,
                 shards.stream().mapToInt(Integer::intValue).toArray(),
-                new Chunk[Math.toIntExact((extents + CHUNK - 1) / CHUNK)]);
+                new Chunk[Math.toIntExact((extents + CHUNK_EXTENTS - 1) / CHUNK_EXTENTS)]);
     }
 
-    /** The map in a message. */
+    /** Decodes the map in a message. */
     public static ExtentMap of(VolumeMap message) {
         ExtentMap map = of(message.volume(), message.extents(), message.extentBytes(), message.shards());
         List<Change> changes = new ArrayList<>(message.moved().size());
@@ -70,9 +74,9 @@
     }
 
     /**
-     * The same map with those changes made that are of this volume.
+     * A copy of the map with the changes of this volume applied; changes of other volumes are ignored.
      *
-     * @throws IllegalArgumentException for a change of an extent that the volume does not have
+     * @throws IllegalArgumentException if the volume does not have a changed extent
      */
     public ExtentMap with(List<Change> changes) {
         Chunk[] next = chunks.clone();
@@ -84,47 +88,49 @@
             if (!contains(change.extent())) {
                 throw new IllegalArgumentException("volume " + volume + " has no extent " + change.extent());
             }
-            int index = (int) (change.extent() / CHUNK);
+            int index = (int) (change.extent() / CHUNK_EXTENTS);
             if (!copied[index]) {
                 next[index] = next[index] == null ? new Chunk() : next[index].copy();
                 copied[index] = true;
             }
-            int within = (int) (change.extent() % CHUNK);
-            next[index].shards[within] = change.shard();
-            next[index].versions[within] = change.version();
+            int slot = (int) (change.extent() % CHUNK_EXTENTS);
+            next[index].shards[slot] = change.shard();
+            next[index].versions[slot] = change.version();
         }
-        return new ExtentMap(volume, extents, extentBytes, rule, next);
+        return new ExtentMap(volume, extents, extentBytes, initialShards, next);
     }
 
-    /** Whether the volume has an extent of that number. */
+    /** Whether the volume has an extent with that number. */
     public boolean contains(long extent) {
         return extent >= 0 && extent < extents;
     }
 
     /** Shard that holds an extent. */
     public int shard(long extent) {
-        Chunk chunk = chunks[(int) (extent / CHUNK)];
-        int within = (int) (extent % CHUNK);
-        return chunk == null || chunk.versions[within] == 0 ? rule[(int) (extent % rule.length)] : chunk.shards[within];
+        Chunk chunk = chunks[(int) (extent / CHUNK_EXTENTS)];
+        int slot = (int) (extent % CHUNK_EXTENTS);
+        return chunk == null || chunk.versions[slot] == 0
+                ? initialShards[(int) (extent % initialShards.length)]
+                : chunk.shards[slot];
     }
 
     /** Version under which its shard holds an extent. */
     public long version(long extent) {
-        Chunk chunk = chunks[(int) (extent / CHUNK)];
-        int within = (int) (extent % CHUNK);
-        return chunk == null || chunk.versions[within] == 0 ? FIRST : chunk.versions[within];
+        Chunk chunk = chunks[(int) (extent / CHUNK_EXTENTS)];
+        int slot = (int) (extent % CHUNK_EXTENTS);
+        return chunk == null || chunk.versions[slot] == 0 ? FIRST : chunk.versions[slot];
     }
 
-    /** Shards that hold an extent now, and those of the first rule. */
+    /** Shards that hold a migrated extent, and all shards of the initial placement. */
     public Set<Integer> shards() {
         Set<Integer> shards = new TreeSet<>();
-        for (int shard : rule) {
+        for (int shard : initialShards) {
             shards.add(shard);
         }
         for (Chunk chunk : chunks) {
-            for (int within = 0; chunk != null && within < CHUNK; within++) {
-                if (chunk.versions[within] != 0) {
-                    shards.add(chunk.shards[within]);
+            for (int slot = 0; chunk != null && slot < CHUNK_EXTENTS; slot++) {
+                if (chunk.versions[slot] != 0) {
+                    shards.add(chunk.shards[slot]);
                 }
             }
         }
@@ -141,26 +147,26 @@
         return extents;
     }
 
-    /** Size of an extent. */
+    /** Size of an extent in bytes. */
     public int extentBytes() {
         return extentBytes;
     }
 
-    /** The map as a message. */
+    /** Encodes the map as a message. */
     public VolumeMap toMessage() {
         List<Moved> moved = new ArrayList<>();
         for (int index = 0; index < chunks.length; index++) {
-            for (int within = 0; chunks[index] != null && within < CHUNK; within++) {
-                if (chunks[index].versions[within] != 0) {
+            for (int slot = 0; chunks[index] != null && slot < CHUNK_EXTENTS; slot++) {
+                if (chunks[index].versions[slot] != 0) {
                     moved.add(new Moved(
-                            (long) index * CHUNK + within,
-                            chunks[index].shards[within],
-                            chunks[index].versions[within]));
+                            (long) index * CHUNK_EXTENTS + slot,
+                            chunks[index].shards[slot],
+                            chunks[index].versions[slot]));
                 }
             }
         }
         List<Integer> shards = new ArrayList<>();
-        for (int shard : rule) {
+        for (int shard : initialShards) {
             shards.add(shard);
         }
         return new VolumeMap(volume, extents, extentBytes, shards, moved);
--- a/map/src/main/java/garnetreel/map/MapCache.java
+++ b/map/src/main/java/garnetreel/map/MapCache.java
@@ -11,22 +11,22 @@
 import java.util.TreeMap;
 
 /**
- * The map as one holder knows it: all volumes at one version of one epoch. An update is applied completely or not at all.
+ * A copy of the map: all volumes at one version of one epoch. An update is applied completely or not at all.
  *
- * <p>Guards against a service that was rolled back: one restored from an older snapshot would send writes to where data was
- * before. An update of an older epoch, or of an older version of the same one, is not applied. It could hurt after a restore
- * that is meant: then the operator begins a new epoch, which is followed.
+ * <p>Updates of an older epoch, or of an older version of the same epoch, are rejected. They come from a map service
+ * that was restored from an old backup, and would direct writes to shards that no longer hold the extents. After an
+ * intended restore the operator begins a new epoch, which is accepted.
  */
 public final class MapCache {
-    /** What an update led to. */
+    /** Result of applying an update. */
     public enum Outcome {
-        /** Applied. */
+        /** The update was applied. */
         APPLIED,
-        /** Already known: a repeat, or a keep-alive. */
+        /** The update holds nothing new: it is a repeat or a keep-alive. */
         ALREADY_KNOWN,
-        /** It builds on a version that is not held: a snapshot must be requested. */
+        /** Updates before this one are missing: a snapshot must be requested. */
         GAP,
-        /** The service was rolled back: not applied. */
+        /** The update is older than this copy, so the service was rolled back: it was not applied. */
         ROLLED_BACK
     }
 
@@ -53,7 +53,7 @@
         return Outcome.APPLIED;
     }
 
-    /** Applies changes; repeated and overlapping ones are applied once. */
+    /** Applies changes; those of repeated or overlapping updates are applied once. */
     public Outcome apply(Changes changes) {
         if (changes.epoch() < epoch
                 || changes.epoch() == epoch && changes.version() < version && changes.since() >= changes.version()) {
@@ -68,28 +68,28 @@
         Map<Long, List<Change>> byVolume = new HashMap<>();
         for (Change change : changes.changes()) {
             if (change.version() > version) {
-                byVolume.computeIfAbsent(change.volume(), any -> new ArrayList<>())
+                byVolume.computeIfAbsent(change.volume(), unused -> new ArrayList<>())
                         .add(change);
             }
         }
         if (!volumes.keySet().containsAll(byVolume.keySet())) {
-            // A volume that is not known came into being.
+            // A volume has been created: only a snapshot describes it.
             return Outcome.GAP;
         }
         Map<Long, ExtentMap> next = new HashMap<>();
         byVolume.forEach(
-                (volume, ofVolume) -> next.put(volume, volumes.get(volume).with(ofVolume)));
+                (volume, itsChanges) -> next.put(volume, volumes.get(volume).with(itsChanges)));
         volumes.putAll(next);
         version = changes.version();
         return Outcome.APPLIED;
     }
 
-    /** Maps of all volumes, by volume. */
+    /** Maps of all volumes, ordered by volume. */
     public Iterable<ExtentMap> volumes() {
         return volumes.values();
     }
 
-    /** A volume's map; null while there is none. */
+    /** Map of a volume; null if it is not known. */
     public ExtentMap volume(long volume) {
         return volumes.get(volume);
     }
@@ -104,7 +104,7 @@
         return version;
     }
 
-    /** A snapshot of all volumes, as a message. */
+    /** All maps as a snapshot message. */
     public Whole toSnapshot() {
         return new Whole(
                 epoch,
--- a/map/src/main/java/garnetreel/map/MapSnapshot.java
+++ b/map/src/main/java/garnetreel/map/MapSnapshot.java
@@ -16,7 +16,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * The map service's state without its history, as of one transaction.
+ * The map service's state after one transaction, without its history. Stored form, big-endian:
  *
  * <pre>
  * u32 magic "GRMS"   u32 CRC32C of all that follows
@@ -61,13 +61,14 @@
         return (int) crc.getValue();
     }
 
-    /** @throws CorruptJournalException saying what is damaged */
+    /** @throws CorruptJournalException if it is damaged; the message says how */
     static MapSnapshot of(byte[] encoded) {
         if (encoded.length < HEADER
                 || ByteBuffer.wrap(encoded).getInt(0) != MAGIC
                 || ByteBuffer.wrap(encoded).getInt(CRC_OFFSET) != crc(encoded)) {
-            throw new CorruptJournalException("the snapshot of the map's journal is damaged (" + encoded.length
-                    + " bytes, checksum or magic differ)");
+            throw new CorruptJournalException(
+                    "the snapshot of the map journal is damaged: wrong magic number or checksum, or too short ("
+                            + encoded.length + " bytes)");
         }
         try (DataInputStream in =
                 new DataInputStream(new ByteArrayInputStream(encoded, HEADER, encoded.length - HEADER))) {
@@ -86,9 +87,9 @@
             if (MapCodec.next(frame) instanceof Whole maps) {
                 return new MapSnapshot(seq, lastMigration, maps, migrations, draining);
             }
-            throw new CorruptJournalException("the snapshot of the map's journal holds no map");
+            throw new CorruptJournalException("the snapshot of the map journal holds another message than a map");
         } catch (IOException | ProtocolException e) {
-            throw new CorruptJournalException("the snapshot of the map's journal can't be read: " + e.getMessage(), e);
+            throw new CorruptJournalException("cannot decode the snapshot of the map journal: " + e.getMessage(), e);
         }
     }
 }
--- a/map/src/main/java/garnetreel/map/MapState.java
+++ b/map/src/main/java/garnetreel/map/MapState.java
@@ -15,17 +15,18 @@
 import java.util.TreeSet;
 
 /**
- * The replicated state of the map service: the maps, the migrations in progress, shards that drain, and the last
- * transactions. All of it follows from the transactions in order; whoever applies the same ones has the same state, which is
- * the seam for replicas.
+ * The state of the map service as a deterministic state machine: the maps, the migrations in progress, the draining
+ * shards and the most recent transactions. Applying the same transactions in order always gives the same state, so
+ * replicas could be built by replaying them.
  *
- * <p>Methods that return a {@link Transaction} change nothing: it takes effect when it is applied, once it is durable.
+ * <p>Methods that return a {@link Transaction} only build it; it takes effect through {@link #apply}, once it is
+ * durable.
  *
- * <p>Bounds: {@link #HISTORY} transactions are retained for deltas and history; a gateway that is further back takes a
- * snapshot.
+ * <p>The last {@link #HISTORY} transactions are retained for deltas and for the history shown to operators; a gateway
+ * whose version is older than these is sent a snapshot.
  */
 public final class MapState {
-    /** Transactions retained. */
+    /** Number of transactions retained. */
     public static final int HISTORY = 10_000;
 
     private final MapCache maps = new MapCache();
@@ -38,7 +39,9 @@
     private long horizon;
     private long lastMigration;
 
-    /** State of a service that has no journal yet: all extents are where the first rule puts them. */
+    /**
+     * Initial state of a service without a journal: every extent is at the shard that the initial placement gives it.
+     */
     public MapState(Whole initial) {
         maps.apply(initial);
         this.epoch = initial.epoch();
@@ -55,12 +58,13 @@
     }
 
     /**
-     * The state that a journal holds.
+     * Recovers the state from a journal.
      *
-     * @param initial the maps of a service that never ran
-     * @param snapshot the last one; null for none
-     * @param records transactions in order without a gap; those that the snapshot covers serve history and deltas
-     * @throws CorruptJournalException naming the record that is missing or damaged; nothing is guessed
+     * @param initial the maps of a service that has never run
+     * @param snapshot the latest snapshot; null for none
+     * @param records transactions in order, without gaps; those that the snapshot covers are kept only for history and
+     *     deltas
+     * @throws CorruptJournalException if a record is missing or damaged; the message says which
      */
     public static MapState recover(Whole initial, byte[] snapshot, List<byte[]> records) {
         MapState state = snapshot == null ? new MapState(initial) : new MapState(MapSnapshot.of(snapshot));
@@ -75,24 +79,27 @@
         return state;
     }
 
-    /** A transaction that the snapshot covers: retained for history, and for deltas since the first of them. */
+    /**
+     * Adds a transaction that the snapshot covers to the history; the first one of an epoch sets the horizon for
+     * deltas.
+     */
     private void retain(Transaction t) {
         if (history.isEmpty() || t.epoch() != history.peekLast().epoch()) {
             horizon = t.version();
         }
         history.add(t);
-        trim();
+        trimHistory();
     }
 
-    /** The state without its history, as bytes for {@link #recover}. */
+    /** Encodes the state without its history, as input for {@link #recover}. */
     public byte[] snapshot() {
         return new MapSnapshot(seq, lastMigration, maps.toSnapshot(), migrations(), draining()).bytes();
     }
 
     /**
-     * Applies a transaction that has become durable; one that was applied before is passed over.
+     * Applies a durable transaction. One that has been applied before is ignored.
      *
-     * @throws CorruptJournalException where it does not follow the last one
+     * @throws CorruptJournalException if it does not directly follow the last one
      */
     public void apply(Transaction t) {
         if (t.seq() <= seq) {
@@ -106,7 +113,7 @@
             epoch = t.epoch();
             version = t.version();
             horizon = version;
-            maps.apply(new Whole(epoch, version, changed(t.changes())));
+            maps.apply(new Whole(epoch, version, withChanges(t.changes())));
         } else if (!t.changes().isEmpty()) {
             maps.apply(new Changes(epoch, version, t.version(), t.changes()));
             version = t.version();
@@ -119,7 +126,7 @@
             applyDrain(t.drain());
         }
         history.add(t);
-        trim();
+        trimHistory();
     }
 
     private void applyMigration(Migration migration) {
@@ -139,28 +146,33 @@
         }
     }
 
-    /** The maps with changes whose versions may be of any age, as an epoch that is adopted from nodes has them. */
-    private List<VolumeMap> changed(List<Change> changes) {
+    /**
+     * The maps after changes of any version: those of an epoch adopted from nodes may be older than the current
+     * version.
+     */
+    private List<VolumeMap> withChanges(List<Change> changes) {
         List<VolumeMap> volumes = new ArrayList<>();
         maps.volumes().forEach(map -> volumes.add(map.with(changes).toMessage()));
         return volumes;
     }
 
-    private void trim() {
+    private void trimHistory() {
         if (history.size() > HISTORY) {
             horizon = Math.max(horizon, history.poll().version());
         }
     }
 
     /**
-     * The transaction that makes a state of a migration durable, or begins one.
+     * Builds the transaction that records a new migration or a new state of one. The change to SWITCHED also assigns
+     * the extent to its new shard, under a new version.
      *
-     * @throws ExtentChangedException where it is a switch and the extent is no longer held as the migration found it
+     * @throws ExtentChangedException if it is a switch and the extent's shard or version has changed since the
+     *     migration began
      */
     public Transaction next(Migration migration, String who, long when, String why) {
-        Migration known = migrations.get(migration.id());
+        Migration current = migrations.get(migration.id());
         boolean switches = migration.state() == Migration.State.SWITCHED
-                && (known == null || known.state() != Migration.State.SWITCHED);
+                && (current == null || current.state() != Migration.State.SWITCHED);
         if (!switches) {
             return new Transaction(seq + 1, epoch, version, who, when, why, List.of(), migration, null);
         }
@@ -168,34 +180,36 @@
         ExtentMap map = maps.volume(migration.volume());
         if (map.version(extent) != migration.oldVersion() || map.shard(extent) != migration.from()) {
             throw new ExtentChangedException("extent " + extent + " of volume " + migration.volume()
-                    + " is held under version " + map.version(extent) + " and not " + migration.oldVersion());
+                    + " has changed since its migration began: its version is " + map.version(extent) + ", expected "
+                    + migration.oldVersion());
         }
         long next = version + 1;
         Change change = new Change(migration.volume(), extent, migration.to(), next);
         return new Transaction(seq + 1, epoch, next, who, when, why, List.of(change), migration.switched(next), null);
     }
 
-    /** A transaction that changes nothing but is on record. */
+    /** Builds a transaction that changes no map and no migration, but is recorded in the history. */
     public Transaction emptyTransaction(String who, long when, String why) {
         return new Transaction(seq + 1, epoch, version, who, when, why, List.of(), null, null);
     }
 
-    /** A shard is to hold nothing any more, or may again. */
+    /** Builds the transaction that starts or ends draining a shard. */
     public Transaction drain(int shard, boolean on, String who, long when) {
         String why = (on ? "drain shard " : "undrain shard ") + shard;
         return new Transaction(seq + 1, epoch, version, who, when, why, List.of(), null, new Drain(shard, on));
     }
 
-    /** A new epoch: gateways follow it though versions may have gone back. */
+    /** Builds the transaction that begins a new epoch; gateways accept a newer epoch even if its versions are lower. */
     public Transaction newEpoch(String who, long when, String why) {
         return new Transaction(seq + 1, epoch + 1, version, who, when, why, List.of(), null, null);
     }
 
     /**
-     * A new epoch whose maps are what nodes reported that they hold.
+     * Builds the transaction that begins a new epoch with the maps that nodes reported.
      *
-     * @param observedEpoch newest epoch that any gateway or node has reported
-     * @param observedVersion highest version that any of them has reported
+     * @param found extents whose shard or version differs from the map
+     * @param observedEpoch highest epoch that any gateway or node has reported
+     * @param observedVersion highest version that any gateway or node has reported
      */
     public Transaction adopt(
             List<Change> found, long observedEpoch, long observedVersion, String who, long when, String why) {
@@ -204,7 +218,9 @@
         return new Transaction(seq + 1, nextEpoch, nextVersion, who, when, why, found, null, null);
     }
 
-    /** A migration that begins as ABORTING, with a number of its own: it rolls back what a lost migration left behind. */
+    /**
+     * A new migration that begins as ABORTING: it rolls back what a migration missing from the journal left on nodes.
+     */
     public Migration lostMigration(Migration lost) {
         return new Migration(
                 lastMigration + 1,
@@ -218,22 +234,23 @@
     }
 
     /**
-     * A new migration, to be made durable.
+     * A new migration, which is not yet durable: see {@link #next}.
      *
-     * @throws MigrationRejectedException saying why there can't be one
+     * @throws MigrationRejectedException if the extent does not exist, is at the target or is migrating already
      */
     public Migration newMigration(long volume, long extent, int to) {
         ExtentMap map = maps.volume(volume);
         if (map == null || !map.contains(extent)) {
-            throw new MigrationRejectedException("there is no extent " + extent + " of volume " + volume);
+            throw new MigrationRejectedException("volume " + volume + " has no extent " + extent);
         }
         if (map.shard(extent) == to) {
-            throw new MigrationRejectedException("extent " + extent + " of volume " + volume + " is at shard " + to);
+            throw new MigrationRejectedException(
+                    "extent " + extent + " of volume " + volume + " is already at shard " + to);
         }
         for (Migration other : migrations.values()) {
             if (other.volume() == volume && other.extent() == extent) {
                 throw new MigrationRejectedException(
-                        "extent " + extent + " of volume " + volume + " is in migration " + other.id());
+                        "extent " + extent + " of volume " + volume + " is already in migration " + other.id());
             }
         }
         return new Migration(
@@ -247,20 +264,23 @@
                 Migration.State.COPYING);
     }
 
-    /** What brings the holder of a version up to date: changes, or a snapshot where it is too far back. */
-    public MapMessage updateSince(long heldEpoch, long held) {
-        return heldEpoch != epoch || held > version || held < horizon
+    /**
+     * The update for a holder of a version: the changes since, or a snapshot if these are not retained or it is of
+     * another epoch.
+     */
+    public MapMessage updateSince(long heldEpoch, long heldVersion) {
+        return heldEpoch != epoch || heldVersion > version || heldVersion < horizon
                 ? maps.toSnapshot()
-                : new Changes(epoch, held, version, changesSince(held));
+                : new Changes(epoch, heldVersion, version, changesSince(heldVersion));
     }
 
-    /** Changes after a version of this epoch in order; it must not lie before {@link #horizon}. */
-    public List<Change> changesSince(long held) {
+    /** Changes after a version of the current epoch, in order; the version must not be below {@link #horizon}. */
+    public List<Change> changesSince(long heldVersion) {
         List<Change> changes = new ArrayList<>();
-        // From the newest back: a gateway that is one change behind must not cost a pass over all history.
+        // Newest first, so that an update for a gateway that is one change behind does not scan the whole history.
         for (Iterator<Transaction> newest = history.descendingIterator(); newest.hasNext(); ) {
             Transaction t = newest.next();
-            if (t.version() <= held || t.epoch() != epoch) {
+            if (t.version() <= heldVersion || t.epoch() != epoch) {
                 break;
             }
             List<Change> own = new ArrayList<>(t.changes());
@@ -271,47 +291,47 @@
         return changes;
     }
 
-    /** A snapshot of all maps, as a message. */
+    /** All maps as a snapshot message. */
     public Whole mapSnapshot() {
         return maps.toSnapshot();
     }
 
-    /** Maps of all volumes, by volume. */
+    /** Maps of all volumes, ordered by volume. */
     public Iterable<ExtentMap> maps() {
         return maps.volumes();
     }
 
-    /** Migrations that are not over, by number. */
+    /** Migrations that are in progress, ordered by number. */
     public List<Migration> migrations() {
         return List.copyOf(migrations.values());
     }
 
-    /** Shards that are to hold nothing any more. */
+    /** Shards that are being drained. */
     public List<Integer> draining() {
         return List.copyOf(draining);
     }
 
-    /** The last transactions, oldest first. */
+    /** The retained transactions, oldest first. */
     public Iterable<Transaction> history() {
         return history;
     }
 
-    /** Map of a volume; null where there is none. */
+    /** Map of a volume; null if it does not exist. */
     public ExtentMap map(long volume) {
         return maps.volume(volume);
     }
 
-    /** Oldest version from which changes are known. */
+    /** Oldest version since which all changes are retained. */
     public long horizon() {
         return horizon;
     }
 
-    /** Number of the last transaction. */
+    /** Sequence number of the last transaction. */
     public long seq() {
         return seq;
     }
 
-    /** Epoch of the maps; a new one overrides versions. */
+    /** Epoch of the maps; a higher epoch takes precedence over any version. */
     public long epoch() {
         return epoch;
     }
--- a/map/src/main/java/garnetreel/map/Migration.java
+++ b/map/src/main/java/garnetreel/map/Migration.java
@@ -5,34 +5,37 @@
 import java.io.IOException;
 
 /**
- * A migration of one extent from one shard to another, as far as it must survive a restart.
+ * Durable description of a migration of one extent from one shard to another.
  *
- * @param id counts migrations of the service from 1
+ * @param id number of the migration, from 1
  * @param from shard that holds the extent when the migration begins
- * @param to shard that is to hold it
+ * @param to shard that is to hold the extent
  * @param oldVersion version under which {@code from} holds the extent
- * @param newVersion version under which {@code to} will; 0 until the switch
+ * @param newVersion version under which {@code to} holds the extent; 0 until the switch
  * @param state the last durable state
  */
 public record Migration(
         long id, long volume, long extent, int from, int to, long oldVersion, long newVersion, State state) {
 
     /**
-     * Durable states. What lies between them is repeated after a restart. Code and label are outer forms: journals hold the
-     * code, and operators' commands print the label, so neither may change.
+     * Durable states. The steps between them are repeated after a restart. Journals store the code and the operator
+     * commands print the label, so neither may change.
      */
     public enum State {
-        /** Pages are copied while the old holder serves. Any failure begins the copy anew, or aborts. */
+        /** Pages are copied while the old holder serves. A failure restarts the copy or aborts the migration. */
         COPYING(0, "copying"),
-        /** The old holder is being fenced and the last pages copied. It may be unfenced again. */
+        /** The old holder is being fenced and the remaining pages are copied. The fence can still be lifted. */
         FENCING(1, "fencing"),
-        /** The map names the new holder. There is no way back: it is made to serve, and the old one released. */
+        /**
+         * The map names the new holder. This cannot be undone: the new holder begins to serve and the old one drops its
+         * data.
+         */
         SWITCHED(2, "switched"),
-        /** Given up: the old holder is made to serve again and the new one to forget. */
+        /** Being aborted: the old holder is made to serve again, and the new one to drop the pages. */
         ABORTING(3, "aborting"),
-        /** Over: the new holder serves. */
+        /** Final: the new holder serves. */
         DONE(4, "done"),
-        /** Over: the old holder serves. */
+        /** Final: the old holder serves. */
         ABORTED(5, "aborted");
 
         private final int code;
@@ -48,20 +51,20 @@
             return code;
         }
 
-        /** The state's name in the answers of operators' commands. */
+        /** The state's name in the replies to operator commands. */
         public String label() {
             return label;
         }
 
-        /** Whether nothing is left to do. */
+        /** Whether the state is final. */
         public boolean over() {
             return this == DONE || this == ABORTED;
         }
 
         /**
-         * The state of a stored byte.
+         * The state with a stored code.
          *
-         * @throws CorruptJournalException where no state has that code
+         * @throws CorruptJournalException if no state has that code
          */
         public static State ofCode(int code) {
             for (State state : values()) {
@@ -69,7 +72,7 @@
                     return state;
                 }
             }
-            throw new CorruptJournalException("no state of a migration has the code " + code);
+            throw new CorruptJournalException("unknown migration state code " + code);
         }
     }
 
@@ -101,7 +104,7 @@
         return new Migration(id, volume, extent, from, to, oldVersion, newVersion, next);
     }
 
-    /** The same migration after the switch, which gave the extent a version. */
+    /** The same migration after the switch, with the version under which the new shard holds the extent. */
     Migration switched(long version) {
         return new Migration(id, volume, extent, from, to, oldVersion, version, State.SWITCHED);
     }
--- a/map/src/main/java/garnetreel/map/MigrationStateMachine.java
+++ b/map/src/main/java/garnetreel/map/MigrationStateMachine.java
@@ -6,48 +6,54 @@
 import java.nio.ByteBuffer;
 
 /**
- * The protocol of one migration, decided without I/O: reports of nodes and the news that a state is durable go in; one
- * command to one node, or a state to be made durable, comes out. Each command may be repeated and each state begun again, so
- * any participant may be killed at any step.
+ * The protocol of one migration, without I/O. Its inputs are reports of nodes and the notification that a state is
+ * durable; its output is one command to one node, or a state to be made durable. Commands are idempotent and each state
+ * can be started again, so any participant may be killed at any step.
  *
- * <p>Why nothing is lost or done twice, with no clock assumed anywhere:
+ * <p>No write is lost or executed twice, without assumptions about clocks:
  * <ul>
- * <li>only one node serves an extent at a time: the old one until its fence is durable, the new one only once the switch
- *     is durable at the service, which is only after the fence was reported;
- * <li>a fence is reported only when nothing of the extent is in work, so all that was ever acknowledged is on the old
- *     holder's pages, and all of these are taken after that report and put, durably, before the switch;
- * <li>a request that meets the fence, or the wrong version, is answered STALE and did not run;
- * <li>an old holder that can't be reached can't be fenced, so the migration waits or is aborted: it never switches.
+ * <li>At most one node serves an extent at a time: the old holder until its fence is durable, the new holder once the
+ *     switch is durable at the service, which happens only after the fence was reported.
+ * <li>A node reports a fence only when no request for the extent is being executed. So the old holder's pages then hold
+ *     all acknowledged writes, and the pages not yet copied are taken after that report and durably put before the
+ *     switch.
+ * <li>A request that reaches a fenced extent, or has the wrong version, is answered STALE and has not been executed.
+ * <li>An old holder that cannot be reached cannot be fenced, so the migration waits or is aborted: it never switches.
  * </ul>
  */
 public final class MigrationStateMachine {
-    /** Bytes of pages that one TAKE may return. */
+    /** Maximum bytes of pages that one TAKE returns. */
     public static final int BATCH = 256 << 10;
-    /** Failures of steps before the switch after which the migration is aborted. */
+    /** Failed steps before the switch after which the migration is aborted. */
     private static final int MAX_FAILURES = 40;
-    /** Polls of a fence whose work is not done, some milliseconds apart; past it the fence counts as failed. */
+    /**
+     * Polls, some milliseconds apart, of a fence that waits for requests to finish; after these the fence counts as
+     * failed.
+     */
     private static final int MAX_FENCE_POLLS = 2_000;
-    /** Batches that are copied before the fence at most: an extent that changes as fast as it is copied never ends. */
+    /**
+     * Maximum batches copied before the fence: an extent that changes as fast as it is copied would never be fenced.
+     */
     private static final int MAX_BATCHES = 4_096;
 
-    /** What to do next. */
+    /** What the service is to do next. */
     public sealed interface NextStep {}
 
     /**
-     * Send a command to a shard's node; {@link #reported} or {@link #failed} goes on.
+     * Send a command to a shard's node, and then call {@link #reported} or {@link #failed}.
      *
-     * @param room bytes of pages that the report may hold
-     * @param data pages to put
+     * @param room maximum bytes of pages in the report
+     * @param data pages to put; empty for other steps
      */
     public record SendCommand(int shard, Step step, long version, int room, ByteBuffer data) implements NextStep {}
 
-    /** Make a state durable; {@link #durable} goes on. SWITCHED also gives the extent to the new shard. */
+    /** Make a state durable, and then call {@link #durable}. SWITCHED also assigns the extent to the new shard. */
     public record Commit(Migration.State state, String why) implements NextStep {}
 
-    /** Nothing more. */
+    /** The migration has ended. */
     public record Finished() implements NextStep {}
 
-    /** Steps within the durable states; one that a restart interrupts is reached anew from {@link #firstPhase}. */
+    /** Steps within the durable states; after a restart a state begins again from {@link #firstPhase}. */
     private enum Phase {
         TRACK,
         RECEIVE,
@@ -60,7 +66,7 @@
         RELEASE,
         UNFENCE,
         FORGET,
-        /** All commands of the durable state are done: what is left is to make its end durable. */
+        /** All commands of the state have succeeded: its final state is to be made durable. */
         COMPLETE
     }
 
@@ -72,10 +78,10 @@
     private int failures;
     private int fencePolls;
     private int batches;
-    /** Why the migration is to be aborted; null while it is not. */
+    /** Why the migration is to be aborted; null if no abort was requested. */
     private String abortReason;
 
-    /** Begins, or goes on after a restart from what was durable. */
+    /** Begins a migration, or resumes one from its durable state after a restart. */
     public MigrationStateMachine(Migration migration) {
         this.migration = migration;
         this.phase = firstPhase(migration.state());
@@ -83,9 +89,8 @@
 
     private static Phase firstPhase(Migration.State state) {
         return switch (state) {
-                // Whether the service got as far as a fence before the restart is not known: TRACK puts the old holder
-                // back
-                // to serving first, and the copy begins anew.
+                // The old holder may have been fenced before the restart: TRACK makes it serve again, and the copy
+                // restarts.
             case COPYING, FENCING -> Phase.TRACK;
             case SWITCHED -> Phase.SERVE;
             case ABORTING -> Phase.UNFENCE;
@@ -93,17 +98,17 @@
         };
     }
 
-    /** The migration in its last durable state. */
+    /** The migration with its last durable state. */
     public Migration migration() {
         return migration;
     }
 
-    /** Asks for the migration to be aborted; it is unless it has switched. */
+    /** Requests that the migration be aborted; without effect after the switch. */
     public void abort(String why) {
         abortReason = why;
     }
 
-    /** What to do now. The answer is the same until {@link #reported}, {@link #failed} or {@link #durable} is called. */
+    /** The next step; the same one until {@link #reported}, {@link #failed} or {@link #durable} is called. */
     public NextStep next() {
         if (migration.state().over()) {
             return new Finished();
@@ -151,16 +156,16 @@
         return new SendCommand(migration.to(), step, migration.oldVersion(), 0, NodeMessage.none());
     }
 
-    /** A node's report of the command that {@link #next} gave. */
+    /** Handles a node's report of the command that {@link #next} returned. */
     public void reported(Report report) {
         if (report.ok()) {
             succeeded(report);
         } else if (!fenceHolds(report)) {
-            refused();
+            commandRejected();
         }
     }
 
-    /** Whether the fence holds and only work that had begun is not done yet: then it is polled again. */
+    /** Whether the fence is in force and only waits for requests in execution: then it is polled again. */
     private boolean fenceHolds(Report report) {
         return phase == Phase.FENCE && report.more() && ++fencePolls < MAX_FENCE_POLLS;
     }
@@ -173,14 +178,14 @@
                 phase = Phase.TAKE;
             }
             case TAKE -> {
-                taken(report);
+                pagesTaken(report);
                 phase = pages.hasRemaining() ? Phase.PUT : Phase.FENCE;
             }
             case LAST_TAKE -> {
-                taken(report);
+                pagesTaken(report);
                 phase = pages.hasRemaining() ? Phase.LAST_PUT : Phase.SERVE;
             }
-            case PUT, LAST_PUT -> put(report);
+            case PUT, LAST_PUT -> pagesPut(report);
             case FENCE -> {
                 failures = 0;
                 phase = Phase.LAST_TAKE;
@@ -191,57 +196,58 @@
                 phase = Phase.FORGET;
             }
             case RELEASE, FORGET -> phase = Phase.COMPLETE;
-            case COMPLETE -> throw new IllegalStateException("a report without a command");
+            case COMPLETE -> throw new IllegalStateException("received a node report while no command was outstanding");
         }
     }
 
-    private void taken(Report report) {
+    private void pagesTaken(Report report) {
         pages = report.data();
         morePages = report.more();
     }
 
-    private void put(Report report) {
+    private void pagesPut(Report report) {
         if (report.life() != receiverIncarnation) {
-            // The receiver restarted, and what it was sent before may be gone.
-            restart();
+            // The receiver has restarted and may have lost the pages that it was sent before.
+            restartCopy();
         } else if (phase == Phase.PUT) {
-            // Pages that change while it is copied are copied again; a busy extent is fenced with some left.
+            // Pages that change during the copy are copied again; past the limit the extent is fenced with some left to
+            // copy.
             phase = morePages && ++batches < MAX_BATCHES ? Phase.TAKE : Phase.FENCE;
         } else {
             phase = Phase.LAST_TAKE;
         }
     }
 
-    private void refused() {
+    private void commandRejected() {
         failures++;
         switch (phase) {
-                // Asked again as it is: it can only fail for a while.
+                // The command is repeated: its failure can only be temporary.
             case TRACK, RECEIVE, SERVE, RELEASE, UNFENCE, FORGET -> {}
-                // One of the two does not know of the migration any more.
-            default -> restart();
+                // One of the two nodes no longer knows the migration.
+            default -> restartCopy();
         }
     }
 
-    private void restart() {
+    private void restartCopy() {
         fencePolls = 0;
         phase = Phase.TRACK;
         pages = NodeMessage.none();
     }
 
-    /** The node could not be reached, or its connection ended before it reported. */
+    /** Handles a command whose node could not be reached, or whose connection ended before the report. */
     public void failed() {
         failures++;
         if (phase != Phase.FENCE && beforeSwitch()) {
-            restart();
+            restartCopy();
         }
     }
 
-    /** A state is durable. */
-    public void durable(Migration now) {
+    /** Handles the notification that a state is durable. */
+    public void durable(Migration committed) {
         Migration.State before = migration.state();
-        migration = now;
+        migration = committed;
         failures = 0;
-        switch (now.state()) {
+        switch (committed.state()) {
             case FENCING -> {
                 if (before == Migration.State.COPYING) {
                     phase = Phase.FENCE;
--- a/map/src/main/java/garnetreel/map/Rebalancer.java
+++ b/map/src/main/java/garnetreel/map/Rebalancer.java
@@ -10,24 +10,27 @@
 import java.util.TreeMap;
 
 /**
- * Proposes migrations from what nodes report. Free of I/O and of chance: the same reports give the same proposals.
+ * Proposes migrations from the load that nodes report. Without I/O and randomness: the same reports give the same
+ * proposals.
  *
- * <p>Shards that drain are emptied first, busiest extents last so that they are fenced for the shortest time when little
- * else is left to do; then the busiest shard gives to the least busy one, where the difference is worth it.
+ * <p>Draining shards are emptied first. Their busiest extents come last, when little other work is left, so that these
+ * are fenced for the shortest time. Then extents are moved from the busiest shard to the least busy one, if their
+ * utilization differs enough.
  */
 public final class Rebalancer {
-    /** Capacity that a node counts with at the least, so that a cost can be divided by it. */
+    /** Lower bound of a capacity, which avoids a division by zero. */
     private static final double MIN_CAPACITY = 1e-9;
 
     /**
-     * Limits of what is proposed.
+     * Limits on proposals.
      *
-     * @param maxMigrations migrations in progress, all together
-     * @param maxMigrationsPerNode of them with one node at either end
-     * @param minImbalance difference of utilization by which the busiest must be past the least busy before anything migrates
-     * @param restPeriod microseconds for which an extent that migrated stays where it is
-     * @param maxUtilization utilization past which a node is given nothing
-     * @param reservedBytes bytes that stay free at a node whatever migrates there
+     * @param maxMigrations most migrations in progress at a time
+     * @param maxMigrationsPerNode most migrations in progress that have a node as source or target
+     * @param minImbalance difference between the utilization of the busiest and of the least busy shard below which
+     *     nothing migrates
+     * @param restPeriod microseconds after a migration during which its extent does not migrate again
+     * @param maxUtilization utilization above which balancing gives a node no extents
+     * @param reservedBytes bytes that migrations leave free at a node
      */
     public record Limits(
             int maxMigrations,
@@ -38,15 +41,15 @@
             long reservedBytes) {}
 
     /**
-     * A shard's node.
+     * A shard and the state of its node.
      *
-     * @param load units a second it serves
-     * @param capacity units a second it can serve when it is well
-     * @param utilization share of its capacity in use as it reports it: an ageing node is busier at the same load
-     * @param freeBytes bytes it has left
-     * @param draining it is to hold nothing any more
-     * @param warmingUp it started lately: it is given nothing, since copies press on it like any work
-     * @param reachable a command can be sent to it
+     * @param load units per second that it serves
+     * @param capacity nominal units per second that it can serve
+     * @param utilization share of its capacity in use, as it reports it: higher for a slowing node at the same load
+     * @param freeBytes free bytes
+     * @param draining its extents are to be moved to other shards
+     * @param warmingUp it started recently: it is given no extents, since copies load it like other work
+     * @param reachable commands can be sent to it
      */
     public record Shard(
             int shard,
@@ -59,55 +62,56 @@
             boolean reachable) {
 
         /**
-         * Share of its capacity that a unit a second takes. Guards against sending work to a node that slows: by its
-         * nameplate it looks idle. It could hurt where a few units take long for another reason (pauses, copies), so the
-         * nameplate is the least.
+         * Share of the node's capacity that one unit per second takes. It follows from the reported utilization, so
+         * that a node that has become slow is not given work because it looks idle by its nominal capacity. The cost by
+         * nominal capacity is the lower bound. A few units may also take long for other reasons, such as pauses and
+         * copies; below a load of 1 unit per second only the nominal cost counts.
          */
         double cost() {
-            double nameplate = 1 / Math.max(MIN_CAPACITY, capacity);
-            return load >= 1 ? Math.max(nameplate, utilization / load) : nameplate;
+            double nominalCost = 1 / Math.max(MIN_CAPACITY, capacity);
+            return load >= 1 ? Math.max(nominalCost, utilization / load) : nominalCost;
         }
     }
 
-    /** An extent, its bytes, and the units a second requested of it. */
+    /** An extent, its size in bytes, and its load in units per second. */
     public record Extent(long volume, long extent, int shard, double load, long bytes) {
         private ExtentId id() {
             return new ExtentId(volume, extent);
         }
     }
 
-    /** A migration that is worth beginning. */
+    /** A proposed migration. */
     public record Proposal(long volume, long extent, int to, String why) {}
 
     private final Limits limits;
     private final Map<ExtentId, Long> migratedAt = new HashMap<>();
 
-    /** A rebalancer that knows of no migration yet. */
+    /** Creates a rebalancer with no record of earlier migrations. */
     public Rebalancer(Limits limits) {
         this.limits = limits;
     }
 
-    /** An extent has migrated: it rests from now on. */
+    /** Records that an extent has migrated, which starts its rest period. */
     public void migrated(long volume, long extent, long now) {
         migratedAt.merge(new ExtentId(volume, extent), now, Math::max);
         migratedAt.values().removeIf(time -> now - time > limits.restPeriod());
     }
 
     /**
-     * What to begin now.
+     * Proposes migrations to begin now.
      *
-     * @param extents those with load, and all of shards that drain
-     * @param inProgress migrations that are not over
+     * @param extents extents with load, and all extents of draining shards
+     * @param inProgress migrations in progress
      */
     public List<Proposal> propose(long now, List<Shard> shards, List<Extent> extents, List<Migration> inProgress) {
-        Round round = new Round(now, shards, inProgress);
+        Planner planner = new Planner(now, shards, inProgress);
         List<Extent> candidates = candidates(extents, inProgress);
-        round.drain(candidates);
-        round.balance(candidates);
-        return round.proposals;
+        planner.drain(candidates);
+        planner.balance(candidates);
+        return planner.proposals;
     }
 
-    /** Extents that are not migrating, the quietest first. */
+    /** Extents that are not migrating, least load first. */
     private static List<Extent> candidates(List<Extent> extents, List<Migration> inProgress) {
         Set<ExtentId> migrating = new HashSet<>();
         inProgress.forEach(m -> migrating.add(new ExtentId(m.volume(), m.extent())));
@@ -121,8 +125,11 @@
         return candidates;
     }
 
-    /** One call of {@link #propose}: shards as they will be when all that was proposed so far is done. */
-    private final class Round {
+    /**
+     * The state of one call of {@link #propose}: load and space as they will be once all proposals so far are carried
+     * out.
+     */
+    private final class Planner {
         private final long now;
         private final int maxProposals;
         private final Map<Integer, Shard> shards = new TreeMap<>();
@@ -132,7 +139,7 @@
         private final Set<ExtentId> proposed = new HashSet<>();
         private final List<Proposal> proposals = new ArrayList<>();
 
-        Round(long now, List<Shard> nodes, List<Migration> inProgress) {
+        Planner(long now, List<Shard> nodes, List<Migration> inProgress) {
             this.now = now;
             this.maxProposals = limits.maxMigrations() - inProgress.size();
             for (Shard shard : nodes) {
@@ -145,7 +152,7 @@
             }
         }
 
-        /** Empties shards that drain, even to busy ones. */
+        /** Proposes migrations that empty draining shards; their targets may be busy. */
         void drain(List<Extent> candidates) {
             for (Extent extent : candidates) {
                 Shard from = shards.get(extent.shard());
@@ -155,7 +162,7 @@
             }
         }
 
-        /** Relieves the busiest shard, as long as there is one that is worth it. */
+        /** Proposes migrations from the busiest shard until none helps or the limit is reached. */
         void balance(List<Extent> candidates) {
             while (proposals.size() < maxProposals) {
                 Shard busiest = busiest();
@@ -168,14 +175,17 @@
         private Shard busiest() {
             Shard busiest = null;
             for (Shard shard : shards.values()) {
-                if (mayTakePart(shard) && (busiest == null || utilization(shard) > utilization(busiest))) {
+                if (canBalance(shard) && (busiest == null || utilization(shard) > utilization(busiest))) {
                     busiest = shard;
                 }
             }
             return busiest;
         }
 
-        /** Proposes the largest extent that still narrows the gap without turning it round. */
+        /**
+         * Proposes the most loaded extent whose target then stays below the busiest shard by the minimum imbalance at
+         * least.
+         */
         private boolean relieve(Shard busiest, List<Extent> candidates) {
             double maxAfter = utilization(busiest) - limits.minImbalance();
             String why =
@@ -185,7 +195,7 @@
                 if (extent.shard() == busiest.shard()
                         && extent.load() > 0
                         && !proposed.contains(extent.id())
-                        && rested(extent)
+                        && restPeriodOver(extent)
                         && propose(extent, maxAfter, why)) {
                     return true;
                 }
@@ -193,18 +203,18 @@
             return false;
         }
 
-        private boolean rested(Extent extent) {
+        private boolean restPeriodOver(Extent extent) {
             Long time = migratedAt.get(extent.id());
             return time == null || now - time >= limits.restPeriod();
         }
 
-        /** Proposes an extent's migration if some shard may take it and its utilization is then not past a limit. */
+        /** Proposes an extent's migration if a shard can take it and its utilization then stays within the limits. */
         private boolean propose(Extent extent, double maxAfter, String why) {
             Shard target = target(extent);
             if (target == null) {
                 return false;
             }
-            // A shard that drains is emptied even to busy ones; balancing never makes a new busiest one.
+            // A draining shard may be emptied to busy shards; balancing must not overload its target.
             if (!shards.get(extent.shard()).draining()) {
                 double after = (load.get(target.shard()) + extent.load()) * target.cost();
                 if (after > maxAfter || after > limits.maxUtilization()) {
@@ -221,7 +231,10 @@
             return true;
         }
 
-        /** The least busy shard that can take an extent; null for none, or where its own shard migrates enough. */
+        /**
+         * The least busy shard that can take an extent; null if there is none or its own shard is at the migration
+         * limit.
+         */
         private Shard target(Extent extent) {
             if (!belowMigrationLimit(extent.shard())) {
                 return null;
@@ -229,8 +242,8 @@
             Shard target = null;
             for (Shard shard : shards.values()) {
                 if (shard.shard() != extent.shard()
-                        && mayTakePart(shard)
-                        && hasCapacity(shard, extent)
+                        && canBalance(shard)
+                        && hasFreeSpace(shard, extent)
                         && (target == null || utilization(shard) < utilization(target))) {
                     target = shard;
                 }
@@ -238,8 +251,8 @@
             return target;
         }
 
-        /** Whether balancing may give an extent to a shard or take one from it. */
-        private boolean mayTakePart(Shard shard) {
+        /** Whether a shard can be given extents, and can be relieved by balancing. */
+        private boolean canBalance(Shard shard) {
             return shard.reachable() && !shard.draining() && !shard.warmingUp() && belowMigrationLimit(shard.shard());
         }
 
@@ -251,7 +264,7 @@
             return load.get(shard.shard()) * shard.cost();
         }
 
-        private boolean hasCapacity(Shard shard, Extent extent) {
+        private boolean hasFreeSpace(Shard shard, Extent extent) {
             long free = shard.freeBytes() - reservedBytes.getOrDefault(shard.shard(), 0L);
             return free - extent.bytes() >= limits.reservedBytes();
         }
--- a/map/src/main/java/garnetreel/map/Transaction.java
+++ b/map/src/main/java/garnetreel/map/Transaction.java
@@ -11,18 +11,17 @@
 import java.util.List;
 
 /**
- * One step of the map service's state: who did it, when and why, which extents it gives another shard, and the state of a
- * migration after it. It is durable as one record, or not at all.
+ * An atomic change of the map service's state, stored as one journal record.
  *
- * @param seq counts transactions from 1
- * @param epoch the maps' epoch after it
- * @param version the maps' version after it; grows only where extents change
- * @param who who caused it: the service itself, the rebalancer or an operator
+ * @param seq sequence number, from 1
+ * @param epoch epoch of the maps after it
+ * @param version version of the maps after it; it grows only if extents change
+ * @param who initiator: the service itself, the rebalancer or an operator
  * @param when microseconds since 1970
- * @param why reason, shown in the history; stored texts keep their form
- * @param changes extents that another shard holds after it
- * @param migration state of one migration after it; null where it is about none
- * @param drain a shard that is to hold nothing any more, or that may again; null where it is about none
+ * @param why reason, shown in the history; the wording of stored reasons must not change
+ * @param changes extents whose shard or version it changes
+ * @param migration a migration with its state after it; null if none changes
+ * @param drain start or end of draining a shard; null for none
  */
 public record Transaction(
         long seq,
@@ -35,10 +34,10 @@
         Migration migration,
         Drain drain) {
 
-    /** Whether a shard drains from here on. */
+    /** Start ({@code on}) or end of draining a shard. */
     public record Drain(int shard, boolean on) {}
 
-    /** The transaction as a journal record. */
+    /** Encodes the transaction as a journal record. */
     public byte[] bytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -59,7 +58,7 @@
             if (migration != null) {
                 migration.write(out);
             }
-            // Records from before drains were stored end here.
+            // Optional: records written before drains were stored end here.
             if (drain != null) {
                 out.writeInt(drain.shard());
                 out.writeBoolean(drain.on());
@@ -71,9 +70,9 @@
     }
 
     /**
-     * The transaction in a journal record.
+     * Decodes a journal record.
      *
-     * @throws CorruptJournalException where the bytes are none
+     * @throws CorruptJournalException if it cannot be decoded
      */
     public static Transaction of(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
@@ -92,7 +91,7 @@
             Drain drain = in.available() > 0 ? new Drain(in.readInt(), in.readBoolean()) : null;
             return new Transaction(seq, epoch, version, who, when, why, changes, migration, drain);
         } catch (IOException e) {
-            throw new CorruptJournalException("a record of the map's journal can't be read: " + e.getMessage(), e);
+            throw new CorruptJournalException("cannot decode a record of the map journal: " + e.getMessage(), e);
         }
     }
 }
--- a/map/src/main/java/garnetreel/map/package-info.java
+++ b/map/src/main/java/garnetreel/map/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Where extents are and how they migrate: versioned maps, the durable state of the map service, the migration protocol and
- * the rebalancer. Decisions only: nothing here does I/O, reads a clock or starts a thread.
+ * Placement and migration of extents: versioned maps, the durable state of the map service, the migration protocol and
+ * the rebalancer. Nothing in this package does I/O, reads a clock or starts a thread.
  */
 package garnetreel.map;
--- a/map/src/test/java/garnetreel/map/AdoptionTest.java
+++ b/map/src/test/java/garnetreel/map/AdoptionTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void whoServesUnderTheNewestVersionIsTheHolder() {
+    void nodeServingUnderTheHighestVersionIsTheHolder() {
         Found found = found(held(4, 0, State.GONE, 9), held(4, 1, State.SERVING, 9));
         assertEquals(List.of(new Change(7, 4, 1, 9)), found.changes());
         assertEquals(9, found.highestVersion());
@@ -36,41 +36,41 @@
     }
 
     @Test
-    void whatTheMapHasAlreadyIsNoChange() {
+    void entryThatMatchesTheMapIsNoChange() {
         assertEquals(
                 List.of(),
                 found(held(4, 0, State.SERVING, 1), held(4, 1, State.GONE, 0)).changes());
     }
 
     @Test
-    void holderThatALostMigrationFencedIsRolledBack() {
+    void migrationLostAfterItsFenceIsRolledBack() {
         Found found = found(held(4, 0, State.FENCED, 6), held(4, 1, State.RECEIVING, 0));
         assertEquals(List.of(new Change(7, 4, 0, 6)), found.changes());
         assertEquals(List.of(new Migration(0, 7, 4, 0, 1, 6, 0, Migration.State.ABORTING)), found.lost());
     }
 
     @Test
-    void receiverThatStillWaitsForPagesHasToForget() {
+    void migrationLostDuringItsCopyIsRolledBack() {
         Found found = found(held(4, 0, State.SERVING, 1), held(4, 1, State.RECEIVING, 0));
         assertEquals(List.of(new Migration(0, 7, 4, 0, 1, 1, 0, Migration.State.ABORTING)), found.lost());
     }
 
     @Test
-    void whatOnlyASilentNodeHoldsIsMissingAndStaysInTheMap() {
+    void extentHeldByANodeThatDidNotAnswerIsMissingAndKeepsItsMapEntry() {
         Found found = found(held(4, 0, State.GONE, 9), held(6, 1, State.SERVING, 3), held(6, 0, State.GONE, 5));
         assertEquals(List.of(), found.changes());
         assertEquals(List.of(held(4, 0, State.GONE, 9), held(6, 0, State.GONE, 5)), found.missing());
     }
 
     @Test
-    void twoHoldersAreAConflictThatIsReported() {
+    void twoServingNodesAreReportedAsAConflict() {
         Found found = found(held(4, 0, State.SERVING, 3), held(4, 1, State.SERVING, 5));
         assertEquals(List.of(new Change(7, 4, 1, 5)), found.changes());
         assertEquals(List.of(held(4, 0, State.SERVING, 3)), found.conflicts());
     }
 
     @Test
-    void entriesOfOtherVolumesAndPastTheEndArePassedOver() {
+    void entriesOfUnknownVolumesAndExtentsAreIgnored() {
         assertEquals(
                 0,
                 found(new Held(8, 1, 0, State.SERVING, 5), held(20, 0, State.SERVING, 5))
@@ -78,11 +78,11 @@
     }
 
     /**
-     * Every prefix of a journal as a backup, and the nodes as the complete journal left them: what is adopted is the map of
-     * the complete journal, whichever part was lost. Migrations are cut at every durable state.
+     * Adopts from nodes in the state after the complete journal, with each prefix of the journal as the backup: the
+     * result must be the map of the complete journal. There are migrations that stopped in each durable state.
      */
     @Test
-    void adoptingAfterAnyLossGivesTheMapThatWasLost() {
+    void adoptionRestoresTheMapWhateverPartOfTheJournalWasLost() {
         List<Transaction> journal = new ArrayList<>();
         MapState complete = new MapState(INITIAL);
         List<Held> nodes = new ArrayList<>();
@@ -95,19 +95,22 @@
             Found found = Adoption.of(restored, nodes);
             restored.apply(
                     restored.adopt(found.changes(), complete.epoch(), found.highestVersion(), "test", 0, "adopted"));
-            assertEquals(places(complete), places(restored), "after the loss of all past " + retained);
+            assertEquals(placements(complete), placements(restored), "journal lost after record " + retained);
             assertTrue(restored.epoch() > complete.epoch() && restored.version() > complete.version());
         }
     }
 
-    /** A migration that ends at a step: 0 copying, 1 fenced, 2 switched and served, 3 done; with what its nodes then hold. */
+    /**
+     * Runs a migration up to a step (0 copying, 1 fenced, 2 switched and serving, 3 done) and adds the entries of its
+     * nodes.
+     */
     private static void migrate(
-            MapState state, List<Transaction> journal, List<Held> nodes, int extent, int to, int ends) {
+            MapState state, List<Transaction> journal, List<Held> nodes, int extent, int to, int lastStep) {
         Migration migration = state.newMigration(7, extent, to);
         Migration.State[] states = {
             Migration.State.COPYING, Migration.State.FENCING, Migration.State.SWITCHED, Migration.State.DONE
         };
-        for (int step = 0; step <= ends; step++) {
+        for (int step = 0; step <= lastStep; step++) {
             Transaction t = state.next(migration.withState(states[step]), "test", step, "");
             journal.add(t);
             state.apply(t);
@@ -116,18 +119,19 @@
         nodes.add(held(
                 extent,
                 migration.from(),
-                ends == 0 ? State.SERVING : ends == 3 ? State.GONE : State.FENCED,
-                ends == 3 ? migration.newVersion() : migration.oldVersion()));
-        nodes.add(held(extent, to, ends < 2 ? State.RECEIVING : State.SERVING, ends < 2 ? 0 : migration.newVersion()));
+                lastStep == 0 ? State.SERVING : lastStep == 3 ? State.GONE : State.FENCED,
+                lastStep == 3 ? migration.newVersion() : migration.oldVersion()));
+        nodes.add(held(
+                extent, to, lastStep < 2 ? State.RECEIVING : State.SERVING, lastStep < 2 ? 0 : migration.newVersion()));
     }
 
-    private static List<String> places(MapState state) {
-        List<String> places = new ArrayList<>();
+    private static List<String> placements(MapState state) {
+        List<String> placements = new ArrayList<>();
         ExtentMap map = state.map(7);
         for (long extent = 0; extent < map.extents(); extent++) {
-            places.add(extent + "@" + map.shard(extent) + "/" + map.version(extent));
+            placements.add(extent + "@" + map.shard(extent) + "/" + map.version(extent));
         }
-        places.sort(Comparator.naturalOrder());
-        return places;
+        placements.sort(Comparator.naturalOrder());
+        return placements;
     }
 }
--- a/map/src/test/java/garnetreel/map/ExtentMapTest.java
+++ b/map/src/test/java/garnetreel/map/ExtentMapTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void snapshotsDoNotChange() {
+    void mapsAreImmutable() {
         ExtentMap first = ExtentMap.of(INITIAL.volumes().get(0));
         ExtentMap second = first.with(List.of(new Change(7, 1999, 9, 2)));
         assertEquals(1999 % 3, first.shard(1999));
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void changesOutOfOrderRepeatedOrWithAGap() {
+    void repeatedChangesAreAppliedOnceAndGapsAreReported() {
         MapCache cache = new MapCache();
         assertEquals(Outcome.APPLIED, cache.apply(INITIAL));
         assertEquals(Outcome.GAP, cache.apply(changes(1, 2, 3, new Change(7, 5, 4, 3))));
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void serviceThatWasRolledBackIsNotFollowedUntilANewEpoch() {
+    void updatesOfARolledBackServiceAreRejectedUntilANewEpoch() {
         MapCache cache = new MapCache();
         cache.apply(INITIAL);
         cache.apply(changes(1, 1, 4, new Change(7, 5, 2, 4)));
@@ -56,13 +56,13 @@
     }
 
     @Test
-    void transactionsSurviveTheJournalAndBuildTheSameState() {
+    void transactionsRoundTripThroughTheJournalAndAreAppliedOnce() {
         MapState state = new MapState(INITIAL);
         Migration migration = state.newMigration(7, 5, 1);
-        Transaction begun = state.next(migration, "somebody", 3, "why");
-        assertEquals(begun, Transaction.of(begun.bytes()));
-        state.apply(begun);
-        state.apply(begun); // a record that was applied before is passed over
+        Transaction begin = state.next(migration, "somebody", 3, "why");
+        assertEquals(begin, Transaction.of(begin.bytes()));
+        state.apply(begin);
+        state.apply(begin); // a transaction that has been applied is ignored
         assertThrows(MigrationRejectedException.class, () -> state.newMigration(7, 5, 0));
         Transaction switched = state.next(migration.withState(Migration.State.SWITCHED), "mapd", 4, "copied");
         state.apply(switched);
--- a/map/src/test/java/garnetreel/map/MapStateTest.java
+++ b/map/src/test/java/garnetreel/map/MapStateTest.java
@@ -30,7 +30,7 @@
         return t.migration();
     }
 
-    /** Runs migrations one after another to their end; every fifth is aborted. */
+    /** Completes migrations one after another; every fifth is aborted. */
     private void migrate(int count) {
         for (int i = 0; i < count; i++) {
             long extent = i * 31 % 200;
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void anySnapshotWithAnyRecordsAroundItGivesTheSameState() {
+    void recoveryGivesTheSameStateFromAnySnapshotAndAnyRetainedRecords() {
         commit(state.drain(2, true, "somebody", 5));
         migrate(12);
         step(state.newMigration(7, 3, (state.map(7).shard(3) + 1) % 3), Migration.State.COPYING);
@@ -61,9 +61,9 @@
                 assertEquals(state.migrations(), recovered.migrations());
                 assertEquals(List.of(2), recovered.draining());
                 assertEquals(state.seq(), recovered.seq());
-                // The next migration would get the same number.
+                // The next migration gets the same number.
                 assertEquals(state.newMigration(7, 150, 9), recovered.newMigration(7, 150, 9));
-                // Deltas from the horizon on are those of the complete history.
+                // Changes since the horizon are those of the complete history.
                 assertEquals(state.changesSince(recovered.horizon()), recovered.changesSince(recovered.horizon()));
                 assertEquals(first > 0, recovered.updateSince(1, 1) instanceof Whole, "records from " + first + " on");
             }
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void gapsAndDamageAreReportedAndNotGuessedOver() {
+    void gapsAndDamageAreReported() {
         migrate(3);
         byte[] snapshot = MapState.recover(INITIAL, null, journal.subList(0, 4)).snapshot();
         assertThrows(CorruptJournalException.class, () -> MapState.recover(INITIAL, snapshot, journal.subList(5, 9)));
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void historyIsBoundedAndWhoIsFurtherBackTakesASnapshot() {
+    void historyIsBoundedAndOlderVersionsAreUpdatedByASnapshot() {
         migrate(MapState.HISTORY / 3);
         List<Transaction> retained = new ArrayList<>();
         state.history().forEach(retained::add);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void recordsFromBeforeDrainsWereStoredAreRead() {
+    void recordsWithoutADrainAreRead() {
         Transaction t = state.emptyTransaction("somebody", 3, "x");
         assertEquals(t, Transaction.of(t.bytes()));
         Transaction drain = state.drain(4, false, "somebody", 3);
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void gatewaysFollowAnAdoptedEpochAndNotTheOneThatWasRolledBack() {
+    void gatewaysAcceptAnAdoptedEpochButNotARolledBackMap() {
         migrate(4);
         MapCache gateway = new MapCache();
         gateway.apply(state.mapSnapshot());
--- a/map/src/test/java/garnetreel/map/RebalancerTest.java
+++ b/map/src/test/java/garnetreel/map/RebalancerTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void busiestGivesToLeastBusyWithoutTurningTheGapRound() {
+    void extentMovesFromBusiestToLeastBusyShardWithoutOverloadingIt() {
         List<Proposal> proposals = new Rebalancer(LIMITS)
                 .propose(
                         0,
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void smallDifferencesMigrateNothingAndWhatMigratedRests() {
+    void nothingMigratesBelowTheMinimumImbalanceOrWithinTheRestPeriod() {
         assertEquals(
                 List.of(),
                 new Rebalancer(LIMITS)
@@ -43,16 +43,16 @@
                                 List.of(shard(0, 55), shard(1, 45)),
                                 List.of(new Extent(1, 1, 0, 5, 4096)),
                                 List.of()));
-        Rebalancer rested = new Rebalancer(LIMITS);
+        Rebalancer resting = new Rebalancer(LIMITS);
         List<Shard> shards = List.of(shard(0, 90), shard(1, 10));
         List<Extent> extents = List.of(new Extent(1, 1, 0, 20, 4096));
-        rested.migrated(1, 1, 0);
-        assertEquals(List.of(), rested.propose(30_000_000, shards, extents, List.of()));
-        assertEquals(1, rested.propose(61_000_000, shards, extents, List.of()).size());
+        resting.migrated(1, 1, 0);
+        assertEquals(List.of(), resting.propose(30_000_000, shards, extents, List.of()));
+        assertEquals(1, resting.propose(61_000_000, shards, extents, List.of()).size());
     }
 
     @Test
-    void warmingUpDrainingAndUnreachableShardsAreGivenNothing() {
+    void warmingUpDrainingAndUnreachableShardsAreNoTargets() {
         List<Shard> shards = List.of(
                 shard(0, 90),
                 new Shard(1, 0, 100, 0, FREE, false, true, true),
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void drainingShardIsEmptiedWithinTheBounds() {
+    void drainingShardIsEmptiedWithinTheMigrationLimits() {
         List<Shard> shards =
                 List.of(new Shard(0, 10, 100, 0.1, FREE, true, false, true), shard(1, 10), shard(2, 20), shard(3, 5));
         List<Extent> extents = new ArrayList<>();
@@ -72,22 +72,22 @@
             extents.add(new Extent(1, i, 0, i, 4096));
         }
         List<Proposal> proposals = new Rebalancer(LIMITS).propose(0, shards, extents, List.of());
-        assertEquals(1, proposals.size(), "one migration a node at a time");
-        assertEquals(0, proposals.get(0).extent(), "the quietest first");
+        assertEquals(1, proposals.size(), "one migration per node at a time");
+        assertEquals(0, proposals.get(0).extent(), "the least loaded extent first");
         assertTrue(new Rebalancer(LIMITS)
                 .propose(0, shards, extents, List.of(new Migration(1, 1, 0, 0, 3, 1, 0, Migration.State.COPYING)))
                 .isEmpty());
     }
 
     @Test
-    void ageingNodeIsAsBusyAsItReportsAndGivesAway() {
-        // By its nameplate shard 0 is idle; it reports that the little it does takes nearly all it has.
+    void slowNodeIsRatedByItsReportedUtilization() {
+        // Shard 0 serves 30 of nominally 100 units per second, but reports a utilization of 0.9.
         List<Shard> shards = List.of(new Shard(0, 30, 100, 0.9, FREE, false, false, true), shard(1, 30), shard(2, 30));
         List<Extent> extents = List.of(new Extent(1, 1, 0, 8, 4096), new Extent(1, 2, 1, 8, 4096));
         List<Proposal> proposals = new Rebalancer(LIMITS).propose(0, shards, extents, List.of());
         assertEquals(1, proposals.size());
         assertEquals(1, proposals.get(0).extent());
-        // And is given nothing, also of a shard that drains where another has capacity.
+        // It is given no extents, not even of a draining shard, while another shard has capacity.
         List<Shard> draining =
                 List.of(shards.get(0), shard(1, 30), new Shard(2, 5, 100, 0.05, FREE, true, false, true));
         assertEquals(
@@ -99,16 +99,17 @@
     }
 
     @Test
-    void nodesWithoutFreeBytesAreGivenNothingEvenByADrain() {
-        Rebalancer.Limits spare = new Rebalancer.Limits(4, 4, 0.2, 0, 0.8, 10_000);
+    void nodesWithoutFreeSpaceAreNoTargetsEvenOfADrain() {
+        Rebalancer.Limits limits = new Rebalancer.Limits(4, 4, 0.2, 0, 0.8, 10_000);
         List<Shard> shards = List.of(
                 new Shard(0, 10, 100, 0.1, FREE, true, false, true),
                 new Shard(1, 0, 100, 0, 14_000, false, false, true),
                 new Shard(2, 50, 100, 0.5, 19_000, false, false, true));
         List<Extent> extents =
                 List.of(new Extent(1, 1, 0, 1, 4096), new Extent(1, 2, 0, 1, 4096), new Extent(1, 3, 0, 1, 4096));
-        List<Proposal> proposals = new Rebalancer(spare).propose(0, shards, extents, List.of());
-        assertEquals(2, proposals.size(), "14,000 free less 10,000 reserved is too little; 19,000 is enough for two");
-        assertTrue(proposals.stream().allMatch(w -> w.to() == 2));
+        List<Proposal> proposals = new Rebalancer(limits).propose(0, shards, extents, List.of());
+        assertEquals(
+                2, proposals.size(), "14,000 free bytes less 10,000 reserved hold no extent of 4,096; 19,000 hold two");
+        assertTrue(proposals.stream().allMatch(proposal -> proposal.to() == 2));
     }
 }
--- a/map/src/test/java/garnetreel/map/StateCodesTest.java
+++ b/map/src/test/java/garnetreel/map/StateCodesTest.java
@@ -8,10 +8,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Codes and labels that journals, nodes and operators' scripts hold: whatever the constants are called, these stay. */
+/**
+ * Guards the codes and labels of states, which journals, nodes and operator scripts use, against changes when the
+ * constants are renamed or reordered.
+ */
 class StateCodesTest {
     @Test
-    void everyMigrationStateKeepsItsStoredCodeAndItsLabel() {
+    void migrationStatesKeepTheirCodesAndLabels() {
         Map<String, Integer> codes = new LinkedHashMap<>();
         for (Migration.State state : Migration.State.values()) {
             codes.put(state.label(), state.code());
@@ -27,14 +30,14 @@
     }
 
     @Test
-    void unknownMigrationStateIsDamage() {
+    void unknownMigrationStateCodeIsReportedAsCorruption() {
         for (int code : List.of(-1, 6, 127)) {
             assertThrows(CorruptJournalException.class, () -> Migration.State.ofCode(code));
         }
     }
 
     @Test
-    void everyStateOfAHeldExtentKeepsItsCode() {
+    void adoptionStatesKeepTheirCodes() {
         assertEquals(0, Adoption.State.SERVING.code());
         assertEquals(1, Adoption.State.FENCED.code());
         assertEquals(2, Adoption.State.RECEIVING.code());
@@ -48,7 +51,7 @@
     }
 
     @Test
-    void storedRecordHoldsTheCodeAsItsLastByte() {
+    void journalRecordOfAMigrationEndsWithTheStateCode() {
         for (Migration.State state : Migration.State.values()) {
             Migration migration = new Migration(1, 7, 5, 0, 1, 1, 0, state);
             Transaction t = new Transaction(1, 1, 1, "", 0, "", List.of(), migration, null);
