--- a/files/src/main/java/garnetreel/files/Catalogue.java
+++ b/files/src/main/java/garnetreel/files/Catalogue.java
@@ -9,28 +9,30 @@
 import java.util.TreeMap;
 
 /**
- * The files of a gateway's modules and the space that they occupy on the modules' volumes. Free of I/O: whoever owns it makes
- * changes durable as records and snapshots, and applies a change only then.
+ * The files of a gateway's modules and the space that they occupy on the modules' volumes. Without I/O: the owner makes
+ * a change durable as a journal record before it applies the change, and stores snapshots.
  *
- * <p>Space for contents that are being written is reserved in memory only: a kill frees it, since free is what no visible entry
- * occupies. A version that is being read keeps its space until its last reader closes it.
+ * <p>Space for contents that are being written is reserved in memory only. A crash releases it, since recovery takes
+ * all space as free that no entry occupies. A version that is being read keeps its space until its last reader closes
+ * it.
  */
 public final class Catalogue {
 
     /**
      * A module and its volume.
      *
-     * @param size of the volume, in bytes
+     * @param volume id of the volume
+     * @param size size of the volume in bytes
      */
     public record Place(String module, long volume, long size) {}
 
     private final TreeMap<Name, FileEntry> entries = new TreeMap<>();
     private final Map<String, FreeSpace> freeSpace = new HashMap<>();
-    /** Number of readers of a version that is being read. */
+    /** Number of readers, by version. */
     private final Map<Long, Integer> readers = new HashMap<>();
-    /** Versions that were replaced or removed while they were read, and still occupy their space. */
+    /** Entries that were replaced or removed while they were read and still occupy their space, by version. */
     private final Map<Long, FileEntry> unlinked = new HashMap<>();
-    /** Versions that were read while a later version, the value, took their contents over. */
+    /** Maps a version that was replaced while it was read to the later version that took over its contents. */
     private final Map<Long, Long> successors = new HashMap<>();
 
     private long seq;
@@ -39,9 +41,10 @@
     /**
      * Recovers the state from a journal.
      *
-     * @param snapshot the last one; null for none
-     * @param records changes in order, perhaps also some that the snapshot covers
-     * @throws IllegalStateException when something is damaged, missing or in use twice; the message says what
+     * @param snapshot the latest snapshot; null for none
+     * @param records changes in order; those that the snapshot covers are ignored
+     * @throws IllegalStateException if the snapshot or a record is damaged, a change is missing, or two entries occupy
+     *     the same space; the message says which
      */
     public Catalogue(List<Place> modules, byte[] snapshot, List<byte[]> records) {
         if (snapshot != null) {
@@ -54,16 +57,16 @@
         for (FileEntry entry : entries.values()) {
             lastVersion = Math.max(lastVersion, entry.version());
             FreeSpace space = freeSpace.get(entry.module());
-            if (space != null) { // a module that the settings no longer name keeps its entries
+            if (space != null) { // entries of a module that was removed from the settings are kept
                 entry.pieces().forEach(space::markAllocated);
             }
         }
     }
 
-    /** Applies a record of the journal, unless the snapshot covers it. */
+    /** Applies a change from the journal, unless the snapshot covers it. */
     private void replay(FileChange change) {
         if (change.seq() > seq + 1) {
-            throw new IllegalStateException("change " + change.seq() + " of the file catalogue follows " + seq);
+            throw new IllegalStateException("change " + change.seq() + " of the file catalogue does not follow " + seq);
         }
         if (change.seq() == seq + 1) {
             change.gone().forEach(entries::remove);
@@ -72,12 +75,12 @@
         }
     }
 
-    /** The entry of a name; null where there is none. */
+    /** The entry with a name; null if there is none. */
     public FileEntry get(String module, String path) {
         return entries.get(new Name(module, path));
     }
 
-    /** All entries of a module below a path, without the path itself; "" is the module's root. */
+    /** All entries of a module below a path, without the entry at the path itself; "" is the module's root. */
     public List<FileEntry> below(String module, String path) {
         String prefix = path.isEmpty() ? "" : path + "/";
         List<FileEntry> found = new ArrayList<>();
@@ -90,25 +93,26 @@
         return found;
     }
 
-    /** Reserves space for contents; null where the volume is full. */
+    /** Reserves space for contents on a module's volume; null if it has not enough free space. */
     public List<Piece> reserve(String module, long length) {
         return freeSpace.get(module).allocate(length);
     }
 
-    /** Frees what was reserved and is not used. */
+    /** Frees reserved space that is not used. */
     public void release(String module, List<Piece> pieces) {
         pieces.forEach(freeSpace.get(module)::free);
     }
 
-    /** Free bytes of a module's volume. */
+    /** Number of free bytes on a module's volume. */
     public long free(String module) {
         return freeSpace.get(module).freeBytes();
     }
 
     /**
-     * Prepares a change, to be made durable and then {@link #apply applied}.
+     * Builds a change, which is to be made durable and then {@link #apply applied}, and gives its entries their
+     * versions.
      *
-     * @param after number of the change before it
+     * @param after sequence number of the preceding change
      */
     public FileChange change(long after, List<Name> gone, List<FileEntry> put) {
         List<FileEntry> versioned = new ArrayList<>();
@@ -116,10 +120,10 @@
         return new FileChange(after + 1, gone, versioned);
     }
 
-    /** Makes a durable change visible. The space of what it replaces is freed once nobody reads it. */
+    /** Applies a durable change. The space of replaced and removed entries is freed once they have no readers. */
     public void apply(FileChange change) {
         if (change.seq() != seq + 1) {
-            throw new IllegalStateException("change " + change.seq() + " follows " + seq);
+            throw new IllegalStateException("change " + change.seq() + " of the file catalogue does not follow " + seq);
         }
         seq = change.seq();
         for (Name name : change.gone()) {
@@ -139,7 +143,7 @@
     private void replace(FileEntry old, FileEntry replacement) {
         if (old.pieces().isEmpty() || !old.pieces().equals(replacement.pieces())) {
             unlink(old);
-        } else if (readers.containsKey(old.version())) { // new attributes of the same contents
+        } else if (readers.containsKey(old.version())) { // other attributes, same contents
             readers.merge(replacement.version(), readers.remove(old.version()), Integer::sum);
             successors.put(old.version(), replacement.version());
         }
@@ -159,12 +163,15 @@
         }
     }
 
-    /** Has an entry's contents keep their space until {@link #close}. */
+    /** Adds a reader of an entry's contents, which keep their space until {@link #close}. */
     public void open(FileEntry entry) {
         readers.merge(entry.version(), 1, Integer::sum);
     }
 
-    /** Ends the reading of an entry that was {@link #open opened}. */
+    /**
+     * Removes a reader of an entry that was {@link #open opened}; frees the space of a replaced or removed entry after
+     * its last reader.
+     */
     public void close(FileEntry entry) {
         long version = entry.version();
         while (successors.containsKey(version)) {
@@ -182,17 +189,17 @@
         }
     }
 
-    /** Number of the last change. */
+    /** Sequence number of the last change. */
     public long seq() {
         return seq;
     }
 
-    /** Number of names in all modules. */
+    /** Number of entries in all modules. */
     public int size() {
         return entries.size();
     }
 
-    /** All of it, to be stored. */
+    /** Encodes a snapshot of the catalogue. */
     public byte[] snapshot() {
         return new CatalogueSnapshot(seq, entries.values()).encode();
     }
--- a/files/src/main/java/garnetreel/files/CatalogueSnapshot.java
+++ b/files/src/main/java/garnetreel/files/CatalogueSnapshot.java
@@ -13,9 +13,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * A snapshot of a catalogue. Stored as magic number, CRC-32C of the rest, number of the last change, count, entries.
+ * A snapshot of a catalogue. Stored form: magic number, CRC-32C of all that follows, sequence number of the last
+ * change, number of entries, entries.
  *
- * @param seq number of the last change in it
+ * @param seq sequence number of the last change that it includes
  */
 record CatalogueSnapshot(long seq, Collection<FileEntry> entries) {
     private static final int MAGIC = 0x47524643;
@@ -40,13 +41,14 @@
         return encoded;
     }
 
-    /** @throws IllegalStateException when it is damaged */
+    /** @throws IllegalStateException if it is damaged */
     static CatalogueSnapshot decode(byte[] encoded) {
         ByteBuffer header = ByteBuffer.wrap(encoded);
         if (encoded.length < HEADER_BYTES
                 || header.getInt(0) != MAGIC
                 || header.getInt(CHECKSUM_OFFSET) != checksum(encoded)) {
-            throw new IllegalStateException("the snapshot of the file catalogue is damaged");
+            throw new IllegalStateException(
+                    "the snapshot of the file catalogue is damaged: wrong magic number or checksum, or too short");
         }
         ByteArrayInputStream body = new ByteArrayInputStream(encoded, HEADER_BYTES, encoded.length - HEADER_BYTES);
         try (DataInputStream in = new DataInputStream(body)) {
@@ -57,7 +59,7 @@
             }
             return new CatalogueSnapshot(seq, entries);
         } catch (IOException e) {
-            throw new IllegalStateException("the snapshot of the file catalogue is cut short", e);
+            throw new IllegalStateException("the snapshot of the file catalogue is truncated", e);
         }
     }
 
--- a/files/src/main/java/garnetreel/files/FileChange.java
+++ b/files/src/main/java/garnetreel/files/FileChange.java
@@ -10,15 +10,16 @@
 import java.util.List;
 
 /**
- * An atomic change of the catalogue: names that are removed and entries that are put. It is stored as one record of a journal.
+ * An atomic change of the catalogue: names that are removed and entries that are added or replaced. Stored as one
+ * journal record.
  *
- * @param seq counts changes from 1
- * @param gone names that are removed, before anything is put
- * @param put entries that are added or replace the entry of their name
+ * @param seq sequence number, from 1
+ * @param gone names that are removed, before any entry is put
+ * @param put entries that are added, or that replace the entry with the same name
  */
 public record FileChange(long seq, List<Name> gone, List<FileEntry> put) {
 
-    /** A name in a module. */
+    /** Module and path of a file; ordered by module, then by path. */
     public record Name(String module, String path) implements Comparable<Name> {
         @Override
         public int compareTo(Name other) {
@@ -27,7 +28,7 @@
         }
     }
 
-    /** Encodes it as a record of the journal. */
+    /** Encodes the change as a journal record. */
     public byte[] bytes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -48,9 +49,9 @@
     }
 
     /**
-     * Decodes a record of the journal.
+     * Decodes a journal record.
      *
-     * @throws IllegalStateException when it is damaged
+     * @throws IllegalStateException if it cannot be decoded
      */
     public static FileChange of(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
@@ -65,7 +66,7 @@
             }
             return new FileChange(seq, gone, put);
         } catch (IOException e) {
-            throw new IllegalStateException("a record of the file catalogue is damaged: " + e.getMessage(), e);
+            throw new IllegalStateException("cannot decode a record of the file catalogue: " + e.getMessage(), e);
         }
     }
 }
--- a/files/src/main/java/garnetreel/files/FileEntry.java
+++ b/files/src/main/java/garnetreel/files/FileEntry.java
@@ -8,16 +8,16 @@
 import java.util.List;
 
 /**
- * One version of a file, directory or symbolic link. Immutable: a change is an entry of a later version.
+ * One version of a file, directory or symbolic link. Immutable: a change creates an entry with a higher version.
  *
- * @param module the module that it is in
- * @param path its name in the module: parts separated by slashes, a character a byte
- * @param version counts changes over all modules; a replacement has a higher one
- * @param mode file type and permissions, as POSIX has them
- * @param modified time of last modification, in seconds of the epoch
- * @param sum MD5 of the contents; empty for other than regular files
- * @param pieces where the contents are on the volume, in order
- * @param target of a symbolic link; else empty
+ * @param module module that contains it
+ * @param path path within the module: components separated by slashes, one character for each byte
+ * @param version number of the version, unique across all modules; a replacement has a higher one
+ * @param mode file type and permissions, as in POSIX
+ * @param modified modification time, in seconds since 1970
+ * @param sum MD5 of the contents; empty unless it is a regular file
+ * @param pieces location of the contents on the volume, in order
+ * @param target target of a symbolic link; empty for other types
  */
 public record FileEntry(
         String module,
@@ -34,15 +34,15 @@
     private static final int REGULAR = 0100000;
     private static final int DIRECTORY = 0040000;
 
-    /** A contiguous part of a volume. */
+    /** A contiguous range of a volume, in bytes. */
     public record Piece(long offset, long length) {}
 
-    /** A directory, before it has a version. */
+    /** Creates an entry for a directory with version 0, until {@link Catalogue#change} gives it one. */
     public static FileEntry directory(String module, String path, int mode, long modified) {
         return new FileEntry(module, path, 0, DIRECTORY | mode & 07777, 0, modified, new byte[0], List.of(), "");
     }
 
-    /** A symbolic link, before it has a version. */
+    /** Creates an entry for a symbolic link with version 0, until {@link Catalogue#change} gives it one. */
     public static FileEntry link(String module, String path, int mode, long modified, String target) {
         return new FileEntry(module, path, 0, mode, target.length(), modified, new byte[0], List.of(), target);
     }
@@ -57,7 +57,6 @@
         return (mode & TYPE_MASK) == REGULAR;
     }
 
-    /** Its name. */
     FileChange.Name name() {
         return new FileChange.Name(module, path);
     }
@@ -66,15 +65,16 @@
         return new FileEntry(module, path, newVersion, mode, size, modified, sum, pieces, target);
     }
 
-    /** The same contents with other attributes. */
+    /** A copy with other attributes and the same contents. */
     public FileEntry with(int newMode, long newModified) {
         return new FileEntry(module, path, version, newMode, size, newModified, sum, pieces, target);
     }
 
     /**
-     * Where a range of the contents is on the volume.
+     * Locates a range of the contents on the volume.
      *
-     * @return the range's beginning, as far as it is contiguous and at most {@code maxLength} bytes
+     * @return the first part of the range that is contiguous on the volume, {@code maxLength} bytes at most
+     * @throws IllegalArgumentException if the contents end before {@code offset}
      */
     public Piece at(long offset, long maxLength) {
         long before = 0;
@@ -85,7 +85,7 @@
             }
             before += piece.length();
         }
-        throw new IllegalArgumentException(path + " has no byte " + offset);
+        throw new IllegalArgumentException(path + " has no data at offset " + offset);
     }
 
     void write(DataOutputStream out) throws IOException {
--- a/files/src/main/java/garnetreel/files/FreeSpace.java
+++ b/files/src/main/java/garnetreel/files/FreeSpace.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The free extents of one volume. What is allocated is not allocated again until it is freed. */
+/** First-fit allocator of the space of one volume. */
 final class FreeSpace {
-    /** Files begin where blocks do, so that no two files share a block. */
+    /** Allocations are whole blocks, so that no two files share a block. */
     static final long BLOCK_BYTES = 4096;
 
-    /** Lengths of free extents by their offsets; no two of them touch. */
-    private final TreeMap<Long, Long> extents = new TreeMap<>();
+    /** Lengths of free ranges by offset; adjacent ranges are merged. */
+    private final TreeMap<Long, Long> freeRanges = new TreeMap<>();
 
     private long freeBytes;
 
-    /** All of a volume is free. */
+    /** Begins with the whole volume free, rounded down to blocks. */
     FreeSpace(long volumeBytes) {
         long usable = volumeBytes / BLOCK_BYTES * BLOCK_BYTES;
-        extents.put(0L, usable);
+        freeRanges.put(0L, usable);
         freeBytes = usable;
     }
 
@@ -27,28 +27,31 @@
         return (length + BLOCK_BYTES - 1) / BLOCK_BYTES * BLOCK_BYTES;
     }
 
-    /** Allocates space, first fit: in one piece where an extent is large enough, else in several; null where there is not enough. */
+    /**
+     * Allocates space: the first free range that is large enough, else several ranges; null if there is not enough free
+     * space.
+     */
     List<Piece> allocate(long length) {
         long needed = roundUpToBlocks(length);
         if (needed > freeBytes) {
             return null;
         }
-        for (Map.Entry<Long, Long> extent : extents.entrySet()) {
-            if (extent.getValue() >= needed) {
-                long offset = extent.getKey();
+        for (Map.Entry<Long, Long> range : freeRanges.entrySet()) {
+            if (range.getValue() >= needed) {
+                long offset = range.getKey();
                 remove(offset, needed);
                 return List.of(new Piece(offset, length));
             }
         }
-        return allocateScattered(length);
+        return allocateFragmented(length);
     }
 
-    private List<Piece> allocateScattered(long length) {
+    private List<Piece> allocateFragmented(long length) {
         List<Piece> pieces = new ArrayList<>();
         long remaining = length;
         while (remaining > 0) {
-            long offset = extents.firstKey();
-            long allocated = Math.min(extents.get(offset), roundUpToBlocks(remaining));
+            long offset = freeRanges.firstKey();
+            long allocated = Math.min(freeRanges.get(offset), roundUpToBlocks(remaining));
             remove(offset, allocated);
             long used = Math.min(allocated, remaining);
             pieces.add(new Piece(offset, used));
@@ -60,7 +63,7 @@
     /**
      * Marks a piece of a stored entry as allocated.
      *
-     * @throws IllegalStateException when a part of it is allocated already
+     * @throws IllegalStateException if a part of it is allocated already or outside the volume
      */
     void markAllocated(Piece piece) {
         if (piece.length() > 0) {
@@ -69,22 +72,23 @@
     }
 
     private void remove(long offset, long length) {
-        Map.Entry<Long, Long> extent = extents.floorEntry(offset);
-        if (extent == null || extent.getKey() + extent.getValue() < offset + length) {
-            throw new IllegalStateException("bytes " + offset + " to " + (offset + length) + " are in use twice");
+        Map.Entry<Long, Long> range = freeRanges.floorEntry(offset);
+        if (range == null || range.getKey() + range.getValue() < offset + length) {
+            throw new IllegalStateException(
+                    "bytes " + offset + " to " + (offset + length) + " are already allocated or outside the volume");
         }
-        extents.remove(extent.getKey());
-        if (extent.getKey() < offset) {
-            extents.put(extent.getKey(), offset - extent.getKey());
+        freeRanges.remove(range.getKey());
+        if (range.getKey() < offset) {
+            freeRanges.put(range.getKey(), offset - range.getKey());
         }
-        long rest = extent.getKey() + extent.getValue() - offset - length;
-        if (rest > 0) {
-            extents.put(offset + length, rest);
+        long remainder = range.getKey() + range.getValue() - offset - length;
+        if (remainder > 0) {
+            freeRanges.put(offset + length, remainder);
         }
         freeBytes -= length;
     }
 
-    /** Frees an allocated piece, and joins it with the free extents that it touches. */
+    /** Frees an allocated piece and merges it with adjacent free ranges. */
     void free(Piece piece) {
         long offset = piece.offset();
         long length = roundUpToBlocks(piece.length());
@@ -92,14 +96,14 @@
             return;
         }
         freeBytes += length;
-        Map.Entry<Long, Long> before = extents.floorEntry(offset);
+        Map.Entry<Long, Long> before = freeRanges.floorEntry(offset);
         if (before != null && before.getKey() + before.getValue() == offset) {
             offset = before.getKey();
             length += before.getValue();
-            extents.remove(before.getKey());
+            freeRanges.remove(before.getKey());
         }
-        Long after = extents.remove(offset + length);
-        extents.put(offset, length + (after == null ? 0 : after));
+        Long after = freeRanges.remove(offset + length);
+        freeRanges.put(offset, length + (after == null ? 0 : after));
     }
 
     long freeBytes() {
--- a/files/src/test/java/garnetreel/files/CatalogueTest.java
+++ b/files/src/test/java/garnetreel/files/CatalogueTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Durability of changes, space and its readers. */
+/** Recovery of the catalogue, allocation of space, and versions that are replaced while they are read. */
 class CatalogueTest {
     private static final long SIZE = 1 << 20;
     private static final List<Catalogue.Place> MODULES = List.of(new Catalogue.Place("pages", 9, SIZE));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void killAtAnyStepLeavesTheOldOrTheNewVersionAndLeaksNoSpace() {
+    void recoveryAfterAnyChangeRestoresTheEntriesAndLeaksNoSpace() {
         SplittableRandom random = new SplittableRandom(5);
         List<List<FileEntry>> states = new ArrayList<>();
         List<Long> free = new ArrayList<>();
@@ -49,26 +49,26 @@
             if (i % 4 == 3) {
                 commit(List.of(new Name("pages", path)), List.of());
             } else {
-                files.reserve("pages", 5000); // an upload that the kill interrupts: it must leave nothing
+                files.reserve("pages", 5000); // an upload that the crash interrupts: recovery frees its space
                 put(file(path, random.nextInt(30_000)));
-                files.release("pages", List.of()); // nothing is freed here: the kill does it
+                files.release("pages", List.of()); // releases nothing: recovery must free the reservation
             }
         }
-        for (int kill = 0; kill < states.size(); kill++) {
-            for (int snapshot = 0; snapshot <= kill; snapshot += 17) {
+        for (int crash = 0; crash < states.size(); crash++) {
+            for (int snapshot = 0; snapshot <= crash; snapshot += 17) {
                 Catalogue recovered = new Catalogue(
-                        MODULES, snapshots.get(snapshot), journal.subList(Math.max(0, snapshot - 3), kill));
-                assertEquals(states.get(kill), recovered.below("pages", ""), "killed after " + kill);
+                        MODULES, snapshots.get(snapshot), journal.subList(Math.max(0, snapshot - 3), crash));
+                assertEquals(states.get(crash), recovered.below("pages", ""), "crash after change " + crash);
                 long used = recovered.below("pages", "").stream()
                         .mapToLong(e -> (e.size() + 4095) / 4096 * 4096)
                         .sum();
-                assertEquals(SIZE - used, recovered.free("pages"), "space leaked after " + kill);
+                assertEquals(SIZE - used, recovered.free("pages"), "space leaked by a crash after change " + crash);
             }
         }
     }
 
     @Test
-    void versionThatIsReadKeepsItsSpaceUntilItsLastReaderClosesIt() {
+    void replacedVersionKeepsItsSpaceUntilItsLastReaderClosesIt() {
         FileEntry old = put(file("a", 10_000));
         files.open(old);
         files.open(old);
@@ -82,19 +82,19 @@
     }
 
     @Test
-    void newAttributesKeepTheContentsAlsoWhileTheyAreRead() {
+    void changedAttributesKeepTheContentsWhileTheyAreRead() {
         FileEntry old = put(file("a", 10_000));
         files.open(old);
         FileEntry touched = put(old.with(0100600, 99));
         assertEquals(old.pieces(), touched.pieces());
         commit(List.of(new Name("pages", "a")), List.of());
-        assertEquals(SIZE - 12_288, files.free("pages"), "it is read still");
+        assertEquals(SIZE - 12_288, files.free("pages"), "the contents are still being read");
         files.close(old);
         assertEquals(SIZE, files.free("pages"));
     }
 
     @Test
-    void fullVolumeAllocatesNothingAndScatteredSpaceIsUsed() {
+    void fullVolumeAllocatesNothingAndFragmentedSpaceIsUsed() {
         for (int i = 0; i < 256; i++) {
             put(file("f" + i, 4096));
         }
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void damageGapsAndSpaceInUseTwiceAreReported() {
+    void damageGapsAndSpaceOccupiedTwiceAreReported() {
         put(file("a", 100));
         put(file("b", 100));
         put(file("c", 100));
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void belowGivesADirectoryAndNotItsNeighbours() {
+    void belowReturnsTheContentsOfADirectoryOnly() {
         put(FileEntry.directory("pages", "d", 0755, 1));
         put(file("d/x", 1));
         put(file("d.x", 1));
--- a/store/src/main/java/garnetreel/store/Journal.java
+++ b/store/src/main/java/garnetreel/store/Journal.java
@@ -10,47 +10,49 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * A write-ahead journal: numbered records in an H2 MVStore file, and a snapshot of the state that the first of them lead to.
- * Each is durable when its call returns, and after a kill at any moment all records up to some number are there. MVStore
- * writes complete checksummed chunks and, on opening, goes back to the last one that is complete; a snapshot and the removal
- * of the records that it covers are one chunk, so neither is ever seen without the other.
+ * A write-ahead journal in an H2 MVStore file: numbered records, and a snapshot of the state up to one of them.
+ * Appended records and snapshots are durable when the call returns; after a crash the journal holds all records up to
+ * some number, without gaps. MVStore writes complete checksummed chunks and on opening falls back to the last complete
+ * one. A snapshot and the removal of the records that it covers are in one chunk, so they become visible together.
  *
- * <p>A disk may fail for a while (ENOSPC, EIO). The effect of a call that fails is either durable or not; repeated, the call
- * does what is still to do. MVStore gives up its file after a failed write, so the next call reopens it, and before that opens
- * and closes it once in order: that writes its header. Chunks are found from the header through the position of the next one
- * that each chunk holds, and a write that failed breaks that chain, so that at the next opening all chunks after it would be
- * missing.
+ * <p>A disk may fail temporarily (ENOSPC, EIO). A change whose call failed is either durable or not; the caller repeats
+ * the call, which has no further effect on a durable change. MVStore closes its file after a failed write, so the next
+ * call reopens it. Before that it opens the file and closes it regularly once, which rewrites the header: MVStore finds
+ * chunks by starting at the header and following the position of the next chunk that each chunk stores. A failed write
+ * breaks this chain, so without a new header the next opening would miss all chunks after the break.
  *
- * <p>Thread safe: one call at a time.
+ * <p>Thread safe: calls are serialized.
  */
 public final class Journal implements AutoCloseable {
-    /** Time that MVStore may spend on returning freed space at a snapshot, in milliseconds. */
+    /** Time limit, in milliseconds, for reclaiming free space in the file at a snapshot. */
     private static final int COMPACT_MS = 50;
 
     private final Path file;
-    /** Null after a failure, until the file is reopened. */
+    /** Null after a failure, until the file is reopened, and after {@link #close}. */
     private MVStore store;
 
-    /** A write failed since the file was last opened, so its header may be behind its chunks. */
+    /**
+     * A write has failed since the file was last opened, so the file's header may not lead to its last chunks.
+     */
     private boolean writeFailed;
-    /** The last record that this object has reported as durable. */
+    /** Number of the last record whose {@link #append} returned successfully. */
     private long lastDurable;
 
     private MVMap<Long, byte[]> records;
     private MVMap<Long, byte[]> snapshots;
 
     /**
-     * What a journal holds.
+     * Contents of a journal.
      *
-     * @param snapshot the last snapshot; null for none
-     * @param records the records that are retained, in order
+     * @param snapshot the latest snapshot; null for none
+     * @param records the retained records, in order
      */
     public record Contents(byte[] snapshot, List<byte[]> records) {}
 
     /**
      * Opens or creates a journal.
      *
-     * @throws IOException when the file can't be opened, is no journal, or another process has it
+     * @throws IOException if the file cannot be opened, is not a journal or is locked by another process
      */
     public Journal(Path file) throws IOException {
         this.file = file;
@@ -91,17 +93,18 @@
                 .open();
     }
 
-    /** Guards against going on after a loss: nothing more is reported as durable. */
+    /** Fails if the reopened file lacks a durable record, so that nothing is appended after a loss. */
     private void checkNothingLost() throws IOException {
         long last = lastSequence();
         if (last < lastDurable) {
             store.closeImmediately();
             store = null;
-            throw new IOException("journal " + file + " ends with record " + last + " and had " + lastDurable);
+            throw new IOException(
+                    "journal " + file + " has lost records: it ends with record " + last + ", expected " + lastDurable);
         }
     }
 
-    private IOException failed(MVStoreException cause) {
+    private IOException writeFailure(MVStoreException cause) {
         store.closeImmediately();
         store = null;
         writeFailed = true;
@@ -109,9 +112,10 @@
     }
 
     /**
-     * Adds a record, durably. Numbers grow by one; the last one may be added again.
+     * Appends a record, which is durable on return. Numbers are consecutive; the last record may be appended again,
+     * which replaces it.
      *
-     * @throws IOException when the disk fails; the record may be durable or not, and may be added again
+     * @throws IOException if writing fails; the record may be durable or not, and may be appended again
      */
     public synchronized void append(long seq, byte[] record) throws IOException {
         open();
@@ -125,21 +129,22 @@
             store.sync();
             lastDurable = seq;
         } catch (MVStoreException e) {
-            throw failed(e);
+            throw writeFailure(e);
         }
     }
 
     /**
-     * Replaces all records up to {@code seq} by a snapshot, but retains the last {@code retained} of them.
+     * Stores a snapshot of the state up to record {@code seq}, in place of the previous one, and removes the records
+     * that it covers except the last {@code retained}.
      *
-     * @throws IOException when the disk fails; the snapshot may be durable or not, and may be given again
+     * @throws IOException if writing fails; the snapshot may be durable or not, and the call may be repeated
      */
     public synchronized void snapshot(long seq, byte[] data, int retained) throws IOException {
         open();
         try {
             if (!snapshots.containsKey(seq) && (records.lastKey() == null || seq > records.lastKey())) {
                 throw new IllegalArgumentException(
-                        "a snapshot of record " + seq + ", and the last is " + records.lastKey());
+                        "snapshot covers record " + seq + ", but the last record is " + records.lastKey());
             }
             List.copyOf(snapshots.keySet()).forEach(snapshots::remove);
             snapshots.put(seq, data);
@@ -152,11 +157,11 @@
             store.sync();
             store.compactFile(COMPACT_MS);
         } catch (MVStoreException e) {
-            throw failed(e);
+            throw writeFailure(e);
         }
     }
 
-    /** Number of the last record that was added, whether it is retained or covered by a snapshot; 0 for none. */
+    /** Number of the last record, whether it is retained or covered by the snapshot; 0 for none. */
     public synchronized long lastSequence() throws IOException {
         open();
         Long record = records.lastKey();
@@ -164,7 +169,7 @@
         return Math.max(record == null ? 0 : record, snapshot == null ? 0 : snapshot);
     }
 
-    /** All that the journal holds. */
+    /** The latest snapshot and the retained records. */
     public synchronized Contents contents() throws IOException {
         open();
         return new Contents(
--- a/store/src/main/java/garnetreel/store/StateDirectory.java
+++ b/store/src/main/java/garnetreel/store/StateDirectory.java
@@ -14,15 +14,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * Small named states in one directory, each replaced atomically: a reader finds the last state that was written completely,
- * or none, whatever moment the writer was killed at.
+ * A directory of small named states, each in a file that is replaced atomically: after a crash of the writer at any
+ * moment, a reader finds the last state that was written completely, or none.
  *
- * <p>A file holds a magic number, the length, a CRC32C and the bytes. It is written as a temporary file, forced to the
- * device, and renamed; then the directory is forced. A file that does not check counts as absent, and is renamed to
+ * <p>A file holds a magic number, the length, a CRC32C and the bytes. It is written as {@code NAME.new}, synced to the
+ * device and renamed; then the directory is synced. An invalid file counts as absent and is renamed to
  * {@code NAME.torn} for diagnosis.
  */
 public final class StateDirectory {
-    /** "GRST" */
+    /** "GRST" in ASCII. */
     private static final int MAGIC = 0x47525354;
 
     private static final int HEADER = 16;
@@ -30,12 +30,12 @@
 
     private final Path directory;
 
-    /** Opens a directory, which is created if it is missing. */
+    /** Opens a directory and creates it if it is missing. */
     public StateDirectory(Path directory) throws IOException {
         this.directory = Files.createDirectories(directory);
     }
 
-    /** Replaces the state of a name; it is durable when this returns. */
+    /** Replaces the state with a name; the new state is durable on return. */
     public void write(String name, byte[] bytes) throws IOException {
         Path file = file(name);
         Path temporary = directory.resolve(name + ".new");
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The last state of a name that was written completely; empty for none. */
+    /** The last completely written state with a name; empty if there is none or the file is invalid. */
     public Optional<byte[]> read(String name) throws IOException {
         Path file = file(name);
         byte[] content;
@@ -68,14 +68,14 @@
         } catch (NoSuchFileException e) {
             return Optional.empty();
         }
-        if (isComplete(content)) {
+        if (isValid(content)) {
             return Optional.of(Arrays.copyOfRange(content, HEADER, content.length));
         }
         Files.move(file, directory.resolve(name + ".torn"), StandardCopyOption.REPLACE_EXISTING);
         return Optional.empty();
     }
 
-    private static boolean isComplete(byte[] content) {
+    private static boolean isValid(byte[] content) {
         ByteBuffer header = ByteBuffer.wrap(content);
         int length = content.length - HEADER;
         return length >= 0
@@ -92,7 +92,7 @@
 
     private Path file(String name) {
         if (!NAME.matcher(name).matches()) {
-            throw new IllegalArgumentException("not a name of a state: " + name);
+            throw new IllegalArgumentException("invalid name of a state: " + name);
         }
         return directory.resolve(name);
     }
--- a/store/src/main/java/garnetreel/store/package-info.java
+++ b/store/src/main/java/garnetreel/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What must survive a kill at any moment: a journal of numbered records, and small named states that are replaced
- * atomically. Plain files; no thread of its own.
+ * Crash-safe storage in local files: a journal of numbered records, and small named states that are replaced
+ * atomically. Without threads of its own.
  */
 package garnetreel.store;
--- a/store/src/test/java/garnetreel/store/JournalTest.java
+++ b/store/src/test/java/garnetreel/store/JournalTest.java
@@ -25,8 +25,8 @@
     }
 
     @Test
-    void recordsAreThereAfterReopeningAndCountUp() throws IOException {
-        Path file = temp.resolve("deep/journal");
+    void recordsSurviveReopeningAndNumbersAreConsecutive() throws IOException {
+        Path file = temp.resolve("missing/journal");
         write(file, 3);
         try (Journal journal = new Journal(file)) {
             assertEquals(3, journal.contents().records().size());
@@ -37,22 +37,22 @@
     }
 
     @Test
-    void fileTornAtItsTailOpensWithAPrefixOfTheRecords() throws IOException {
+    void truncatedFileOpensWithAPrefixOfTheRecords() throws IOException {
         Path file = temp.resolve("journal");
         write(file, 20);
         byte[] complete = Files.readAllBytes(file);
         int opened = 0;
         for (int cut = complete.length; cut > complete.length / 2; cut -= 997) {
-            Path torn = temp.resolve("torn-" + cut);
-            Files.write(torn, Arrays.copyOf(complete, cut));
-            try (Journal journal = new Journal(torn)) {
+            Path truncated = temp.resolve("truncated-" + cut);
+            Files.write(truncated, Arrays.copyOf(complete, cut));
+            try (Journal journal = new Journal(truncated)) {
                 List<byte[]> records = journal.contents().records();
                 for (int i = 0; i < records.size(); i++) {
                     assertEquals(i + 1, records.get(i)[0], "cut at " + cut);
                 }
                 opened++;
             } catch (IOException refused) {
-                // A clear error is the other honest outcome: nothing is guessed.
+                // The only other permitted outcome: opening fails with a clear error.
                 assertTrue(refused.getMessage().contains("can't be opened"));
             }
         }
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void snapshotReplacesTheRecordsItCoversInOneStep() throws IOException {
+    void snapshotReplacesTheRecordsItCoversAtomically() throws IOException {
         Path file = temp.resolve("journal");
         write(file, 30);
         try (Journal journal = new Journal(file)) {
@@ -70,15 +70,16 @@
         }
         byte[] complete = Files.readAllBytes(file);
         for (int cut = complete.length; cut > 4096; cut -= 509) {
-            Path torn = temp.resolve("cut-" + cut);
-            Files.write(torn, Arrays.copyOf(complete, cut));
-            try (Journal journal = new Journal(torn)) {
+            Path truncated = temp.resolve("cut-" + cut);
+            Files.write(truncated, Arrays.copyOf(complete, cut));
+            try (Journal journal = new Journal(truncated)) {
                 Journal.Contents contents = journal.contents();
                 if (contents.records().isEmpty()) {
-                    assertEquals(null, contents.snapshot(), "a snapshot without what followed it, cut at " + cut);
+                    assertEquals(
+                            null, contents.snapshot(), "snapshot without the records retained with it, cut at " + cut);
                     continue;
                 }
-                // Without the snapshot the records begin with the first; with it they reach back to what it retains.
+                // Without the snapshot the first record is 1; with it the records retained from before it begin at 16.
                 assertEquals(
                         contents.snapshot() == null ? 1 : 16, contents.records().get(0)[0], "cut at " + cut);
                 assertTrue(contents.snapshot() == null || contents.records().size() >= 15);
@@ -89,7 +90,7 @@
     }
 
     @Test
-    void snapshotsBoundTheFile() throws IOException {
+    void snapshotsBoundTheFileSize() throws IOException {
         Path file = temp.resolve("journal");
         try (Journal journal = new Journal(file)) {
             for (int i = 1; i <= 600; i++) {
--- a/store/src/test/java/garnetreel/store/StateDirectoryTest.java
+++ b/store/src/test/java/garnetreel/store/StateDirectoryTest.java
@@ -18,7 +18,7 @@
     Path temp;
 
     @Test
-    void lastStateIsFound() throws IOException {
+    void lastWrittenStateIsRead() throws IOException {
         StateDirectory states = new StateDirectory(temp.resolve("a/b"));
         assertEquals(Optional.empty(), states.read("nodes"));
         states.write("nodes", new byte[] {1});
@@ -29,33 +29,33 @@
     }
 
     @Test
-    void fileTornAtAnyByteOrDamagedIsNoState() throws IOException {
+    void truncatedOrDamagedFileIsReadAsAbsent() throws IOException {
         StateDirectory states = new StateDirectory(temp);
         states.write("nodes", new byte[] {4, 5, 6});
         byte[] complete = Files.readAllBytes(temp.resolve("nodes"));
         for (int length = 0; length < complete.length; length++) {
             Files.write(temp.resolve("nodes"), Arrays.copyOf(complete, length));
-            assertTrue(states.read("nodes").isEmpty(), "torn at " + length);
+            assertTrue(states.read("nodes").isEmpty(), "truncated to " + length);
             assertTrue(Files.exists(temp.resolve("nodes.torn")));
         }
         for (int offset = 0; offset < complete.length; offset++) {
             byte[] damaged = complete.clone();
             damaged[offset] ^= 8;
             Files.write(temp.resolve("nodes"), damaged);
-            assertTrue(states.read("nodes").isEmpty(), "damaged at " + offset);
+            assertTrue(states.read("nodes").isEmpty(), "damaged byte " + offset);
         }
     }
 
     @Test
-    void stateSurvivesAKillWhileItIsReplaced() throws IOException {
+    void previousStateSurvivesAnInterruptedReplacement() throws IOException {
         StateDirectory states = new StateDirectory(temp);
         states.write("nodes", new byte[] {7});
-        Files.write(temp.resolve("nodes.new"), new byte[] {1, 2}); // as a writer leaves it that was killed
+        Files.write(temp.resolve("nodes.new"), new byte[] {1, 2}); // left behind by a killed writer
         assertArrayEquals(new byte[] {7}, states.read("nodes").orElseThrow());
     }
 
     @Test
-    void namesStayWithinTheDirectory() throws IOException {
+    void namesThatLeaveTheDirectoryAreRejected() throws IOException {
         StateDirectory states = new StateDirectory(temp);
         assertThrows(IllegalArgumentException.class, () -> states.write("../x", new byte[0]));
         assertThrows(IllegalArgumentException.class, () -> states.read("a/b"));
