--- a/map/src/main/java/garnetreel/map/Adoption.java
+++ b/map/src/main/java/garnetreel/map/Adoption.java
@@ -116,7 +116,7 @@
         if (holder == null || newestGone != null && newestGone.version() > holder.version()) {
             // The extent was dropped only once its new holder served it; that node has not answered.
             Held newest = newestGone == null ? receiver : newestGone;
-            boolean neverMigrated = newest.version() == 0 && map.version(id.extent()) == ExtentMap.FIRST;
+            boolean neverMigrated = newest.version() == 0 && map.version(id.extent()) == ExtentMap.INITIAL_VERSION;
             if (!neverMigrated) {
                 found.missing().add(newest);
             }
@@ -134,9 +134,7 @@
         return current == null || other.version() > current.version() ? other : current;
     }
 
-    /**
-     * The lost migration, as one to abort: its holder serves again, and its receiver, if there is one, drops the pages.
-     */
+    /** The lost migration in state ABORTING: its holder serves again, and its receiver, if any, drops the pages. */
     private static Migration rollback(ExtentId id, Held holder, Held receiver) {
         int to = receiver == null ? holder.shard() : receiver.shard();
         return new Migration(
--- a/map/src/main/java/garnetreel/map/ExtentMap.java
+++ b/map/src/main/java/garnetreel/map/ExtentMap.java
@@ -22,7 +22,7 @@
      */
     static final int CHUNK_EXTENTS = 512;
     /** Version of an extent that has never migrated. */
-    public static final long FIRST = 1;
+    public static final long INITIAL_VERSION = 1;
 
     private static final class Chunk {
         final int[] shards = new int[CHUNK_EXTENTS];
@@ -118,7 +118,7 @@
     public long version(long extent) {
         Chunk chunk = chunks[(int) (extent / CHUNK_EXTENTS)];
         int slot = (int) (extent % CHUNK_EXTENTS);
-        return chunk == null || chunk.versions[slot] == 0 ? FIRST : chunk.versions[slot];
+        return chunk == null || chunk.versions[slot] == 0 ? INITIAL_VERSION : chunk.versions[slot];
     }
 
     /** Shards that hold a migrated extent, and all shards of the initial placement. */
