--- a/mapservice/src/main/java/garnetreel/mapservice/AdoptionCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/AdoptionCoordinator.java
@@ -12,16 +12,16 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Polls all nodes for what they hold, and begins an epoch of maps made of it. */
+/** Polls all nodes for the extents they hold, and starts a new epoch with maps rebuilt from their reports. */
 final class AdoptionCoordinator {
-    /** Bytes of entries in one report; a node with more is polled again from where it ended. */
+    /** Maximum bytes of entries in one report; a node with more is polled again, from the last entry on. */
     private static final int MAX_REPORT_BYTES = 1 << 20;
-    /** Bytes of an entry: volume, extent, extent bytes, state and version (docs/node-protocol.md). */
+    /** Size of an entry in bytes: volume, extent, extent bytes, state and version (docs/node-protocol.md). */
     private static final int ENTRY_BYTES = 29;
-    /** Volume and extent that lie before all others. */
+    /** Volume number and extent number that sort before all others. */
     private static final long BEFORE_FIRST = Long.MIN_VALUE;
 
-    /** Learns whether an adoption came about, and what was found. */
+    /** Receives the outcome of an adoption and its findings. */
     @FunctionalInterface
     interface Completion {
         void completed(boolean ok, ObjectNode findings);
@@ -33,13 +33,13 @@
     private final TransactionLog log;
     private final RollbackDetector rollbacks;
     private final MigrationCoordinator migrations;
-    private final Set<Integer> awaited = new HashSet<>();
-    private final TreeSet<Integer> silent = new TreeSet<>();
+    private final Set<Integer> pendingShards = new HashSet<>();
+    private final TreeSet<Integer> unresponsive = new TreeSet<>();
     private List<Adoption.Held> entries = new ArrayList<>();
     /** Null while no adoption is in progress. */
     private Completion completion;
 
-    private String who;
+    private String initiator;
     private boolean force;
 
     AdoptionCoordinator(
@@ -58,64 +58,66 @@
     }
 
     /**
-     * Begins.
+     * Starts an adoption; fails if one is in progress.
      *
-     * @param operator who is named in the history
-     * @param withoutSilent go on without nodes that do not answer; the map keeps its entries for what only they hold
+     * @param operator recorded in the history as the one who requested it
+     * @param ignoreUnresponsive proceed without nodes that do not answer; extents that only they hold keep their map
+     *     entries
+     * @param callback called once, when the adoption has been committed or has failed
      */
-    void begin(String operator, boolean withoutSilent, Completion whenDone) {
+    void begin(String operator, boolean ignoreUnresponsive, Completion callback) {
         if (completion != null) {
-            whenDone.completed(false, OperatorReports.message("it is under way already"));
+            callback.completed(false, OperatorReports.message("it is under way already"));
             return;
         }
-        who = operator;
-        force = withoutSilent;
-        completion = whenDone;
+        initiator = operator;
+        force = ignoreUnresponsive;
+        completion = callback;
         entries = new ArrayList<>();
-        silent.clear();
+        unresponsive.clear();
         for (ExtentMap map : state.maps()) {
-            silent.addAll(map.shards());
+            unresponsive.addAll(map.shards());
         }
         for (NodeCommandClient.Node node : nodes.nodes()) {
             if (node.ready()) {
-                awaited.add(node.shard());
-                silent.remove(node.shard());
+                pendingShards.add(node.shard());
+                unresponsive.remove(node.shard());
                 poll(node, BEFORE_FIRST, BEFORE_FIRST);
             }
         }
-        if (awaited.isEmpty()) {
+        if (pendingShards.isEmpty()) {
             finish();
         }
     }
 
     private void poll(NodeCommandClient.Node node, long volume, long extent) {
-        nodes.send(node, StepCommand.holds(volume, extent, MAX_REPORT_BYTES), report -> reported(node, report));
+        nodes.send(node, StepCommand.holds(volume, extent, MAX_REPORT_BYTES), report -> handleReport(node, report));
     }
 
-    private void reported(NodeCommandClient.Node node, Report report) {
+    private void handleReport(NodeCommandClient.Node node, Report report) {
         int shard = node.shard();
         if (report == null || !report.ok()) {
-            silent.add(shard);
+            unresponsive.add(shard);
         } else {
-            Adoption.Held last = read(shard, report.data().duplicate());
+            Adoption.Held last = readEntries(shard, report.data().duplicate());
             if (report.more() && last != null) {
                 poll(node, last.volume(), last.extent());
                 return;
             }
         }
-        awaited.remove(shard);
-        if (awaited.isEmpty()) {
+        pendingShards.remove(shard);
+        if (pendingShards.isEmpty()) {
             finish();
         }
     }
 
-    /** Adds all entries of a report; the last of them, or null for none. */
-    private Adoption.Held read(int shard, ByteBuffer data) {
+    /** Adds all entries of a report and returns the last one, or null if there are none. */
+    private Adoption.Held readEntries(int shard, ByteBuffer data) {
         Adoption.Held last = null;
         while (data.remaining() >= ENTRY_BYTES) {
             long volume = data.getLong();
             long extent = data.getLong();
-            data.getInt(); // size of the extent: the map has it
+            data.getInt(); // size of the extent; already known from the map
             Adoption.State held = Adoption.State.ofCode(data.get() & 0xff);
             last = new Adoption.Held(volume, extent, shard, held, data.getLong());
             entries.add(last);
@@ -124,34 +126,35 @@
     }
 
     private void finish() {
-        Completion whenDone = completion;
+        Completion callback = completion;
         completion = null;
-        if (!silent.isEmpty() && !force) {
-            whenDone.completed(
+        if (!unresponsive.isEmpty() && !force) {
+            callback.completed(
                     false,
                     OperatorReports.message(
-                            "the nodes of shards " + silent + " do not answer; bring them back, or adopt force"));
+                            "the nodes of shards " + unresponsive + " do not answer; bring them back, or adopt force"));
             return;
         }
         Adoption.Found found = Adoption.of(state, entries);
         log.submit(
                 () -> state.adopt(
                         found.changes(),
-                        rollbacks.epoch(),
-                        Math.max(found.highestVersion(), rollbacks.version()),
-                        who,
+                        rollbacks.newestEpoch(),
+                        Math.max(found.highestVersion(), rollbacks.newestVersion()),
+                        initiator,
                         turn.now(),
                         "adopted " + found.changes().size() + " places from nodes"),
                 t -> {
                     if (t == null) {
-                        whenDone.completed(
+                        callback.completed(
                                 false,
-                                OperatorReports.message("it could not be committed; the service's log says why"));
+                                OperatorReports.message(
+                                        "the adoption could not be committed; the map service's log has the reason"));
                         return;
                     }
                     nodes.startNumbering(state.epoch(), state.seq());
                     migrations.adopted(found.lost());
-                    whenDone.completed(true, OperatorReports.adopted(state, found));
+                    callback.completed(true, OperatorReports.adopted(state, found));
                 });
     }
 }
--- a/mapservice/src/main/java/garnetreel/mapservice/MapService.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MapService.java
@@ -17,26 +17,28 @@
 import java.util.function.Consumer;
 
 /**
- * The map service as a state machine: dispatches events to its parts and runs them in a fixed order each turn. Each change is
- * a transaction; nothing is published or acted on before it is durable.
+ * The map service as a state machine: dispatches events to its components and runs them in a fixed order each turn.
+ * Every change is a transaction; nothing is published or acted on before it is durable.
  */
 public final class MapService implements StateMachine {
-    /** The listener of gateways and operators. */
+    /** Name of the listener for gateways and operators. */
     public static final String LISTENER = "map";
 
-    /** Who the service is in the history, and who the commands of its own process come from; stored texts. */
-    private static final String SERVICE = "mapd";
+    /**
+     * Initiators in the history: the service itself, and commands from its own process. Both are stored in the journal.
+     */
+    private static final String SERVICE_INITIATOR = "mapd";
 
-    private static final String SCRIPT = "script";
+    private static final String SCRIPT_INITIATOR = "script";
     private static final long NODE_LIST_RETRY_DELAY = 1_000_000;
 
-    /** Begins a migration, as the command {@code move} does. */
+    /** Starts a migration, like the operator command {@code move}. */
     public record MigrateCommand(long volume, long extent, int to) implements NetEvent.Command {}
 
-    /** Has a shard emptied, or no longer, as the commands {@code drain} and {@code undrain} do. */
+    /** Starts or stops draining a shard, like the operator commands {@code drain} and {@code undrain}. */
     public record DrainShardCommand(int shard, boolean on) implements NetEvent.Command {}
 
-    /** Has the maps adopted from nodes, as the command {@code adopt} does. */
+    /** Adopts the maps from the nodes, like the operator command {@code adopt}. */
     public record AdoptCommand() implements NetEvent.Command {}
 
     private final TurnContext turn = new TurnContext();
@@ -52,7 +54,10 @@
     private final AdoptionCoordinator adoption;
     private final OperatorCommands commands;
     private boolean started;
-    /** This incarnation is on record, so its commands to nodes are newer than those of all before. */
+    /**
+     * The start of this incarnation is durable, so its commands to nodes have higher numbers than those of earlier
+     * ones.
+     */
     private boolean ready;
 
     private boolean renumbering;
@@ -60,9 +65,9 @@
     private long nodeListRetryAt;
 
     /**
-     * A service that goes on from a state.
+     * Creates a service that continues from a recovered state.
      *
-     * @param state what journal and snapshot of earlier incarnations hold
+     * @param state recovered from the journal and snapshot of earlier incarnations
      */
     public MapService(MapServiceSettings settings, MapState state) {
         this.settings = settings;
@@ -76,7 +81,7 @@
         subscribers =
                 new SubscriberRegistry(turn, state, rollbacks, settings.subscribesPerSecond(), this::operatorCommand);
         migrations = new MigrationCoordinator(
-                turn, state, nodes, log, rollbacks, settings.copyBytesPerSecond(), this::switched);
+                turn, state, nodes, log, rollbacks, settings.copyBytesPerSecond(), this::extentSwitched);
         rebalancing = new RebalanceCoordinator(
                 turn,
                 settings,
@@ -90,8 +95,8 @@
     /**
      * {@inheritDoc}
      *
-     * <p>Budgets are refilled before events draw on them; what is late expires after the events that might still have been in
-     * time; decisions see all of that; and transactions of the whole turn are written after it.
+     * <p>Order within a turn: budgets are refilled before events draw on them; deadlines expire after the events, which
+     * may still meet them; decisions follow, on up-to-date state; then the next transaction is written.
      */
     @Override
     public void handle(long time, List<NetEvent> events, List<NetAction> actions) {
@@ -109,7 +114,7 @@
         if (ready) {
             if (!rollbacks.rolledBack()) {
                 rebalancing.run();
-                migrations.drive();
+                migrations.advance();
             }
             renumberCommands();
         }
@@ -123,16 +128,16 @@
         migrations.start();
         rebalancing.start();
         turn.add(new NetAction.Listen(LISTENER, settings.listen()));
-        log.submit(() -> state.emptyTransaction(SERVICE, turn.now(), "started"), t -> {
+        log.submit(() -> state.emptyTransaction(SERVICE_INITIATOR, turn.now(), "started"), t -> {
             nodes.startNumbering(t.epoch(), t.seq());
             migrations.resume();
-            restMigratedExtents();
+            restoreRestTimes();
             ready = true;
         });
     }
 
-    /** What migrated lately rests also after a restart. */
-    private void restMigratedExtents() {
+    /** Restores the rest times of recently migrated extents after a restart. */
+    private void restoreRestTimes() {
         for (Transaction t : state.history()) {
             if (t.migration() != null && t.migration().state() == Migration.State.SWITCHED) {
                 rebalancing.migrated(t.migration().volume(), t.migration().extent(), t.when());
@@ -140,11 +145,14 @@
         }
     }
 
-    /** A service that sent many commands begins a new stretch of numbers, below those of its next incarnation. */
+    /**
+     * Starts a new range of command numbers when the current one runs low; the next incarnation's range still lies
+     * above.
+     */
     private void renumberCommands() {
-        if (!renumbering && nodes.numbersRunOut()) {
+        if (!renumbering && nodes.numbersRunLow()) {
             renumbering = true;
-            log.submit(() -> state.emptyTransaction(SERVICE, turn.now(), "new numbers for orders"), t -> {
+            log.submit(() -> state.emptyTransaction(SERVICE_INITIATOR, turn.now(), "new numbers for orders"), t -> {
                 nodes.startNumbering(t.epoch(), t.seq());
                 renumbering = false;
             });
@@ -201,14 +209,15 @@
         commands.execute(command, answer);
     }
 
-    /** A command of the process that runs the service. */
+    /** Executes a command from the process that runs the service. */
     private void processCommand(NetEvent.Command command) {
         if (command instanceof MigrateCommand migrate) {
-            migrations.begin(migrate.volume(), migrate.extent(), migrate.to(), SCRIPT, "asked for", migration -> {});
+            migrations.begin(
+                    migrate.volume(), migrate.extent(), migrate.to(), SCRIPT_INITIATOR, "asked for", migration -> {});
         } else if (command instanceof DrainShardCommand drain) {
-            log.submit(() -> state.drain(drain.shard(), drain.on(), SCRIPT, turn.now()), t -> {});
+            log.submit(() -> state.drain(drain.shard(), drain.on(), SCRIPT_INITIATOR, turn.now()), t -> {});
         } else if (command instanceof AdoptCommand) {
-            adoption.begin(SCRIPT, false, (ok, findings) -> {
+            adoption.begin(SCRIPT_INITIATOR, false, (ok, findings) -> {
                 Level level = ok ? Level.INFO : Level.WARN;
                 turn.add(new NetAction.Log(level, findings.toString()));
             });
@@ -220,11 +229,11 @@
             subscribers.publishChanges(epochBefore);
         }
         if (transaction.drain() != null && transaction.drain().on()) {
-            migrations.shardDrains(transaction.drain().shard());
+            migrations.shardDraining(transaction.drain().shard());
         }
     }
 
-    private void switched(Migration migration) {
+    private void extentSwitched(Migration migration) {
         rebalancing.migrated(migration.volume(), migration.extent(), turn.now());
     }
 
@@ -256,7 +265,7 @@
         if (!subscribedToNodeList) {
             next = Math.min(next, nodeListRetryAt);
         }
-        // A time that is asked for and not acted on would ask for turn after turn.
+        // Otherwise neither component runs, and a deadline that has passed would cause a busy loop of turns.
         if (ready && !rollbacks.rolledBack()) {
             next = Math.min(next, Math.min(rebalancing.nextDeadline(), migrations.nextDeadline()));
         }
--- a/mapservice/src/main/java/garnetreel/mapservice/MapServiceSettings.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MapServiceSettings.java
@@ -4,18 +4,18 @@
 import garnetreel.map.Rebalancer;
 
 /**
- * Settings of the map service. Times are microseconds.
+ * Settings of the map service. Durations are in microseconds.
  *
- * @param listen address at which gateways and operators connect
- * @param nodeListClient how it follows the node list: as a gateway does, under a number of its own
- * @param copyBytesPerSecond bytes a second that all migrations copy together
- * @param subscribesPerSecond answers to subscribing gateways a second; one past it has to retry later
- * @param commandTimeout time after which a command without a report counts as failed
- * @param rebalance whether it migrates extents of its own accord
- * @param nodeCapacity units a second that a node can serve, where nothing else is known
- * @param warmUpDuration time after a start for which a node is given nothing
- * @param limits limits of what the rebalancer proposes
- * @param snapshotInterval transactions between two snapshots of the journal at the least
+ * @param listen address to listen at for gateways and operators
+ * @param nodeListClient settings of the node list client, which subscribes as a gateway with a number of its own
+ * @param copyBytesPerSecond bytes per second that all migrations together may copy
+ * @param subscribesPerSecond subscriptions of gateways accepted per second; a gateway above that is told to retry later
+ * @param commandTimeout time after which a node command without a report is failed
+ * @param rebalance whether the service starts migrations by itself to balance load
+ * @param nodeCapacity units per second that a node can serve, unless its load reports imply fewer
+ * @param warmUpDuration time after the start of a node during which no extent is migrated to it
+ * @param limits limits on the rebalancer's proposals
+ * @param snapshotInterval minimum number of transactions between two snapshots
  */
 public record MapServiceSettings(
         String listen,
--- a/mapservice/src/main/java/garnetreel/mapservice/MigrationCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MigrationCoordinator.java
@@ -13,30 +13,30 @@
 import java.util.function.Consumer;
 
 /**
- * Carries out migrations: sends the commands of each {@link MigrationStateMachine} to nodes, makes its states durable, and
- * bounds what all of them copy.
+ * Carries out migrations: sends the commands of each {@link MigrationStateMachine} to nodes, makes its states durable,
+ * and limits the copy rate of all migrations together.
  */
 final class MigrationCoordinator {
-    /** Who the service is in the history; stored text. */
-    private static final String SERVICE = "mapd";
-    /** A step that failed is repeated after this long. */
+    /** The service as initiator in the history; stored in the journal. */
+    private static final String SERVICE_INITIATOR = "mapd";
+    /** Delay before a failed step is retried. */
     private static final long RETRY_DELAY = 100_000;
-    /** A fence whose work is not done is polled sooner: it holds the extent's clients. */
+    /** Delay before an unfinished fence is polled again; short, since the fence blocks the extent's clients. */
     private static final long FENCE_POLL_DELAY = RETRY_DELAY / 50;
 
-    private static final class MigrationInProgress {
-        private final MigrationStateMachine protocol;
-        /** A command or a transaction of it is in flight. */
-        private boolean waiting;
+    private static final class ActiveMigration {
+        private final MigrationStateMachine stateMachine;
+        /** One of its commands or transactions is in flight. */
+        private boolean awaitingCompletion;
 
         private long notBefore;
 
-        MigrationInProgress(Migration migration) {
-            protocol = new MigrationStateMachine(migration);
+        ActiveMigration(Migration migration) {
+            stateMachine = new MigrationStateMachine(migration);
         }
 
         Migration migration() {
-            return protocol.migration();
+            return stateMachine.migration();
         }
     }
 
@@ -45,12 +45,12 @@
     private final NodeCommandClient nodes;
     private final TransactionLog log;
     private final RollbackDetector rollbacks;
-    private final Consumer<Migration> switched;
+    private final Consumer<Migration> switchListener;
     private final RateBudget copyBudget;
-    private final Map<Long, MigrationInProgress> inProgress = new TreeMap<>();
+    private final Map<Long, ActiveMigration> inProgress = new TreeMap<>();
     private long copiedBytes;
 
-    /** @param switched takes each migration whose extent has just got its new holder */
+    /** @param switchListener receives each migration whose extent has just switched to its new shard */
     MigrationCoordinator(
             TurnContext turn,
             MapState state,
@@ -58,13 +58,13 @@
             TransactionLog log,
             RollbackDetector rollbacks,
             long copyBytesPerSecond,
-            Consumer<Migration> switched) {
+            Consumer<Migration> switchListener) {
         this.turn = turn;
         this.state = state;
         this.nodes = nodes;
         this.log = log;
         this.rollbacks = rollbacks;
-        this.switched = switched;
+        this.switchListener = switchListener;
         this.copyBudget = new RateBudget(copyBytesPerSecond, 2 * MigrationStateMachine.BATCH);
     }
 
@@ -76,24 +76,31 @@
         copyBudget.refill(turn.now());
     }
 
-    /** Goes on with what an earlier incarnation of the service began. */
+    /** Resumes the migrations that an earlier incarnation of the service started. */
     void resume() {
         state.migrations().forEach(this::add);
     }
 
     private void add(Migration migration) {
-        inProgress.put(migration.id(), new MigrationInProgress(migration));
+        inProgress.put(migration.id(), new ActiveMigration(migration));
     }
 
-    /** Begins a migration; {@code completion} takes it, or null where it could not begin. */
-    void begin(long volume, long extent, int to, String who, String why, Consumer<Migration> completion) {
+    /** Starts a migration; {@code completion} receives it, or null if it was rejected. */
+    void begin(
+            long volume,
+            long extent,
+            int targetShard,
+            String initiator,
+            String reason,
+            Consumer<Migration> completion) {
         log.submit(
                 () -> {
                     if (rollbacks.rolledBack()) {
                         throw new MigrationRejectedException(
-                                "this service went back, and begins no migration until \"map adopt\"");
+                                "the service's state was rolled back; migrations are blocked until"
+                                        + " \"map adopt\" is run");
                     }
-                    return state.next(state.newMigration(volume, extent, to), who, turn.now(), why);
+                    return state.next(state.newMigration(volume, extent, targetShard), initiator, turn.now(), reason);
                 },
                 t -> {
                     if (t != null) {
@@ -103,26 +110,28 @@
                 });
     }
 
-    /** Asks for a migration to be aborted; false where there is none of that number, or it has switched. */
-    boolean abort(long id, String why) {
-        MigrationInProgress run = inProgress.get(id);
-        if (run == null || run.migration().state() == Migration.State.SWITCHED) {
+    /** Requests that a migration be aborted; returns false if there is no such migration or it has switched already. */
+    boolean abort(long id, String reason) {
+        ActiveMigration active = inProgress.get(id);
+        if (active == null || active.migration().state() == Migration.State.SWITCHED) {
             return false;
         }
-        run.protocol.abort(why);
+        active.stateMachine.abort(reason);
         return true;
     }
 
-    /** A shard drains from now on: what migrates to it is aborted. */
-    void shardDrains(int shard) {
-        for (MigrationInProgress run : inProgress.values()) {
-            if (run.migration().to() == shard) {
-                run.protocol.abort("its new shard drains");
+    /** Aborts the migrations to a shard that has started draining. */
+    void shardDraining(int shard) {
+        for (ActiveMigration active : inProgress.values()) {
+            if (active.migration().to() == shard) {
+                active.stateMachine.abort("its new shard drains");
             }
         }
     }
 
-    /** The maps were adopted from the nodes, durably: migrations of before are void, and lost ones are rolled back. */
+    /**
+     * Handles a durable adoption of the maps: voids earlier migrations and rolls back those missing from the journal.
+     */
     void adopted(List<Migration> lost) {
         inProgress.clear();
         for (Migration migration : state.migrations()) {
@@ -130,108 +139,118 @@
         }
         for (Migration migration : lost) {
             log.submit(
-                    () -> state.next(state.lostMigration(migration), SERVICE, turn.now(), "left behind by a lost move"),
+                    () -> state.next(
+                            state.lostMigration(migration),
+                            SERVICE_INITIATOR,
+                            turn.now(),
+                            "left behind by a lost move"),
                     t -> add(t.migration()));
         }
     }
 
-    private void commit(Migration next, String why, Consumer<Transaction> completion) {
-        log.submit(() -> state.next(next, SERVICE, turn.now(), why), completion);
+    private void commit(Migration next, String reason, Consumer<Transaction> completion) {
+        log.submit(() -> state.next(next, SERVICE_INITIATOR, turn.now(), reason), completion);
     }
 
-    /** Takes every migration as far as it goes now, and drops those that are over. */
-    void drive() {
-        inProgress.values().forEach(this::drive);
-        inProgress.values().removeIf(run -> run.migration().state().over());
+    /** Advances every migration as far as currently possible and removes the finished ones. */
+    void advance() {
+        inProgress.values().forEach(this::advance);
+        inProgress.values().removeIf(active -> active.migration().state().over());
     }
 
-    private void drive(MigrationInProgress run) {
-        while (!run.waiting && turn.now() >= run.notBefore) {
-            MigrationStateMachine.NextStep next = run.protocol.next();
-            if (next instanceof MigrationStateMachine.SendCommand ask) {
-                send(run, ask);
+    private void advance(ActiveMigration active) {
+        while (!active.awaitingCompletion && turn.now() >= active.notBefore) {
+            MigrationStateMachine.NextStep next = active.stateMachine.next();
+            if (next instanceof MigrationStateMachine.SendCommand sendCommand) {
+                send(active, sendCommand);
             } else if (next instanceof MigrationStateMachine.Commit commit) {
-                commit(run, commit);
+                commit(active, commit);
             } else {
                 return;
             }
         }
     }
 
-    private void commit(MigrationInProgress run, MigrationStateMachine.Commit commit) {
-        run.waiting = true;
-        commit(run.migration().withState(commit.state()), commit.why(), t -> {
-            run.waiting = false;
+    private void commit(ActiveMigration active, MigrationStateMachine.Commit commit) {
+        active.awaitingCompletion = true;
+        commit(active.migration().withState(commit.state()), commit.why(), t -> {
+            active.awaitingCompletion = false;
             if (t == null) {
-                run.protocol.abort("the extent changed meanwhile");
+                active.stateMachine.abort("the extent changed meanwhile");
                 return;
             }
-            run.protocol.durable(t.migration());
+            active.stateMachine.durable(t.migration());
             if (t.migration().state() == Migration.State.SWITCHED) {
-                switched.accept(t.migration());
+                switchListener.accept(t.migration());
             }
         });
     }
 
-    private void send(MigrationInProgress run, MigrationStateMachine.SendCommand ask) {
-        if (ask.step() == Step.TAKE) {
+    private void send(ActiveMigration active, MigrationStateMachine.SendCommand sendCommand) {
+        if (sendCommand.step() == Step.TAKE) {
             if (copyBudget.available() < 0) {
-                run.notBefore = turn.now() + copyBudget.microsUntilBalanced() + 1;
+                active.notBefore = turn.now() + copyBudget.microsUntilBalanced() + 1;
                 return;
             }
-            copyBudget.take(ask.room());
+            copyBudget.take(sendCommand.room());
         }
-        NodeCommandClient.Node node = nodes.reachable(ask.shard());
+        NodeCommandClient.Node node = nodes.reachable(sendCommand.shard());
         if (node == null) {
-            failed(run);
+            stepFailed(active);
             return;
         }
-        Migration migration = run.migration();
+        Migration migration = active.migration();
         int extentBytes = state.map(migration.volume()).extentBytes();
         StepCommand command = new StepCommand(
-                ask.step(), migration.volume(), migration.extent(), extentBytes, ask.version(), ask.room(), ask.data());
-        run.waiting = true;
-        nodes.send(node, command, report -> completed(run, ask, report));
+                sendCommand.step(),
+                migration.volume(),
+                migration.extent(),
+                extentBytes,
+                sendCommand.version(),
+                sendCommand.room(),
+                sendCommand.data());
+        active.awaitingCompletion = true;
+        nodes.send(node, command, report -> handleReport(active, sendCommand, report));
     }
 
-    private void failed(MigrationInProgress run) {
-        run.protocol.failed();
-        run.notBefore = turn.now() + RETRY_DELAY;
+    private void stepFailed(ActiveMigration active) {
+        active.stateMachine.failed();
+        active.notBefore = turn.now() + RETRY_DELAY;
     }
 
-    private void completed(MigrationInProgress run, MigrationStateMachine.SendCommand ask, Report report) {
-        run.waiting = false;
+    private void handleReport(ActiveMigration active, MigrationStateMachine.SendCommand sendCommand, Report report) {
+        active.awaitingCompletion = false;
         if (report == null) {
-            failed(run);
+            stepFailed(active);
             return;
         }
         if (!report.ok()) {
-            rollbacks.observe(state.epoch(), report.known(), "shard " + ask.shard());
-            run.notBefore = turn.now() + (ask.step() == Step.FENCE ? FENCE_POLL_DELAY : RETRY_DELAY);
-        } else if (ask.step() == Step.TAKE) {
+            rollbacks.observe(state.epoch(), report.known(), "shard " + sendCommand.shard());
+            active.notBefore = turn.now() + (sendCommand.step() == Step.FENCE ? FENCE_POLL_DELAY : RETRY_DELAY);
+        } else if (sendCommand.step() == Step.TAKE) {
             int copied = report.data().remaining();
-            copyBudget.giveBack(ask.room() - copied);
+            copyBudget.giveBack(sendCommand.room() - copied);
             copiedBytes += copied;
         }
-        run.protocol.reported(report);
+        active.stateMachine.reported(report);
     }
 
-    /** Migrations that are not over. */
+    /** Number of migrations that are not finished. */
     int inProgress() {
         return inProgress.size();
     }
 
-    /** Bytes of pages copied so far. */
+    /** Bytes of pages copied since the service started. */
     long copiedBytes() {
         return copiedBytes;
     }
 
-    /** When the next step that waits for nothing but time is due. */
+    /** When the next step is due that waits only for its delay. */
     long nextDeadline() {
         long next = Long.MAX_VALUE;
-        for (MigrationInProgress run : inProgress.values()) {
-            if (!run.waiting) {
-                next = Math.min(next, Math.max(turn.now(), run.notBefore));
+        for (ActiveMigration active : inProgress.values()) {
+            if (!active.awaitingCompletion) {
+                next = Math.min(next, Math.max(turn.now(), active.notBefore));
             }
         }
         return next;
--- a/mapservice/src/main/java/garnetreel/mapservice/NodeCommandClient.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/NodeCommandClient.java
@@ -21,23 +21,23 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** Connections of the map service to nodes, one each, and the commands that are in flight on them. */
+/** The connections of the map service to nodes, one per node, and the commands in flight on them. */
 final class NodeCommandClient {
     private static final long RECONNECT_DELAY = 200_000;
-    /** Number that the service gives itself when it greets a node: it is no gateway. */
-    private static final int NO_GATEWAY = -1;
-    /** Bits of a command's number: 11 for the epoch, 28 for a transaction, 24 for commands since that transaction. */
+    /** Sent in place of a gateway number in the service's hello to a node. */
+    private static final int NOT_A_GATEWAY = -1;
+    /** Command numbers have 11 bits for the epoch, 28 for a transaction and 24 for commands since that transaction. */
     private static final int EPOCH_SHIFT = 52;
 
     private static final int COMMAND_BITS = 24;
     private static final long COMMAND_MASK = (1L << COMMAND_BITS) - 1;
-    /** Three quarters of the numbers after one transaction: time for the next transaction. */
+    /** A new transaction is due when three quarters of the numbers after the last one are used. */
     private static final long RENUMBER_AT = 3L << (COMMAND_BITS - 2);
 
-    /** A node that the list names. */
+    /** A node of the node list. */
     static final class Node {
         private final EndpointEntry entry;
-        /** 0 while there is none. */
+        /** Connection number; 0 while not connected. */
         private long conn;
 
         private boolean ready;
@@ -48,7 +48,7 @@
             this.entry = entry;
         }
 
-        /** Whether commands can be sent to it. */
+        /** Whether commands can be sent to the node. */
         boolean ready() {
             return ready;
         }
@@ -81,20 +81,21 @@
     }
 
     /**
-     * Numbers of commands grow over all incarnations of the service: what an earlier one sent is older at any node. Each
-     * incarnation, and each that runs out, begins with a transaction of its own, whose number leads; an epoch leads before
-     * that, since transactions may go back in a restore.
+     * Sets the prefix of the following command numbers. Numbers increase across all incarnations of the service, so
+     * that nodes recognize a command of an earlier incarnation as outdated. Each incarnation, and each one that runs
+     * low on numbers, writes a transaction whose number becomes the prefix. The epoch precedes it, since a restore from
+     * a backup may set transaction numbers back.
      */
     void startNumbering(long epoch, long transaction) {
         lastSeq = epoch << EPOCH_SHIFT | transaction << COMMAND_BITS;
     }
 
-    /** Whether the numbers after the last transaction are near their end. */
-    boolean numbersRunOut() {
+    /** Whether the command numbers after the last transaction are running low. */
+    boolean numbersRunLow() {
         return (lastSeq & COMMAND_MASK) > RENUMBER_AT;
     }
 
-    /** Follows the node list. */
+    /** Applies an update of the node list. */
     void update(EndpointUpdate update) {
         if (update.kind() == EndpointUpdateKind.UNAVAILABLE) {
             return;
@@ -103,20 +104,20 @@
             List<String> listed =
                     update.entries().stream().map(EndpointEntry::address).toList();
             List.copyOf(nodes.values()).stream()
-                    .filter(n -> !listed.contains(n.entry.address()))
-                    .forEach(this::removed);
+                    .filter(node -> !listed.contains(node.entry.address()))
+                    .forEach(this::remove);
         }
         for (EndpointEntry entry : update.entries()) {
             if (entry.state() != EndpointState.REMOVED) {
-                put(entry);
+                addOrReplace(entry);
             } else if (nodes.containsKey(entry.address())) {
-                removed(nodes.get(entry.address()));
+                remove(nodes.get(entry.address()));
             }
         }
     }
 
-    /** Adds a node, or replaces its entry; its connection goes on. */
-    private void put(EndpointEntry entry) {
+    /** Adds a node, or replaces its entry and keeps its connection. */
+    private void addOrReplace(EndpointEntry entry) {
         Node node = new Node(entry);
         Node old = nodes.put(entry.address(), node);
         if (old != null) {
@@ -127,7 +128,7 @@
         }
     }
 
-    private void removed(Node node) {
+    private void remove(Node node) {
         nodes.remove(node.entry.address());
         if (node.conn != 0) {
             turn.add(new NetAction.Close(node.conn, true));
@@ -139,12 +140,12 @@
         return byConnection.containsKey(conn);
     }
 
-    /** All nodes of the list, by address. */
+    /** All nodes of the node list, ordered by address. */
     Iterable<Node> nodes() {
         return nodes.values();
     }
 
-    /** The node of a shard to which a command can be sent now; null when there is none. */
+    /** A node of the shard that can receive commands now, or null if there is none. */
     Node reachable(int shard) {
         for (Node node : nodes.values()) {
             if (node.shard() == shard && node.ready) {
@@ -157,7 +158,7 @@
     /**
      * Sends a command.
      *
-     * @param completion takes the report, or null where there is none: exactly once and never in this call
+     * @param completion called exactly once, never within this call, with the report or with null if none arrives
      */
     void send(Node node, StepCommand command, Consumer<Report> completion) {
         Order message = new Order(
@@ -174,7 +175,7 @@
     }
 
     void connected(long conn) {
-        turn.add(new NetAction.Write(conn, NodeCodec.frame(new Hello(NO_GATEWAY, incarnation))));
+        turn.add(new NetAction.Write(conn, NodeCodec.frame(new Hello(NOT_A_GATEWAY, incarnation))));
     }
 
     void closed(long conn) {
@@ -221,7 +222,7 @@
         }
     }
 
-    /** Connects to nodes that are listed, and gives up on commands that no report came to. */
+    /** Connects to listed nodes whose reconnect delay has passed, and fails commands whose report is overdue. */
     void expire() {
         for (Node node : nodes.values()) {
             if (node.conn == 0 && turn.now() >= node.reconnectAt) {
--- a/mapservice/src/main/java/garnetreel/mapservice/OperatorCommands.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/OperatorCommands.java
@@ -10,11 +10,11 @@
 import garnetreel.map.MapState;
 import java.util.function.Consumer;
 
-/** Operators' commands to the map service, in words; the answers are JSON. */
+/** Executes operators' text commands to the map service; the answers are JSON. */
 final class OperatorCommands {
     private static final int DEFAULT_HISTORY_ROWS = 50;
 
-    /** A command that can't be carried out as it is worded; the message goes to the operator. */
+    /** Thrown for a malformed command or one that names something unknown; the message is sent to the operator. */
     private static final class InvalidCommandException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -51,7 +51,7 @@
         this.adoption = adoption;
     }
 
-    /** Carries out a command; the answer comes once, maybe in a later turn. */
+    /** Executes a command; the answer is given exactly once, possibly in a later turn. */
     void execute(Command command, Consumer<Result> answer) {
         Invocation invocation = new Invocation(command, answer);
         try {
@@ -63,21 +63,21 @@
 
     private final class Invocation {
         private final Command command;
-        private final String[] words;
+        private final String[] tokens;
         private final Consumer<Result> answer;
 
         Invocation(Command command, Consumer<Result> answer) {
             this.command = command;
-            this.words = command.text().trim().split("\\s+");
+            this.tokens = command.text().trim().split("\\s+");
             this.answer = answer;
         }
 
         void run() throws InvalidCommandException {
-            switch (words[0]) {
+            switch (tokens[0]) {
                 case "status" -> accept(OperatorReports.status(state, subscribers, migrations, rollbacks.rolledBack()));
-                case "show" -> accept(OperatorReports.extents(volume(1), words.length > 2 ? number(2) : 0));
+                case "show" -> accept(OperatorReports.extents(volume(1), tokens.length > 2 ? number(2) : 0));
                 case "history" -> accept(
-                        OperatorReports.history(state, words.length > 1 ? (int) number(1) : DEFAULT_HISTORY_ROWS));
+                        OperatorReports.history(state, tokens.length > 1 ? (int) number(1) : DEFAULT_HISTORY_ROWS));
                 case "moves" -> accept(OperatorReports.migrations(state.migrations()));
                 case "move" -> migrate();
                 case "abort" -> abort();
@@ -86,16 +86,16 @@
                 case "sum" -> checksum(volume(1), number(2));
                 case "adopt" -> adopt();
                 case "new-epoch" -> newEpoch();
-                default -> reject("unknown command " + words[0]);
+                default -> reject("unknown command " + tokens[0]);
             }
         }
 
         private long number(int index) throws InvalidCommandException {
-            if (index >= words.length) {
-                throw new InvalidCommandException(words[0] + " wants more words");
+            if (index >= tokens.length) {
+                throw new InvalidCommandException(tokens[0] + " wants more words");
             }
             try {
-                return Long.parseLong(words[index]);
+                return Long.parseLong(tokens[index]);
             } catch (NumberFormatException e) {
                 throw new InvalidCommandException("not understood: " + command.text());
             }
@@ -104,7 +104,7 @@
         private ExtentMap volume(int index) throws InvalidCommandException {
             ExtentMap map = state.map(number(index));
             if (map == null) {
-                throw new InvalidCommandException("there is no volume " + words[index]);
+                throw new InvalidCommandException("there is no volume " + tokens[index]);
             }
             return map;
         }
@@ -113,8 +113,8 @@
             answer.accept(new Result(true, json.toString()));
         }
 
-        private void reject(String why) {
-            answer.accept(new Result(false, OperatorReports.message(why).toString()));
+        private void reject(String reason) {
+            answer.accept(new Result(false, OperatorReports.message(reason).toString()));
         }
 
         private void migrate() throws InvalidCommandException {
@@ -144,7 +144,7 @@
         }
 
         private void adopt() {
-            boolean force = words.length > 1 && words[1].equals("force");
+            boolean force = tokens.length > 1 && tokens[1].equals("force");
             adoption.begin(command.who(), force, (ok, findings) -> answer.accept(new Result(ok, findings.toString())));
         }
 
@@ -154,7 +154,10 @@
                     t -> accept(OperatorReports.message("epoch " + state.epoch())));
         }
 
-        /** Checksum of an extent as its holder has it, for whoever compares it with what a gateway reads. */
+        /**
+         * Requests the checksum of an extent from the node that holds it, for comparison with data read through a
+         * gateway.
+         */
         private void checksum(ExtentMap map, long extent) throws InvalidCommandException {
             if (!map.contains(extent)) {
                 throw new InvalidCommandException("there is no extent " + extent + " of volume " + map.volume());
@@ -164,9 +167,9 @@
                 reject("the node of shard " + map.shard(extent) + " can't be reached");
                 return;
             }
-            StepCommand sum = new StepCommand(
+            StepCommand sumCommand = new StepCommand(
                     Step.SUM, map.volume(), extent, map.extentBytes(), map.version(extent), 0, NodeMessage.none());
-            nodes.send(node, sum, report -> checksumReported(map, extent, report));
+            nodes.send(node, sumCommand, report -> checksumReported(map, extent, report));
         }
 
         private void checksumReported(ExtentMap map, long extent, Report report) {
--- a/mapservice/src/main/java/garnetreel/mapservice/OperatorReports.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/OperatorReports.java
@@ -11,10 +11,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The service's answers to operators as JSON. Operators' scripts read the fields, so their names and order stay. */
+/**
+ * Builds the JSON answers to operators. Operators' scripts read the fields, so their names and order must not change.
+ */
 final class OperatorReports {
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
-    /** Extents in one answer; whoever wants more asks from a later one on. */
+    /** Maximum number of extents in one answer; further ones are requested with a higher start. */
     private static final int MAX_ROWS = 1_000;
 
     private OperatorReports() {}
@@ -46,7 +48,7 @@
                 .put("version", state.version())
                 .put("horizon", state.horizon())
                 .put("transactions", state.seq())
-                .put("heads", subscribers.subscribed())
+                .put("heads", subscribers.subscriberCount())
                 .put("moves", migrations.inProgress())
                 .put("copied_bytes", migrations.copiedBytes())
                 .put("went_back", rolledBack);
@@ -58,16 +60,16 @@
     }
 
     private static long extentsHeldBy(MapState state, int shard) {
-        long held = 0;
+        long count = 0;
         for (ExtentMap map : state.maps()) {
             for (long extent = 0; extent < map.extents(); extent++) {
-                held += map.shard(extent) == shard ? 1 : 0;
+                count += map.shard(extent) == shard ? 1 : 0;
             }
         }
-        return held;
+        return count;
     }
 
-    /** Extents of a volume, from one on. */
+    /** Extents of a volume, starting at the given one. */
     static ObjectNode extents(ExtentMap map, long from) {
         ObjectNode json = JSON.objectNode()
                 .put("volume", map.volume())
@@ -83,7 +85,7 @@
         return json;
     }
 
-    /** The last transactions, oldest first. */
+    /** The latest transactions, oldest first. */
     static ArrayNode history(MapState state, int maxRows) {
         List<Transaction> all = new ArrayList<>();
         state.history().forEach(all::add);
--- a/mapservice/src/main/java/garnetreel/mapservice/RateBudget.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/RateBudget.java
@@ -1,6 +1,6 @@
 package garnetreel.mapservice;
 
-/** An amount that grows at a rate up to a bound, and that may be overdrawn by the last who takes from it. */
+/** A token bucket that may be overdrawn: it is refilled at a constant rate up to its capacity. */
 final class RateBudget {
     private final double perSecond;
     private final double capacity;
@@ -12,19 +12,19 @@
         this.capacity = capacity;
     }
 
-    /** Begins empty. */
+    /** Starts refilling an empty budget. */
     void start(long now) {
         refilledAt = now;
     }
 
-    /** Adds what has grown since the last call. */
+    /** Adds the amount that has accrued since the last call. */
     void refill(long now) {
         double seconds = (now - refilledAt) / 1e6;
         refilledAt = now;
         available = Math.min(capacity, available + seconds * perSecond);
     }
 
-    /** What may be taken; below zero while it is overdrawn. */
+    /** The remaining amount; negative while the budget is overdrawn. */
     double available() {
         return available;
     }
@@ -33,12 +33,12 @@
         available -= amount;
     }
 
-    /** Gives back what was taken and not used. */
+    /** Returns an amount that was taken and not used. */
     void giveBack(double amount) {
         available += amount;
     }
 
-    /** Microseconds until an overdrawn budget is back at zero. */
+    /** Time until an overdrawn budget has been refilled to zero, in microseconds. */
     long microsUntilBalanced() {
         return (long) (-available * 1e6 / perSecond);
     }
--- a/mapservice/src/main/java/garnetreel/mapservice/RebalanceCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/RebalanceCoordinator.java
@@ -16,18 +16,18 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** Polls the load of nodes once a second, and begins what the {@link Rebalancer} proposes. */
+/** Polls the load of all nodes once a second and starts the migrations that the {@link Rebalancer} proposes. */
 final class RebalanceCoordinator {
     private static final long POLL_INTERVAL = 1_000_000;
-    /** Extents of draining shards that are considered at a time. */
+    /** Maximum number of extents of a draining shard that are considered in one round. */
     private static final int DRAIN_BATCH = 64;
-    /** Bytes of a load report before its extents, and of each extent in it (docs/node-protocol.md). */
+    /** Size of a load report's header, and of each extent entry after it, in bytes (docs/node-protocol.md). */
     private static final int LOAD_HEADER_BYTES = 32;
 
     private static final int LOAD_ENTRY_BYTES = 24;
 
-    /** What a node reported last. */
-    private record NodeLoad(double load, double utilization, long freeBytes, List<Extent> busiest) {
+    /** The latest load report of a node. */
+    private record NodeLoad(double load, double utilization, long freeBytes, List<Extent> busiestExtents) {
         static final NodeLoad UNKNOWN = new NodeLoad(0, 0, 0, List.of());
     }
 
@@ -35,23 +35,23 @@
     private final MapServiceSettings settings;
     private final MapState state;
     private final NodeCommandClient nodes;
-    private final Consumer<Proposal> begin;
+    private final Consumer<Proposal> proposalHandler;
     private final Rebalancer rebalancer;
     private final Map<Integer, NodeLoad> loads = new TreeMap<>();
     private long nextPoll;
 
-    /** @param begin takes what is proposed */
+    /** @param proposalHandler receives each proposed migration */
     RebalanceCoordinator(
             TurnContext turn,
             MapServiceSettings settings,
             MapState state,
             NodeCommandClient nodes,
-            Consumer<Proposal> begin) {
+            Consumer<Proposal> proposalHandler) {
         this.turn = turn;
         this.settings = settings;
         this.state = state;
         this.nodes = nodes;
-        this.begin = begin;
+        this.proposalHandler = proposalHandler;
         this.rebalancer = new Rebalancer(settings.limits());
     }
 
@@ -63,12 +63,12 @@
         return nextPoll;
     }
 
-    /** An extent got a new holder at a time: it rests for a while. */
+    /** Records that an extent has switched to a new node; it is not proposed again until its rest time is over. */
     void migrated(long volume, long extent, long time) {
         rebalancer.migrated(volume, extent, time);
     }
 
-    /** Polls and proposes when it is time; what a poll brings counts from the next time on. */
+    /** Polls and proposes once per interval; proposals use the reports of earlier polls. */
     void run() {
         if (turn.now() < nextPoll) {
             return;
@@ -84,7 +84,7 @@
         if (settings.rebalance() || !draining.isEmpty()) {
             rebalancer
                     .propose(turn.now(), shards(draining), candidates(draining), state.migrations())
-                    .forEach(begin);
+                    .forEach(proposalHandler);
         }
     }
 
@@ -93,13 +93,13 @@
         for (NodeCommandClient.Node node : nodes.nodes()) {
             int shard = node.shard();
             EndpointEntry entry = node.entry();
-            NodeLoad last = loads.getOrDefault(shard, NodeLoad.UNKNOWN);
+            NodeLoad latest = loads.getOrDefault(shard, NodeLoad.UNKNOWN);
             shards.add(new Shard(
                     shard,
-                    last.load(),
+                    latest.load(),
                     settings.nodeCapacity(),
-                    last.utilization(),
-                    last.freeBytes(),
+                    latest.utilization(),
+                    latest.freeBytes(),
                     draining.contains(shard) || entry.state() == EndpointState.DRAINING && settings.rebalance(),
                     entry.startedAt() > 0 && turn.now() - entry.startedAt() < settings.warmUpDuration(),
                     node.ready()));
@@ -110,8 +110,9 @@
     private List<Extent> candidates(List<Integer> draining) {
         List<Extent> extents = new ArrayList<>();
         if (settings.rebalance()) {
-            loads.forEach((shard, last) ->
-                    last.busiest().stream().filter(e -> holds(e, shard)).forEach(extents::add));
+            loads.forEach((shard, latest) -> latest.busiestExtents().stream()
+                    .filter(e -> holds(e, shard))
+                    .forEach(extents::add));
         }
         draining.forEach(shard -> extents.addAll(heldBy(shard)));
         return extents;
@@ -131,20 +132,20 @@
         double utilization = data.getDouble();
         long usedBytes = data.getLong();
         long freeBytes = data.getLong() - usedBytes;
-        List<Extent> busiest = new ArrayList<>();
+        List<Extent> busiestExtents = new ArrayList<>();
         while (data.remaining() >= LOAD_ENTRY_BYTES) {
             long volume = data.getLong();
             long extent = data.getLong();
             double units = data.getDouble();
             ExtentMap map = state.map(volume);
             if (map != null) {
-                busiest.add(new Extent(volume, extent, shard, units, map.extentBytes()));
+                busiestExtents.add(new Extent(volume, extent, shard, units, map.extentBytes()));
             }
         }
-        loads.put(shard, new NodeLoad(load, utilization, freeBytes, busiest));
+        loads.put(shard, new NodeLoad(load, utilization, freeBytes, busiestExtents));
     }
 
-    /** The first extents that a shard holds, up to a batch. */
+    /** The first extents that a shard holds, up to {@link #DRAIN_BATCH}. */
     private List<Extent> heldBy(int shard) {
         List<Extent> held = new ArrayList<>();
         for (ExtentMap map : state.maps()) {
--- a/mapservice/src/main/java/garnetreel/mapservice/RollbackDetector.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/RollbackDetector.java
@@ -3,49 +3,51 @@
 import garnetreel.map.MapState;
 
 /**
- * Guards against a service that was restored from an old backup and does not know it: its decisions would build on places
- * that no longer hold. A report of a newer version stops it from migrating anything until its maps are adopted from the nodes.
- * It could hurt if a client reported versions that never were; then too the nodes have the truth.
+ * Detects that the service was restored from an old backup, where its decisions would rely on outdated extent
+ * locations. Once a gateway or node reports a newer version, no migration starts or advances until the maps are adopted
+ * from the nodes. A reported version that never existed has the same effect; adoption resolves that too, since the
+ * nodes are authoritative.
  */
 final class RollbackDetector {
     private final TurnContext turn;
     private final MapState state;
-    /** Newest epoch that anyone has reported, and the newest version of it. */
-    private long epoch;
+    /** Newest epoch that any gateway or node has reported, and the newest version reported in it. */
+    private long newestEpoch;
 
-    private long version;
+    private long newestVersion;
 
     RollbackDetector(TurnContext turn, MapState state) {
         this.turn = turn;
         this.state = state;
     }
 
-    /** Somebody knows a version of an epoch. */
-    void observe(long otherEpoch, long otherVersion, String who) {
-        if (otherEpoch < epoch || otherEpoch == epoch && otherVersion <= version) {
+    /** Records the map version that a gateway or node has reported. */
+    void observe(long reportedEpoch, long reportedVersion, String reporter) {
+        if (reportedEpoch < newestEpoch || reportedEpoch == newestEpoch && reportedVersion <= newestVersion) {
             return;
         }
-        epoch = otherEpoch;
-        version = otherVersion;
+        newestEpoch = reportedEpoch;
+        newestVersion = reportedVersion;
         if (rolledBack()) {
-            turn.warn(who + " knows version " + version + " of epoch " + epoch + ", and this service version "
+            turn.warn(reporter + " has map version " + newestVersion + " of epoch " + newestEpoch
+                    + ", but this service has version "
                     + state.version() + " of epoch " + state.epoch()
-                    + ": it went back, and begins no migration until \"map adopt\"");
+                    + ": its state was rolled back; migrations are blocked until \"map adopt\" is run");
         }
     }
 
-    /** Whether somebody knows a newer map than this service. */
+    /** Whether any gateway or node has reported a newer map than this service has. */
     boolean rolledBack() {
-        return epoch > state.epoch() || epoch == state.epoch() && version > state.version();
+        return newestEpoch > state.epoch() || newestEpoch == state.epoch() && newestVersion > state.version();
     }
 
-    /** Newest epoch that anyone has reported. */
-    long epoch() {
-        return epoch;
+    /** Newest epoch that any gateway or node has reported. */
+    long newestEpoch() {
+        return newestEpoch;
     }
 
-    /** Newest version of that epoch. */
-    long version() {
-        return version;
+    /** Newest version that has been reported in {@link #newestEpoch}. */
+    long newestVersion() {
+        return newestVersion;
     }
 }
--- a/mapservice/src/main/java/garnetreel/mapservice/StepCommand.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/StepCommand.java
@@ -5,21 +5,21 @@
 import java.nio.ByteBuffer;
 
 /**
- * What a node is commanded to do, before the command has a number.
+ * A command to a node that has not been assigned a number yet.
  *
  * @param extentBytes size of the volume's extents
- * @param version version of the extent that the step is about
- * @param maxBytes bytes of data that the report may hold
- * @param data pages, for a step that brings some
+ * @param version version of the extent that the step refers to
+ * @param maxBytes maximum bytes of data in the report
+ * @param data pages, for a step that transfers pages to the node
  */
 record StepCommand(Step step, long volume, long extent, int extentBytes, long version, int maxBytes, ByteBuffer data) {
 
-    /** Polls a node's load. */
+    /** A command that polls a node's load. */
     static StepCommand load() {
         return new StepCommand(Step.LOAD, 0, 0, 0, 0, 0, NodeMessage.none());
     }
 
-    /** Polls the extents that a node holds, from the one after an extent on. */
+    /** A command that polls the extents that a node holds, starting after the given one. */
     static StepCommand holds(long volume, long extent, int maxBytes) {
         return new StepCommand(Step.HOLDS, volume, extent, 0, 0, maxBytes, NodeMessage.none());
     }
--- a/mapservice/src/main/java/garnetreel/mapservice/SubscriberRegistry.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/SubscriberRegistry.java
@@ -17,13 +17,13 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** Connections of gateways, which subscribe to the map, and of operators, who send commands. */
+/** The connections of gateways, which subscribe to the map, and of operators, who send commands. */
 final class SubscriberRegistry {
     private static final long KEEP_ALIVE_INTERVAL = 1_000_000;
-    /** Advice to a gateway that came in a rush; the gateway multiplies it by a random factor of its own. */
+    /** Retry delay sent to a gateway above the subscription rate; the gateway multiplies it by a random factor. */
     private static final long RETRY_AFTER = 500_000;
 
-    /** Carries out an operator's command; the answer may come in a later turn. */
+    /** Executes an operator's command; the answer may come in a later turn. */
     @FunctionalInterface
     interface CommandHandler {
         void execute(Command command, Consumer<Result> answer);
@@ -43,8 +43,8 @@
     private final TurnContext turn;
     private final MapState state;
     private final RollbackDetector rollbacks;
-    private final CommandHandler commands;
-    private final RateBudget subscribes;
+    private final CommandHandler commandHandler;
+    private final RateBudget subscribeBudget;
     private final Map<Long, Subscriber> subscribers = new TreeMap<>();
     private long nextKeepAlive;
 
@@ -53,21 +53,21 @@
             MapState state,
             RollbackDetector rollbacks,
             int subscribesPerSecond,
-            CommandHandler commands) {
+            CommandHandler commandHandler) {
         this.turn = turn;
         this.state = state;
         this.rollbacks = rollbacks;
-        this.commands = commands;
-        this.subscribes = new RateBudget(subscribesPerSecond, subscribesPerSecond);
+        this.commandHandler = commandHandler;
+        this.subscribeBudget = new RateBudget(subscribesPerSecond, subscribesPerSecond);
     }
 
     void start() {
-        subscribes.start(turn.now());
+        subscribeBudget.start(turn.now());
         nextKeepAlive = turn.now() + KEEP_ALIVE_INTERVAL;
     }
 
     void refill() {
-        subscribes.refill(turn.now());
+        subscribeBudget.refill(turn.now());
     }
 
     boolean owns(long conn) {
@@ -91,7 +91,7 @@
                 handle(subscriber, message);
             }
         } catch (ProtocolException e) {
-            turn.warn(e.getMessage());
+            turn.warn("client connection " + conn + ": " + e.getMessage());
             turn.add(new NetAction.Close(conn, true));
             subscribers.remove(conn);
         }
@@ -101,37 +101,38 @@
         if (message instanceof Subscribe subscribe) {
             subscribe(subscriber, subscribe);
         } else if (message instanceof Command command) {
-            commands.execute(command, result -> send(subscriber, result));
+            commandHandler.execute(command, result -> send(subscriber, result));
         } else {
-            throw new ProtocolException("a client sent a " + message.getClass().getSimpleName());
+            throw new ProtocolException(
+                    "unexpected message " + message.getClass().getSimpleName());
         }
     }
 
     /**
-     * Guards the service against all gateways coming back at once: it answers so many a second and has the rest retry
-     * later. It could hurt a gateway that has no map at all, which waits so much longer for its first; it serves by the
-     * first rule meanwhile, and nodes refuse what migrated.
+     * Protects the service when all gateways reconnect at once: subscriptions above the configured rate are told to
+     * retry later. A gateway without any map waits longer for its first one; until then it routes by the initial
+     * placement, and nodes refuse requests for migrated extents.
      */
     private void subscribe(Subscriber subscriber, Subscribe subscribe) {
-        if (subscribes.available() < 1) {
+        if (subscribeBudget.available() < 1) {
             send(subscriber, new Busy(RETRY_AFTER));
             return;
         }
-        subscribes.take(1);
+        subscribeBudget.take(1);
         rollbacks.observe(subscribe.epoch(), subscribe.version(), "gateway " + subscribe.head());
         subscriber.subscribed = true;
         subscriber.version = state.version();
         send(subscriber, state.updateSince(subscribe.epoch(), subscribe.version()));
     }
 
-    /** Sends unless the connection is gone: an answer may come after it. */
+    /** Sends a message unless the connection has been closed, as it may be when a late answer arrives. */
     private void send(Subscriber subscriber, MapMessage message) {
         if (subscribers.get(subscriber.conn) == subscriber) {
             turn.add(new NetAction.Write(subscriber.conn, MapCodec.frame(message)));
         }
     }
 
-    /** Brings all subscribers up to date after a transaction that changed maps of an epoch, or began another one. */
+    /** Updates all subscribers after a transaction that changed maps or started a new epoch. */
     void publishChanges(long epochBefore) {
         for (Subscriber subscriber : subscribers.values()) {
             if (subscriber.subscribed) {
@@ -141,22 +142,22 @@
         }
     }
 
-    /** Lets subscribers tell a quiet service from a broken connection. */
+    /** Sends empty changes at intervals, so that subscribers can tell an idle service from a broken connection. */
     void keepAlive() {
         if (turn.now() < nextKeepAlive) {
             return;
         }
         nextKeepAlive = turn.now() + KEEP_ALIVE_INTERVAL;
-        Changes nothing = new Changes(state.epoch(), state.version(), state.version(), List.of());
+        Changes noChanges = new Changes(state.epoch(), state.version(), state.version(), List.of());
         for (Subscriber subscriber : subscribers.values()) {
             if (subscriber.subscribed) {
-                send(subscriber, nothing);
+                send(subscriber, noChanges);
             }
         }
     }
 
-    /** Number of connections that are subscribed. */
-    int subscribed() {
+    /** Number of subscribed connections. */
+    int subscriberCount() {
         return (int) subscribers.values().stream().filter(s -> s.subscribed).count();
     }
 
--- a/mapservice/src/main/java/garnetreel/mapservice/TransactionLog.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/TransactionLog.java
@@ -10,32 +10,33 @@
 import java.util.function.Supplier;
 
 /**
- * Makes transactions durable one at a time and applies them to the state; nothing is published or acted on before. Each
- * record is made when its turn comes, since it builds on the one before.
+ * Writes transactions to the journal one at a time and applies each to the state once it is durable; nothing is
+ * published or acted on before that. A transaction is created only when the preceding one has been applied, since it
+ * builds on it.
  */
 final class TransactionLog {
-    /** Bytes that an extent that migrated takes in a snapshot. */
+    /** Size of a migrated extent in a snapshot, in bytes. */
     private static final int BYTES_PER_MIGRATED_EXTENT = 20;
-    /** A snapshot is worth writing when at least one in so many of the extents that migrated has changed since. */
-    private static final int SNAPSHOT_SHARE = 20;
+    /** A snapshot is worth its cost after at least one transaction per this many migrated extents. */
+    private static final int EXTENTS_PER_TRANSACTION = 20;
 
-    /** Learns of a transaction that was applied, before whoever submitted it does. */
+    /** Is notified of each applied transaction, before the completion callback of its submitter. */
     @FunctionalInterface
     interface AppliedListener {
         void applied(Transaction transaction, long epochBefore);
     }
 
-    private record Commit(Supplier<Transaction> transaction, Consumer<Transaction> completion) {}
+    private record PendingTransaction(Supplier<Transaction> factory, Consumer<Transaction> completion) {}
 
     private final TurnContext turn;
     private final MapState state;
     private final int snapshotInterval;
     private final AppliedListener listener;
-    private final ArrayDeque<Commit> waiting = new ArrayDeque<>();
-    /** The transaction that is with the journal; null for none. */
-    private Transaction writing;
+    private final ArrayDeque<PendingTransaction> pending = new ArrayDeque<>();
+    /** The transaction that is being written to the journal, or null. */
+    private Transaction inFlight;
 
-    private Consumer<Transaction> writingCompletion;
+    private Consumer<Transaction> inFlightCompletion;
     private long nextSnapshotSeq;
 
     TransactionLog(TurnContext turn, MapState state, int snapshotInterval, AppliedListener listener) {
@@ -47,56 +48,56 @@
     }
 
     /**
-     * Adds a transaction behind those that wait.
+     * Appends a transaction to the queue.
      *
-     * @param transaction makes it when its turn comes
-     * @param completion takes it once it is durable and applied, or null where it was rejected
+     * @param factory creates the transaction when it reaches the head of the queue
+     * @param completion receives the transaction once it is durable and applied, or null if it was rejected
      */
-    void submit(Supplier<Transaction> transaction, Consumer<Transaction> completion) {
-        waiting.add(new Commit(transaction, completion));
+    void submit(Supplier<Transaction> factory, Consumer<Transaction> completion) {
+        pending.add(new PendingTransaction(factory, completion));
     }
 
-    /** Hands the next transaction to the journal, unless one is there. */
+    /** Writes the next transaction to the journal, unless one is in flight. */
     void write() {
-        while (writing == null && !waiting.isEmpty()) {
-            Commit next = waiting.poll();
+        while (inFlight == null && !pending.isEmpty()) {
+            PendingTransaction next = pending.poll();
             try {
-                writing = next.transaction().get();
+                inFlight = next.factory().get();
             } catch (ExtentChangedException | MigrationRejectedException e) {
-                turn.warn("not committed: " + e.getMessage());
+                turn.warn("transaction not committed: " + e.getMessage());
                 next.completion().accept(null);
                 continue;
             }
-            writingCompletion = next.completion();
-            turn.add(new NetAction.Append(writing.seq(), writing.bytes()));
+            inFlightCompletion = next.completion();
+            turn.add(new NetAction.Append(inFlight.seq(), inFlight.bytes()));
         }
     }
 
-    /** The journal has made a record durable. */
+    /** Handles the journal's notification that a record is durable. */
     void appended(long seq) {
-        if (writing == null || seq != writing.seq()) {
+        if (inFlight == null || seq != inFlight.seq()) {
             return;
         }
-        Transaction durable = writing;
-        writing = null;
+        Transaction durable = inFlight;
+        inFlight = null;
         long epochBefore = state.epoch();
         state.apply(durable);
         listener.applied(durable, epochBefore);
-        writingCompletion.accept(durable);
+        inFlightCompletion.accept(durable);
         writeSnapshotWhenDue();
     }
 
     /**
-     * Bounds what a restart reads. A snapshot costs as much as the map is large, so a large map is written the more
-     * rarely; the records in between are as many bytes as the snapshot at most.
+     * Bounds how much of the journal a restart has to read. The cost of a snapshot grows with the map, so a large map
+     * is written less often; the records in between take at most as many bytes as the snapshot.
      */
     private void writeSnapshotWhenDue() {
         if (state.seq() < nextSnapshotSeq) {
             return;
         }
         byte[] snapshot = state.snapshot();
-        int worthwhile = snapshot.length / BYTES_PER_MIGRATED_EXTENT / SNAPSHOT_SHARE;
-        nextSnapshotSeq = state.seq() + Math.max(snapshotInterval, worthwhile);
+        int minTransactions = snapshot.length / BYTES_PER_MIGRATED_EXTENT / EXTENTS_PER_TRANSACTION;
+        nextSnapshotSeq = state.seq() + Math.max(snapshotInterval, minTransactions);
         turn.add(new NetAction.Snapshot(state.seq(), snapshot, MapState.HISTORY));
     }
 }
--- a/mapservice/src/main/java/garnetreel/mapservice/TurnContext.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/TurnContext.java
@@ -4,12 +4,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Time and actions of the current turn, shared by the parts of the service so that their actions keep one order. */
+/**
+ * Time and actions of the current turn, shared by the components of the service so that all actions are in one order.
+ */
 final class TurnContext {
     private long now;
     private List<NetAction> actions = new ArrayList<>();
 
-    /** Begins a turn. Time never goes back, whatever the caller's clock does. */
+    /** Begins a turn. Time never goes backwards, even if the caller's clock does. */
     void beginTurn(long time, List<NetAction> out) {
         now = Math.max(now, time);
         actions = out;
--- a/mapservice/src/test/java/garnetreel/mapservice/MigrationCoordinatorTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/MigrationCoordinatorTest.java
@@ -20,11 +20,11 @@
 
 class MigrationCoordinatorTest {
     private static final int COPY_RATE = 1 << 20;
-    private static final ByteBuffer NOTHING = NodeMessage.none();
+    private static final ByteBuffer NO_DATA = NodeMessage.none();
 
     private final ServiceFixture fixture = new ServiceFixture();
     private final List<Migration> switched = new ArrayList<>();
-    private final List<Migration> begun = new ArrayList<>();
+    private final List<Migration> started = new ArrayList<>();
     private final TransactionLog log =
             new TransactionLog(fixture.turn, fixture.state, 1_000, (transaction, epochBefore) -> {});
     private final MigrationCoordinator migrations = new MigrationCoordinator(
@@ -35,30 +35,30 @@
     }
 
     private void begin(long extent, int to) {
-        migrations.begin(ServiceFixture.VOLUME, extent, to, "test", "asked for", begun::add);
+        migrations.begin(ServiceFixture.VOLUME, extent, to, "test", "asked for", started::add);
         fixture.commitAll(log);
     }
 
-    /** Drives and commits until all that is left waits for a node or for time; the commands that went out. */
-    private List<Sent<NodeMessage>> drive() {
-        List<NetAction> done = new ArrayList<>();
+    /** Advances and commits until every migration waits for a node or a delay; returns the commands that were sent. */
+    private List<Sent<NodeMessage>> advance() {
+        List<NetAction> taken = new ArrayList<>();
         long seq;
         do {
             seq = fixture.state.seq();
-            migrations.drive();
+            migrations.advance();
             fixture.commitAll(log);
-            done.addAll(fixture.actions());
+            taken.addAll(fixture.actions());
         } while (seq != fixture.state.seq());
-        return ServiceFixture.toNodes(done);
+        return ServiceFixture.toNodes(taken);
     }
 
-    /** Drives, and answers every command with ok and without pages; steps and shards in order. */
-    private List<String> driveToTheEnd() {
+    /** Answers every command with ok and no pages until none follows; returns the steps and their shards in order. */
+    private List<String> runToCompletion() {
         List<String> steps = new ArrayList<>();
-        for (List<Sent<NodeMessage>> sent = drive(); !sent.isEmpty(); sent = drive()) {
+        for (List<Sent<NodeMessage>> sent = advance(); !sent.isEmpty(); sent = advance()) {
             for (Sent<NodeMessage> command : sent) {
                 steps.add(step(command));
-                fixture.report(command, true, false, 0, NOTHING);
+                fixture.report(command, true, false, 0, NO_DATA);
             }
         }
         return steps;
@@ -77,13 +77,13 @@
     }
 
     @Test
-    void migrationGoesThroughItsStepsAndIsOver() {
+    void migrationPerformsItsStepsAndFinishes() {
         fixture.connectNodes();
         begin(4, 1);
         assertEquals(1, migrations.inProgress());
         assertEquals(
                 List.of("TRACK@0", "RECEIVE@1", "TAKE@0", "FENCE@0", "TAKE@0", "SERVE@1", "RELEASE@0"),
-                driveToTheEnd());
+                runToCompletion());
         assertEquals(
                 List.of(
                         "test: copying, asked for",
@@ -99,12 +99,12 @@
     }
 
     @Test
-    void abortedMigrationLeavesTheOldHolder() {
+    void abortedMigrationLeavesTheExtentAtItsOldShard() {
         fixture.connectNodes();
         begin(4, 1);
         assertFalse(migrations.abort(99, "no such"));
         assertTrue(migrations.abort(1, "asked for by somebody"));
-        assertEquals(List.of("UNFENCE@0", "FORGET@1"), driveToTheEnd());
+        assertEquals(List.of("UNFENCE@0", "FORGET@1"), runToCompletion());
         assertEquals(
                 List.of(
                         "test: copying, asked for",
@@ -115,107 +115,108 @@
     }
 
     @Test
-    void drainingShardIsGivenNothingMore() {
+    void drainingAShardAbortsMigrationsToIt() {
         fixture.connectNodes();
         begin(4, 1);
         begin(5, 0);
-        migrations.shardDrains(1);
-        driveToTheEnd();
+        migrations.shardDraining(1);
+        runToCompletion();
         assertEquals(0, fixture.state.map(ServiceFixture.VOLUME).shard(4));
         assertEquals(0, fixture.state.map(ServiceFixture.VOLUME).shard(5));
         assertTrue(history().contains("mapd: aborting, its new shard drains"));
     }
 
     @Test
-    void unreachableNodeIsTriedAgainLater() {
+    void commandToAnUnreachableNodeIsRetriedAfterTheDelay() {
         begin(4, 1);
-        assertEquals(List.of(), drive());
+        assertEquals(List.of(), advance());
         assertEquals(100_000, migrations.nextDeadline());
         fixture.connectNodes();
-        assertEquals(List.of(), drive(), "not before its time");
-        fixture.at(100_000);
-        assertEquals("TRACK@0", step(drive().get(0)));
+        assertEquals(List.of(), advance(), "not before the retry delay");
+        fixture.beginTurnAt(100_000);
+        assertEquals("TRACK@0", step(advance().get(0)));
     }
 
     @Test
-    void commandWithoutAReportIsRepeatedAfterItsTimeout() {
+    void commandWithoutAReportIsRetriedAfterItsTimeout() {
         fixture.connectNodes();
         begin(4, 1);
-        assertEquals("TRACK@0", step(drive().get(0)));
-        fixture.at(ServiceFixture.COMMAND_TIMEOUT);
+        assertEquals("TRACK@0", step(advance().get(0)));
+        fixture.beginTurnAt(ServiceFixture.COMMAND_TIMEOUT);
         fixture.nodes.expire();
         assertEquals(ServiceFixture.COMMAND_TIMEOUT + 100_000, migrations.nextDeadline());
-        fixture.at(ServiceFixture.COMMAND_TIMEOUT + 100_000);
-        assertEquals("TRACK@0", step(drive().get(0)));
+        fixture.beginTurnAt(ServiceFixture.COMMAND_TIMEOUT + 100_000);
+        assertEquals("TRACK@0", step(advance().get(0)));
     }
 
     @Test
-    void unfinishedFenceIsPolledSoonAndOtherRefusalsLater() {
+    void unfinishedFenceIsPolledSoonerThanOtherRefusalsAreRetried() {
         fixture.connectNodes();
         begin(4, 1);
-        fixture.report(drive().get(0), false, false, 0, NOTHING);
+        fixture.report(advance().get(0), false, false, 0, NO_DATA);
         assertEquals(100_000, migrations.nextDeadline());
-        fixture.at(100_000);
-        Sent<NodeMessage> command = drive().get(0);
+        fixture.beginTurnAt(100_000);
+        Sent<NodeMessage> command = advance().get(0);
         while (((Order) command.message()).step() != Step.FENCE) {
-            fixture.report(command, true, false, 0, NOTHING);
-            command = drive().get(0);
+            fixture.report(command, true, false, 0, NO_DATA);
+            command = advance().get(0);
         }
-        fixture.report(command, false, true, 0, NOTHING);
+        fixture.report(command, false, true, 0, NO_DATA);
         assertEquals(102_000, migrations.nextDeadline());
     }
 
     @Test
-    void copiesOfAllMigrationsShareTheirRate() {
+    void migrationsShareOneCopyRate() {
         fixture.connectNodes();
         begin(4, 1);
-        fixture.report(drive().get(0), true, false, 0, NOTHING);
-        fixture.report(drive().get(0), true, false, 0, NOTHING);
-        Sent<NodeMessage> take = drive().get(0);
+        fixture.report(advance().get(0), true, false, 0, NO_DATA);
+        fixture.report(advance().get(0), true, false, 0, NO_DATA);
+        Sent<NodeMessage> take = advance().get(0);
         assertEquals("TAKE@0", step(take));
         assertEquals(MigrationStateMachine.BATCH, ((Order) take.message()).room());
         fixture.report(take, true, true, 0, ByteBuffer.allocate(MigrationStateMachine.BATCH / 2));
         assertEquals(MigrationStateMachine.BATCH / 2, migrations.copiedBytes());
-        Sent<NodeMessage> put = drive().get(0);
+        Sent<NodeMessage> put = advance().get(0);
         assertEquals("PUT@1", step(put));
-        fixture.report(put, true, false, 0, NOTHING);
-        assertEquals(List.of(), drive(), "half a batch was copied and no time has passed");
+        fixture.report(put, true, false, 0, NO_DATA);
+        assertEquals(List.of(), advance(), "half a batch is overdrawn and no time has passed");
         long balanced = MigrationStateMachine.BATCH / 2 * 1_000_000L / COPY_RATE;
         assertEquals(balanced + 1, migrations.nextDeadline());
-        fixture.at(balanced + 1);
+        fixture.beginTurnAt(balanced + 1);
         migrations.refill();
-        assertEquals("TAKE@0", step(drive().get(0)));
+        assertEquals("TAKE@0", step(advance().get(0)));
     }
 
     @Test
-    void nodeThatKnowsANewerVersionShowsThatTheServiceWentBack() {
+    void nodeWithANewerVersionRevealsARollback() {
         fixture.connectNodes();
         begin(4, 1);
-        fixture.report(drive().get(0), false, false, 9, NOTHING);
+        fixture.report(advance().get(0), false, false, 9, NO_DATA);
         assertTrue(fixture.rollbacks.rolledBack());
         begin(6, 1);
-        assertNull(begun.get(1));
+        assertNull(started.get(1));
         assertEquals(
                 List.of(
-                        "shard 0 knows version 9 of epoch 1, and this service version 1 of epoch 1: it went back, and"
-                                + " begins no migration until \"map adopt\"",
-                        "not committed: this service went back, and begins no migration until \"map adopt\""),
+                        "shard 0 has map version 9 of epoch 1, but this service has version 1 of epoch 1: its state was"
+                                + " rolled back; migrations are blocked until \"map adopt\" is run",
+                        "transaction not committed: the service's state was rolled back; migrations are"
+                                + " blocked until \"map adopt\" is run"),
                 fixture.logged());
     }
 
     @Test
-    void restartGoesOnWithWhatWasBegun() {
+    void restartResumesUnfinishedMigrations() {
         Migration migration = fixture.state.newMigration(ServiceFixture.VOLUME, 4, 1);
         fixture.state.apply(fixture.state.next(migration, "test", 0, "asked for"));
         fixture.connectNodes();
         migrations.resume();
         assertEquals(1, migrations.inProgress());
-        driveToTheEnd();
+        runToCompletion();
         assertEquals(1, fixture.state.map(ServiceFixture.VOLUME).shard(4));
     }
 
     @Test
-    void adoptionVoidsWhatWasInProgressAndRollsBackWhatWasLost() {
+    void adoptionVoidsActiveMigrationsAndRollsBackLostOnes() {
         fixture.connectNodes();
         begin(4, 1);
         migrations.adopted(List.of(new Migration(0, ServiceFixture.VOLUME, 6, 0, 1, 1, 0, Migration.State.ABORTING)));
@@ -227,7 +228,7 @@
                         "mapd: aborting, left behind by a lost move"),
                 history());
         assertEquals(1, migrations.inProgress());
-        assertEquals(List.of("UNFENCE@0", "FORGET@1"), driveToTheEnd());
+        assertEquals(List.of("UNFENCE@0", "FORGET@1"), runToCompletion());
         assertEquals(List.of(), fixture.state.migrations());
     }
 }
--- a/mapservice/src/test/java/garnetreel/mapservice/NodeCommandClientTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/NodeCommandClientTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void nodeIsReachableOnceItHasWelcomedTheService() {
+    void nodeIsReachableAfterItsWelcome() {
         nodes.update(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, List.of(ServiceFixture.entry(0))));
         nodes.expire();
         assertEquals(List.of(new NetAction.Connect(-1, "node-0")), fixture.actions());
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void numbersGrowOverEpochsTransactionsAndCommands() {
+    void commandNumbersIncreaseOverEpochsTransactionsAndCommands() {
         fixture.connectNodes();
         nodes.startNumbering(1, 5);
         long first = send(0);
@@ -61,16 +61,16 @@
         assertTrue(send(0) > first + 1);
         nodes.startNumbering(2, 1);
         assertEquals((2L << 52) + (1L << 24) + 1, send(0));
-        assertFalse(nodes.numbersRunOut());
+        assertFalse(nodes.numbersRunLow());
     }
 
     @Test
     void commandCompletesOnceByReportOrTimeoutOrClose() {
         fixture.connectNodes();
         long reported = send(0);
-        fixture.at(10);
+        fixture.beginTurnAt(10);
         send(0);
-        fixture.at(20);
+        fixture.beginTurnAt(20);
         send(0);
         assertEquals(ServiceFixture.COMMAND_TIMEOUT, nodes.nextDeadline());
         Sent<NodeMessage> first =
@@ -78,25 +78,25 @@
         fixture.report(first, true, false, 0, NodeMessage.none());
         fixture.report(first, true, false, 0, NodeMessage.none());
         assertEquals(List.of("report " + reported), completions);
-        fixture.at(ServiceFixture.COMMAND_TIMEOUT + 10);
+        fixture.beginTurnAt(ServiceFixture.COMMAND_TIMEOUT + 10);
         nodes.expire();
         assertEquals(List.of("report " + reported, "no report"), completions);
         nodes.closed(-1);
         assertEquals(List.of("report " + reported, "no report", "no report"), completions);
         nodes.expire();
-        assertEquals(List.of(), fixture.actions(NetAction.Connect.class), "not at once");
+        assertEquals(List.of(), fixture.actions(NetAction.Connect.class), "not before the reconnect delay");
         assertEquals(ServiceFixture.COMMAND_TIMEOUT + 10 + RECONNECT_DELAY, nodes.nextDeadline());
-        fixture.at(nodes.nextDeadline());
+        fixture.beginTurnAt(nodes.nextDeadline());
         nodes.expire();
         assertEquals(List.of(new NetAction.Connect(-3, "node-0")), fixture.actions(NetAction.Connect.class));
     }
 
     @Test
-    void nodeThatLeftTheListIsClosedAndItsCommandsFail() {
+    void nodeRemovedFromTheListIsDisconnectedAndItsCommandsFail() {
         fixture.connectNodes();
         send(0);
         nodes.update(new EndpointUpdate(EndpointUpdateKind.UNAVAILABLE, List.of()));
-        assertNotNull(nodes.reachable(0), "no list is no news of nodes");
+        assertNotNull(nodes.reachable(0), "an unavailable node list leaves the nodes as they are");
         nodes.update(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, List.of(ServiceFixture.entry(1))));
         assertNull(nodes.reachable(0));
         assertNotNull(nodes.reachable(1), "an entry that is replaced keeps its connection");
@@ -106,12 +106,12 @@
     }
 
     @Test
-    void nodeThatBreaksTheProtocolIsClosed() {
+    void nodeThatViolatesTheProtocolIsDisconnected() {
         fixture.connectNodes();
         nodes.received(-1, MapCodec.frame(new MapMessage.Busy(5)));
         assertNull(nodes.reachable(0));
-        List<NetAction> done = fixture.actions();
-        assertTrue(((NetAction.Log) done.get(0)).text().startsWith("node node-0: "));
-        assertEquals(new NetAction.Close(-1, true), done.get(1));
+        List<NetAction> taken = fixture.actions();
+        assertTrue(((NetAction.Log) taken.get(0)).text().startsWith("node node-0: "));
+        assertEquals(new NetAction.Close(-1, true), taken.get(1));
     }
 }
--- a/mapservice/src/test/java/garnetreel/mapservice/RebalanceCoordinatorTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/RebalanceCoordinatorTest.java
@@ -18,21 +18,23 @@
     private static final Rebalancer.Limits LIMITS = new Rebalancer.Limits(4, 1, 0.2, 60 * SECOND, 0.8, 0);
 
     private final ServiceFixture fixture = new ServiceFixture();
-    private final List<Proposal> begun = new ArrayList<>();
+    private final List<Proposal> proposals = new ArrayList<>();
     private final RebalanceCoordinator rebalancing = coordinator(true);
 
     private RebalanceCoordinator coordinator(boolean rebalance) {
         MapServiceSettings settings =
                 new MapServiceSettings("", null, 1, 1, SECOND, rebalance, 100, 15 * SECOND, LIMITS, 1_000);
         RebalanceCoordinator coordinator =
-                new RebalanceCoordinator(fixture.turn, settings, fixture.state, fixture.nodes, begun::add);
+                new RebalanceCoordinator(fixture.turn, settings, fixture.state, fixture.nodes, proposals::add);
         coordinator.start();
         return coordinator;
     }
 
-    /** Runs a coordinator at a time, and answers its polls: node 0 is busy with extent 4, node 1 is idle. */
+    /**
+     * Runs a coordinator at the given time and answers its polls: node 0 is loaded by extent 4, node 1 is nearly idle.
+     */
     private void poll(RebalanceCoordinator coordinator, long time) {
-        fixture.at(time);
+        fixture.beginTurnAt(time);
         coordinator.run();
         for (Sent<NodeMessage> command : ServiceFixture.toNodes(fixture.actions())) {
             assertEquals(Step.LOAD, ((Order) command.message()).step());
@@ -54,36 +56,36 @@
     }
 
     @Test
-    void busiestNodeGivesItsExtentOnceItsLoadIsKnown() {
+    void extentOfTheBusiestNodeIsProposedOnceItsLoadIsKnown() {
         fixture.connectNodes();
         assertEquals(SECOND, rebalancing.nextDeadline());
         poll(rebalancing, SECOND - 1);
-        assertEquals(List.of(), begun);
+        assertEquals(List.of(), proposals);
         poll(rebalancing, SECOND);
         assertEquals(2 * SECOND, rebalancing.nextDeadline());
-        assertEquals(List.of(), begun, "reports count from the next time on");
+        assertEquals(List.of(), proposals, "reports are used from the next run on");
         poll(rebalancing, 2 * SECOND);
-        assertEquals(List.of(new Proposal(ServiceFixture.VOLUME, 4, 1, "shard 0 is at 90% of its power")), begun);
+        assertEquals(List.of(new Proposal(ServiceFixture.VOLUME, 4, 1, "shard 0 is at 90% of its power")), proposals);
     }
 
     @Test
-    void extentThatMigratedRests() {
+    void recentlyMigratedExtentIsNotProposed() {
         fixture.connectNodes();
         poll(rebalancing, SECOND);
         rebalancing.migrated(ServiceFixture.VOLUME, 4, SECOND);
         poll(rebalancing, 2 * SECOND);
-        assertEquals(List.of(), begun);
+        assertEquals(List.of(), proposals);
     }
 
     @Test
-    void nothingIsProposedOfItsOwnAccordWhereThatIsOff() {
+    void onlyDrainingShardsAreProposedWhenRebalancingIsOff() {
         fixture.connectNodes();
         RebalanceCoordinator off = coordinator(false);
         poll(off, SECOND);
         poll(off, 2 * SECOND);
-        assertEquals(List.of(), begun);
+        assertEquals(List.of(), proposals);
         fixture.state.apply(fixture.state.drain(0, true, "test", 0));
         poll(off, 3 * SECOND);
-        assertEquals(List.of(new Proposal(ServiceFixture.VOLUME, 0, 1, "shard 0 drains")), begun);
+        assertEquals(List.of(new Proposal(ServiceFixture.VOLUME, 0, 1, "shard 0 drains")), proposals);
     }
 }
--- a/mapservice/src/test/java/garnetreel/mapservice/ServiceFixture.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/ServiceFixture.java
@@ -24,7 +24,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One volume of 20 extents over shards 0 and 1, a clock, a journal that is as fast as the test wants, and two nodes. */
+/** One volume of 20 extents on shards 0 and 1, a clock and a journal that tests control, and two nodes. */
 final class ServiceFixture {
     static final long VOLUME = 7;
     static final int EXTENT_BYTES = 4096;
@@ -39,33 +39,33 @@
     private List<NetAction> actions = new ArrayList<>();
 
     ServiceFixture() {
-        at(0);
+        beginTurnAt(0);
     }
 
-    /** Begins a turn at a time. */
-    void at(long time) {
+    /** Begins a turn at the given time. */
+    void beginTurnAt(long time) {
         turn.beginTurn(time, actions);
     }
 
-    /** What was done since the last call. */
+    /** Takes all actions since the last call. */
     List<NetAction> actions() {
-        List<NetAction> done = actions;
+        List<NetAction> taken = actions;
         actions = new ArrayList<>();
         turn.beginTurn(turn.now(), actions);
-        return done;
+        return taken;
     }
 
-    /** All actions of one kind since the last call. */
+    /** Takes all actions since the last call and returns those of one kind. */
     <T extends NetAction> List<T> actions(Class<T> kind) {
         return actions().stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    /** Texts logged since the last call. */
+    /** Takes all actions since the last call and returns the logged texts. */
     List<String> logged() {
         return actions(NetAction.Log.class).stream().map(NetAction.Log::text).toList();
     }
 
-    /** Makes durable whatever the log has to write, until it has nothing more. */
+    /** Writes all pending transactions of the log and makes them durable. */
     void commitAll(TransactionLog log) {
         for (long seq = -1; seq != state.seq(); ) {
             seq = state.seq();
@@ -74,14 +74,14 @@
         }
     }
 
-    /** Messages to gateways and operators among actions, each with its connection. */
-    static List<Sent<MapMessage>> toClients(List<NetAction> done) {
-        return sent(done, 1, MapCodec::next);
+    /** Messages to gateways and operators among the actions, each with its connection. */
+    static List<Sent<MapMessage>> toClients(List<NetAction> taken) {
+        return sent(taken, 1, MapCodec::next);
     }
 
-    /** Commands to nodes among actions; the connection of the node of shard n is -1 - n. */
-    static List<Sent<NodeMessage>> toNodes(List<NetAction> done) {
-        return sent(done, -1, NodeCodec::next);
+    /** Commands to nodes among the actions, each with its connection: that of the node of shard n is -1 - n. */
+    static List<Sent<NodeMessage>> toNodes(List<NetAction> taken) {
+        return sent(taken, -1, NodeCodec::next);
     }
 
     record Sent<T>(long conn, T message) {}
@@ -90,9 +90,9 @@
         T next(ByteQueue in) throws ProtocolException;
     }
 
-    private static <T> List<Sent<T>> sent(List<NetAction> done, int sign, Decoder<T> decoder) {
+    private static <T> List<Sent<T>> sent(List<NetAction> taken, int sign, Decoder<T> decoder) {
         List<Sent<T>> sent = new ArrayList<>();
-        for (NetAction action : done) {
+        for (NetAction action : taken) {
             if (action instanceof NetAction.Write write && Long.signum(write.connectionId()) == sign) {
                 ByteQueue in = new ByteQueue();
                 in.add(write.data().duplicate());
@@ -101,13 +101,13 @@
                 } catch (ProtocolException e) {
                     throw new AssertionError(e);
                 }
-                assertEquals(0, in.size(), "a write is one message");
+                assertEquals(0, in.size(), "each write holds one message");
             }
         }
         return sent;
     }
 
-    /** Lists and connects a node for shard 0 and one for shard 1, which have connections -1 and -2. */
+    /** Lists and connects the nodes of shards 0 and 1, on connections -1 and -2. */
     void connectNodes() {
         nodes.update(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, List.of(entry(0), entry(1))));
         nodes.expire();
@@ -126,7 +126,7 @@
         return new EndpointEntry("node-" + shard, "zone", shard, EndpointState.UP, 1, 0);
     }
 
-    /** A node's report of a command that was sent. */
+    /** Delivers a node's report on a command that was sent. */
     void report(Sent<NodeMessage> command, boolean ok, boolean more, long known, ByteBuffer data) {
         Order order = (Order) command.message();
         nodes.received(command.conn(), NodeCodec.frame(new Report(order.seq(), ok, more, 1, known, data.duplicate())));
--- a/mapservice/src/test/java/garnetreel/mapservice/SubscriberRegistryTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/SubscriberRegistryTest.java
@@ -34,11 +34,11 @@
 
     SubscriberRegistryTest() {
         subscribers.start();
-        later(SECOND);
+        advanceTo(SECOND);
     }
 
-    private void later(long time) {
-        fixture.at(time);
+    private void advanceTo(long time) {
+        fixture.beginTurnAt(time);
         subscribers.refill();
     }
 
@@ -60,15 +60,18 @@
     }
 
     @Test
-    void subscriberGetsASnapshotAndThenChanges() {
+    void subscriberReceivesASnapshotAndThenChanges() {
         receive(1, new Subscribe(0, 0, 0));
         subscribers.accepted(2);
         assertEquals(List.of(new Sent<MapMessage>(1, ServiceFixture.INITIAL)), sent());
-        assertEquals(1, subscribers.subscribed());
+        assertEquals(1, subscribers.subscriberCount());
         switchExtent(4, 1);
         subscribers.publishChanges(1);
         Changes changes = new Changes(1, 1, 2, List.of(new Change(ServiceFixture.VOLUME, 4, 1, 2)));
-        assertEquals(List.of(new Sent<MapMessage>(1, changes)), sent(), "and nothing to who has not subscribed");
+        assertEquals(
+                List.of(new Sent<MapMessage>(1, changes)),
+                sent(),
+                "connections that have not subscribed receive nothing");
         switchExtent(6, 1);
         subscribers.publishChanges(1);
         changes = new Changes(1, 2, 3, List.of(new Change(ServiceFixture.VOLUME, 6, 1, 3)));
@@ -85,20 +88,20 @@
     }
 
     @Test
-    void rushOfSubscribersIsSpread() {
+    void subscribersAboveTheRateAreToldToRetry() {
         for (int conn = 1; conn <= 3; conn++) {
             receive(conn, new Subscribe(conn, 1, 1));
         }
-        Changes nothing = new Changes(1, 1, 1, List.of());
+        Changes noChanges = new Changes(1, 1, 1, List.of());
         assertEquals(
-                List.of(new Sent<>(1, nothing), new Sent<>(2, nothing), new Sent<MapMessage>(3, new Busy(500_000))),
+                List.of(new Sent<>(1, noChanges), new Sent<>(2, noChanges), new Sent<MapMessage>(3, new Busy(500_000))),
                 sent());
-        assertEquals(2, subscribers.subscribed());
-        later(SECOND + 499_999);
+        assertEquals(2, subscribers.subscriberCount());
+        advanceTo(SECOND + 499_999);
         receive(3, new Subscribe(3, 1, 1));
-        later(SECOND + 500_000);
+        advanceTo(SECOND + 500_000);
         receive(3, new Subscribe(3, 1, 1));
-        assertEquals(List.of(new Sent<>(3, new Busy(500_000)), new Sent<MapMessage>(3, nothing)), sent());
+        assertEquals(List.of(new Sent<>(3, new Busy(500_000)), new Sent<MapMessage>(3, noChanges)), sent());
     }
 
     @Test
@@ -110,43 +113,45 @@
         subscribers.keepAlive();
         assertEquals(List.of(new Sent<MapMessage>(1, new Changes(1, 1, 1, List.of()))), sent());
         assertEquals(2 * SECOND, subscribers.nextDeadline());
-        later(2 * SECOND - 1);
+        advanceTo(2 * SECOND - 1);
         subscribers.keepAlive();
         assertEquals(List.of(), sent());
     }
 
     @Test
-    void subscriberThatKnowsMoreShowsThatTheServiceWentBack() {
+    void subscriberWithANewerVersionRevealsARollback() {
         receive(1, new Subscribe(3, 1, 5));
         assertTrue(fixture.rollbacks.rolledBack());
         receive(1, new Subscribe(3, 1, 5));
         assertEquals(
-                List.of("gateway 3 knows version 5 of epoch 1, and this service version 1 of epoch 1: it went back, and"
-                        + " begins no migration until \"map adopt\""),
+                List.of("gateway 3 has map version 5 of epoch 1, but this service has version 1 of epoch 1: its state"
+                        + " was rolled back; migrations are blocked until \"map adopt\" is run"),
                 fixture.logged(),
-                "and says so once");
+                "logged once only");
     }
 
     @Test
-    void answerOfACommandGoesToItsConnectionWhileThatStands() {
+    void commandAnswerGoesOnlyToItsOwnOpenConnection() {
         receive(1, new Command("somebody", "status"));
         receive(2, new Command("somebody", "history"));
         assertEquals(List.of("status", "history"), commands);
         subscribers.closed(1);
         answers.forEach(answer -> answer.accept(new Result(true, "{}")));
         assertEquals(List.of(new Sent<MapMessage>(2, new Result(true, "{}"))), sent());
-        // A number is never used again in a service; were it, the answer would still not go to the new connection.
+        // Connection numbers are never reused; even if one were, the answer must not go to the new connection.
         subscribers.accepted(1);
         answers.get(0).accept(new Result(true, "{}"));
         assertEquals(List.of(), sent());
     }
 
     @Test
-    void clientThatBreaksTheProtocolIsClosed() {
+    void clientThatViolatesTheProtocolIsDisconnected() {
         receive(1, new Busy(5));
         assertFalse(subscribers.owns(1));
         assertEquals(
-                List.of(new NetAction.Log(NetAction.Level.WARN, "a client sent a Busy"), new NetAction.Close(1, true)),
+                List.of(
+                        new NetAction.Log(NetAction.Level.WARN, "client connection 1: unexpected message Busy"),
+                        new NetAction.Close(1, true)),
                 fixture.actions());
     }
 }
--- a/mapservice/src/test/java/garnetreel/mapservice/TransactionLogTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/TransactionLogTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void oneRecordAtATimeIsWithTheJournal() {
+    void atMostOneRecordIsInFlight() {
         submit("first");
         submit("second");
         assertEquals(List.of(), appends());
@@ -45,9 +45,9 @@
         log.appended(1);
         assertEquals(List.of("applied first over epoch 1", "completed first"), events);
         log.write();
-        assertEquals(List.of(2L), appends(), "made when its turn came, so it follows the first");
+        assertEquals(List.of(2L), appends(), "created after the first was applied, so it follows it");
         log.appended(1);
-        assertEquals(1, fixture.state.seq(), "a record that is not the one being written counts for nothing");
+        assertEquals(1, fixture.state.seq(), "a notification for any record but the one in flight is ignored");
         log.appended(2);
         assertEquals(2, fixture.state.seq());
         log.appended(2);
@@ -55,14 +55,14 @@
     }
 
     @Test
-    void listenerLearnsOfTheEpochBefore() {
+    void listenerReceivesThePreviousEpoch() {
         log.submit(() -> fixture.state.newEpoch("test", 5, "again"), t -> assertEquals(2, fixture.state.epoch()));
         fixture.commitAll(log);
         assertEquals(List.of("applied again over epoch 1"), events);
     }
 
     @Test
-    void rejectedTransactionIsLoggedAndTheNextGoesOut() {
+    void rejectedTransactionIsLoggedAndTheNextIsWritten() {
         List<Transaction> completed = new ArrayList<>();
         log.submit(
                 () -> {
@@ -71,28 +71,30 @@
                 completed::add);
         submit("next");
         log.write();
-        List<NetAction> done = fixture.actions();
-        assertEquals(new NetAction.Log(NetAction.Level.WARN, "not committed: no such extent"), done.get(0));
-        assertEquals(1, ((NetAction.Append) done.get(1)).sequence());
-        assertEquals(2, done.size());
+        List<NetAction> taken = fixture.actions();
+        assertEquals(
+                new NetAction.Log(NetAction.Level.WARN, "transaction not committed: no such extent"), taken.get(0));
+        assertEquals(1, ((NetAction.Append) taken.get(1)).sequence());
+        assertEquals(2, taken.size());
         assertEquals(1, completed.size());
         assertNull(completed.get(0));
     }
 
     @Test
-    void lostCompareAndSetIsLoggedToo() {
+    void failedCompareAndSetIsLogged() {
         Migration stale = new Migration(1, ServiceFixture.VOLUME, 4, 0, 1, 9, 0, Migration.State.SWITCHED);
         List<Transaction> completed = new ArrayList<>();
         log.submit(() -> fixture.state.next(stale, "test", 5, ""), completed::add);
         log.write();
         assertEquals(
-                List.of("not committed: extent 4 of volume 7 is held under version 1 and not 9"), fixture.logged());
+                List.of("transaction not committed: extent 4 of volume 7 is held under version 1 and not 9"),
+                fixture.logged());
         assertEquals(1, completed.size());
         assertNull(completed.get(0));
     }
 
     @Test
-    void snapshotIsWrittenAtTheIntervalAndCoversTheRecords() {
+    void snapshotIsWrittenAtTheIntervalAndCoversAllRecords() {
         for (int i = 1; i < SNAPSHOT_INTERVAL; i++) {
             submit("record " + i);
         }
