--- a/core/src/main/java/garnetreel/core/request/BlockBackend.java
+++ b/core/src/main/java/garnetreel/core/request/BlockBackend.java
@@ -5,53 +5,53 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** What protocol servers hand block operations to. Both sides run on the gateway's one thread. */
+/** Executes block operations for protocol servers. Both sides run on the gateway's single thread. */
 public interface BlockBackend {
 
     /**
-     * Accepts an operation and replies exactly once, within this call or later, unless it is abandoned first. The range
-     * has been checked against the volume.
+     * Starts an operation. The callback is invoked exactly once, during this call or later, unless the operation is
+     * abandoned first. The caller has checked that the range lies within the volume.
      *
-     * @param data bytes to write, given away; null for other operations
-     * @param sync the effect must be durable before the reply
-     * @param tag the client's name for it; for traces only
+     * @param data bytes to write, owned by this backend from now on; null for other operations
+     * @param sync whether the effect must be durable before the reply
+     * @param tag the client's identifier of the operation; used only in traces
      */
     OperationHandle submit(
             Volume volume, Op op, long offset, long length, byte[] data, boolean sync, long tag, Callback callback);
 
-    /** The client left: no reply is owed, and nothing further is sent. */
+    /** Cancels an operation whose client has disconnected: no reply is given and no further request is sent. */
     void abandon(OperationHandle handle);
 
-    /** An operation in progress, as the protocol server that began it knows it. */
+    /** Identifies an operation in progress to the protocol server that started it. */
     interface OperationHandle {}
 
     /** Receives the reply to an operation. */
     interface Callback {
-        /** The operation has ended. */
+        /** The operation has ended with this reply. */
         void completed(Reply reply);
     }
 
     /** How an operation ended. */
     enum Verdict {
-        /** Done, with all that was asked for. */
+        /** Completed in full. */
         SERVED,
-        /** Nothing that must not happen twice has happened: trying again is harmless. */
+        /** Not completed, without an effect that a retry could repeat: the client may safely retry. */
         REJECTED,
-        /** No promise about the effect. */
+        /** Not completed, and the effect is unknown. */
         FAILED
     }
 
-    /** A run of bytes with one block status, such as zeroes or a hole. */
+    /** A range of bytes with the same block status, for example zeroes or a hole. */
     record ExtentStatus(int length, int flags) {}
 
     /**
      * The reply to an operation.
      *
-     * @param retryAfter for a rejection: microseconds after which the client may try again
-     * @param errorOffset first byte of the volume that was not served; below 0 when all were
-     * @param message for people, where not served
-     * @param data what was read; null for other operations
-     * @param extents for a block status
+     * @param retryAfter for a rejection: microseconds after which the client may retry
+     * @param errorOffset offset in the volume of the first byte that was not served; negative if all were
+     * @param message error text for the user; empty if served
+     * @param data the bytes read; null for other operations
+     * @param extents the result of a block status request; empty for other operations
      */
     record Reply(
             Verdict verdict,
@@ -62,17 +62,17 @@
             List<ExtentStatus> extents) {
         private static final Reply DONE = new Reply(Verdict.SERVED, 0, -1, "", null, List.of());
 
-        /** Served, without data. */
+        /** A successful reply without data. */
         public static Reply done() {
             return DONE;
         }
 
-        /** Not served and without effect. */
+        /** A reply to an operation that was not served and can be retried safely. */
         public static Reply rejected(long retryAfter, long errorOffset, String message) {
             return new Reply(Verdict.REJECTED, retryAfter, errorOffset, message, null, List.of());
         }
 
-        /** Not served, with an effect that is not known. */
+        /** A reply to an operation that was not served and whose effect is unknown. */
         public static Reply failed(long errorOffset, String message) {
             return new Reply(Verdict.FAILED, 0, errorOffset, message, null, List.of());
         }
--- a/core/src/main/java/garnetreel/core/request/BlockOperation.java
+++ b/core/src/main/java/garnetreel/core/request/BlockOperation.java
@@ -8,9 +8,9 @@
 import java.util.List;
 
 /**
- * A client's request in progress: its sub-requests, created as capacity allows, and their results. It ends when nothing
- * of it is open. Once a sub-request was not served no further one is created, and what is open is waited for, so that
- * nothing runs past the reply.
+ * A client's request in progress, with its open sub-requests and the results of the completed ones. Sub-requests are
+ * created gradually, as the number of open ones is limited. After the first one that is rejected or fails, no further
+ * ones are created; the reply waits for those still open, so that none is executed after the reply.
  */
 final class BlockOperation implements BlockBackend.OperationHandle {
     final Volume volume;
@@ -22,16 +22,16 @@
     final BlockBackend.Callback callback;
     final RequestClass requestClass;
     final long deadline;
-    /** Bytes to write; released with the reply. */
+    /** Bytes to write; set to null when the reply is given, to free the memory. */
     byte[] data;
-    /** First byte that no sub-request covers yet. */
-    long next;
-    /** The reply was given, or nobody waits for it any more. */
+    /** Offset of the first byte that no sub-request covers yet. */
+    long nextOffset;
+    /** The reply has been given, or the client has disconnected. */
     boolean ended;
     /** No further sub-request is created. */
     boolean stopped;
 
-    final List<SubRequest> open = new ArrayList<>(2);
+    final List<SubRequest> openSubRequests = new ArrayList<>(2);
     private final ReplyComposer composer;
 
     BlockOperation(
@@ -55,33 +55,33 @@
         this.callback = callback;
         this.requestClass = requestClass;
         this.deadline = deadline;
-        this.next = offset;
+        this.nextOffset = offset;
         this.composer = new ReplyComposer(op, offset, length);
     }
 
-    /** Whether sub-requests remain to be created. */
+    /** Whether further sub-requests are to be created. */
     boolean hasRemaining() {
-        return !stopped && next < offset + length;
+        return !stopped && nextOffset < offset + length;
     }
 
     void served(SubRequest subRequest, ByteBuffer bytes) {
         composer.served(subRequest, bytes);
-        open.remove(subRequest);
+        openSubRequests.remove(subRequest);
     }
 
     void rejected(SubRequest subRequest, long retryAfter) {
         composer.rejected(subRequest, retryAfter);
         stopped = true;
-        open.remove(subRequest);
+        openSubRequests.remove(subRequest);
     }
 
     void failed(SubRequest subRequest, String reason) {
         composer.failed(subRequest, reason);
         stopped = true;
-        open.remove(subRequest);
+        openSubRequests.remove(subRequest);
     }
 
-    /** The reply, once nothing is open and nothing remains. */
+    /** The reply; valid once no sub-request is open or remains to be created. */
     BlockBackend.Reply reply() {
         return composer.compose();
     }
--- a/core/src/main/java/garnetreel/core/request/NodeAnswerReader.java
+++ b/core/src/main/java/garnetreel/core/request/NodeAnswerReader.java
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads what a node answered for a sub-request, and checks that it fits what was asked. */
+/** Reads a node's answer to a sub-request and validates it against the request. */
 final class NodeAnswerReader {
-    /** A block status on the wire: length and flags. */
+    /** Encoded size of an extent's block status: its length and flags. */
     private static final int STATUS_BYTES = 2 * Integer.BYTES;
 
     private NodeAnswerReader() {}
 
-    /** Stores the result with its sub-request; false for an answer that can't be right. */
+    /** Stores a block status result in the sub-request; returns false if the answer does not match the request. */
     static boolean read(SubRequest subRequest, ByteBuffer data) {
         Op op = subRequest.operation.op;
         if (op == Op.READ) {
--- a/core/src/main/java/garnetreel/core/request/PendingEvents.java
+++ b/core/src/main/java/garnetreel/core/request/PendingEvents.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Events that the scheduler has not seen yet, in the order in which they happened. */
+/** Events not yet passed to the scheduler, in the order in which they occurred. */
 final class PendingEvents {
     private List<SchedulerEvent> events = new ArrayList<>();
 
@@ -16,7 +16,7 @@
         return events.isEmpty();
     }
 
-    /** Hands over all events and starts a new list, since handling them may add further ones. */
+    /** Removes and returns all events. Events added while these are handled go to a new list. */
     List<SchedulerEvent> drain() {
         List<SchedulerEvent> drained = events;
         events = new ArrayList<>();
--- a/core/src/main/java/garnetreel/core/request/ReplyComposer.java
+++ b/core/src/main/java/garnetreel/core/request/ReplyComposer.java
@@ -9,12 +9,12 @@
 import java.util.List;
 
 /**
- * Composes one reply from the results of an operation's sub-requests:
+ * Composes the reply to an operation from the results of its sub-requests. The reply is
  * <ul>
- * <li>all served: served;
- * <li>rejected, but only where each sub-request that was not served was rejected and, if the operation changes data, no
- *     other one was served either: to the client the whole is one request, and trying it again must be harmless;
- * <li>otherwise failed.
+ * <li>served, if all sub-requests were served;
+ * <li>rejected, if the others were all rejected and, for an operation that changes data, none was served: the client
+ *     retries the operation as a whole, and the retry must not repeat an effect;
+ * <li>failed otherwise.
  * </ul>
  */
 final class ReplyComposer {
@@ -24,14 +24,14 @@
     private final long offset;
     private final long length;
     private final List<SubRequest> statusResults = new ArrayList<>(2);
-    /** What was read; allocated with the first result. */
+    /** The bytes read; allocated with the first result. */
     private byte[] readData;
 
     private int served;
     private int rejected;
     private int failed;
     private long retryAfter;
-    private long firstUnserved = Long.MAX_VALUE;
+    private long errorOffset = Long.MAX_VALUE;
     private String message = "";
 
     ReplyComposer(Op op, long offset, long length) {
@@ -40,7 +40,7 @@
         this.length = length;
     }
 
-    /** Adds a sub-request that was served, and what it read. */
+    /** Adds a sub-request that was served, with the bytes it read. */
     void served(SubRequest subRequest, ByteBuffer bytes) {
         if (op == Op.READ) {
             if (readData == null) {
@@ -54,43 +54,43 @@
         served++;
     }
 
-    /** Adds a sub-request that had no effect, with the time after which the client may try again. */
+    /** Adds a sub-request that had no effect, with the time after which the client may retry. */
     void rejected(SubRequest subRequest, long subRequestRetryAfter) {
         rejected++;
         retryAfter = Math.max(retryAfter, subRequestRetryAfter);
-        unserved(subRequest, "refused, trying again is harmless");
+        recordError(subRequest, "refused, trying again is harmless");
     }
 
-    /** Adds a sub-request whose effect is not known. */
+    /** Adds a sub-request whose effect is unknown. */
     void failed(SubRequest subRequest, String reason) {
         failed++;
-        unserved(subRequest, reason);
+        recordError(subRequest, reason);
     }
 
-    private void unserved(SubRequest subRequest, String reason) {
-        if (subRequest.offset < firstUnserved) {
-            firstUnserved = subRequest.offset;
+    private void recordError(SubRequest subRequest, String reason) {
+        if (subRequest.offset < errorOffset) {
+            errorOffset = subRequest.offset;
             message = reason;
         }
     }
 
-    /** The reply, once every sub-request has a result. */
+    /** The reply; valid once every sub-request has a result. */
     Reply compose() {
         if (rejected + failed == 0) {
             ByteBuffer data = readData == null ? null : ByteBuffer.wrap(readData);
             return new Reply(Verdict.SERVED, 0, -1, "", data, mergedExtents());
         }
-        boolean harmlessToRetry = failed == 0 && (served == 0 || !op.changes());
-        if (harmlessToRetry) {
+        boolean safeToRetry = failed == 0 && (served == 0 || !op.changes());
+        if (safeToRetry) {
             return Reply.rejected(
-                    retryAfter, firstUnserved, message + "; stay away for " + retryAfter / MICROS_PER_MILLI + " ms");
+                    retryAfter, errorOffset, message + "; stay away for " + retryAfter / MICROS_PER_MILLI + " ms");
         }
         return Reply.failed(
-                firstUnserved,
+                errorOffset,
                 failed > 0 ? message : "part of the write was done and part refused; its effect is not whole");
     }
 
-    /** Block status in order of offset, with neighbours of the same flags joined. */
+    /** The block status in order of offset; adjacent extents with the same flags are merged. */
     private List<ExtentStatus> mergedExtents() {
         if (op != Op.STATUS) {
             return List.of();
--- a/core/src/main/java/garnetreel/core/request/RequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/request/RequestRegistry.java
@@ -19,14 +19,17 @@
 import java.util.Map;
 
 /**
- * The requests of a gateway: splits operations along extents, reports each sub-request to the scheduler, carries out
- * what it decides, and gives one reply. It decides nothing of sending, waiting, rejecting, retrying or health; the only
- * replies of its own are those of a full table and of a scheduler that let a deadline pass.
+ * The block requests of a gateway. It splits operations into sub-requests at extent boundaries, reports each sub-request
+ * to the scheduler, executes the scheduler's decisions, and gives one reply per operation.
+ *
+ * <p>The scheduler alone decides on sending, waiting, rejecting, retrying and node health. This class replies without it
+ * only if the limit of concurrent operations is reached, if a request's deadline passed before it was read, or if the
+ * scheduler let a deadline pass.
  */
 public final class RequestRegistry implements BlockBackend {
-    /** Sub-requests of one operation that the scheduler knows at a time, so that a trim of 4 GiB does not flood it. */
+    /** Limit of sub-requests of one operation at the scheduler at a time, so that a trim of 4 GiB does not flood it. */
     private static final int MAX_OPEN_SUB_REQUESTS = 32;
-    /** Times a sub-request is routed again before its stale answer is left to the scheduler like any other. */
+    /** Limit of times a sub-request is rerouted; after that a stale answer is left to the scheduler as any other failure. */
     private static final int MAX_REROUTES = 20;
 
     private final GatewaySettings settings;
@@ -36,14 +39,14 @@
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final PendingEvents events = new PendingEvents();
     private final SubRequestTable subRequests = new SubRequestTable(events);
-    private final UnflushedWrites unflushed = new UnflushedWrites();
+    private final UnflushedWrites unflushedWrites = new UnflushedWrites();
     private long now;
     private long receivedAt;
     private int operations;
     private long rejectedAtTable;
     private long overdue;
 
-    /** A registry without requests, which sends by {@code nodes} what {@code router} locates. */
+    /** A registry that locates extents through {@code router} and sends to the nodes through {@code nodes}. */
     public RequestRegistry(GatewaySettings settings, NodeConnectionPool nodes, ExtentRouter router) {
         this.settings = settings;
         this.nodes = nodes;
@@ -58,19 +61,19 @@
      * Begins a turn.
      *
      * @param time the time of this turn
-     * @param earliestReceipt the earliest time at which what is read in this turn may have been received
+     * @param earliestReceipt the earliest time at which the data read in this turn may have been received
      */
     public void beginTurn(long time, long earliestReceipt) {
         now = time;
         receivedAt = earliestReceipt;
     }
 
-    /** Hands over the events that the scheduler has not seen; empty when nothing happened. */
+    /** Removes and returns the events not yet passed to the scheduler. */
     public List<SchedulerEvent> drainEvents() {
         return events.drain();
     }
 
-    /** Adds an event that does not concern a request. */
+    /** Adds an event for the scheduler that does not concern a request. */
     public void addEvent(SchedulerEvent event) {
         events.add(event);
     }
@@ -85,17 +88,17 @@
         return operations;
     }
 
-    /** Operations rejected because the table was full. */
+    /** Operations rejected because the limit of concurrent operations was reached. */
     public long rejectedAtTable() {
         return rejectedAtTable;
     }
 
-    /** Sub-requests that the scheduler left without a result past their deadline; always 0 unless it has a defect. */
+    /** Sub-requests for which the scheduler gave no result by their deadline; above 0 only if it has a defect. */
     public long overdue() {
         return overdue;
     }
 
-    /** Sub-requests routed again so far because their extent had moved. */
+    /** Number of times a sub-request has been rerouted because its extent had moved. */
     public long rerouted() {
         return subRequests.rerouted();
     }
@@ -117,13 +120,13 @@
         BlockOperation operation =
                 new BlockOperation(volume, op, offset, length, data, sync, tag, callback, requestClass, deadline);
         if (operations >= settings.bounds().gatewayRequests()) {
-            // The table's own bound: rejected before it is accepted, as nothing has been sent for it.
+            // Rejected before it reaches the scheduler; nothing has been sent, so a retry is safe.
             rejectedAtTable++;
             reject(operation, "this head holds " + operations + " requests, its most");
             return operation;
         }
         if (now >= deadline) {
-            // It was received while this process was paused, and its client's time is up: nothing was sent for it.
+            // Received while this process was paused, and its deadline has passed; nothing has been sent.
             reject(operation, "this head was stopped past the request's deadline");
             return operation;
         }
@@ -151,19 +154,19 @@
     }
 
     private void flush(BlockOperation operation) {
-        long lastWrite = unflushed.lastWrite();
-        for (int shard : unflushed.shards(operation.volume.id())) {
-            subRequests.add(RequestSplitter.flush(operation, shard, lastWrite, subRequests.nextId()), now);
+        long lastWriteNumber = unflushedWrites.lastWriteNumber();
+        for (int shard : unflushedWrites.shards(operation.volume.id())) {
+            subRequests.add(RequestSplitter.flush(operation, shard, lastWriteNumber, subRequests.nextId()), now);
         }
     }
 
     private void createSubRequests(BlockOperation operation) {
-        while (operation.hasRemaining() && operation.open.size() < MAX_OPEN_SUB_REQUESTS) {
+        while (operation.hasRemaining() && operation.openSubRequests.size() < MAX_OPEN_SUB_REQUESTS) {
             subRequests.add(splitter.next(operation, subRequests.nextId()), now);
         }
     }
 
-    /** Goes on with what remains of an operation, and replies if nothing of it is open. */
+    /** Creates further sub-requests of an operation, and replies if none is open. */
     private void advance(BlockOperation operation) {
         if (operation.ended) {
             return;
@@ -171,7 +174,7 @@
         if (operation.hasRemaining()) {
             createSubRequests(operation);
         }
-        if (operation.open.isEmpty()) {
+        if (operation.openSubRequests.isEmpty()) {
             operation.ended = true;
             operations--;
             BlockBackend.Reply reply = operation.reply();
@@ -189,20 +192,20 @@
         operation.ended = true;
         operation.stopped = true;
         operations--;
-        List.copyOf(operation.open).forEach(subRequests::cancel);
-        operation.open.clear();
+        List.copyOf(operation.openSubRequests).forEach(subRequests::cancel);
+        operation.openSubRequests.clear();
     }
 
     // ---------------------------------------------------------------- from the map service
 
-    /** Routes again what waited for the extent map, which has changed. */
+    /** The extent map has changed: reroutes the sub-requests that waited for it. */
     public void mapChanged() {
         subRequests.reroute(router);
     }
 
     // ---------------------------------------------------------------- from the scheduler
 
-    /** Starts an attempt; one that can't be started ends at once, which the scheduler learns in its next turn. */
+    /** Starts an attempt. If it can't be started it ends at once, which is reported to the scheduler in its next turn. */
     public void send(SendAttempt send) {
         SubRequest subRequest = subRequests.find(send.id());
         if (subRequest == null) {
@@ -210,19 +213,19 @@
                     new AttemptCompleted(send.id(), 0, send.endpoint(), Outcome.NOT_STARTED, 0, true, 0, 0, Map.of()));
             return;
         }
-        int number = subRequest.beginAttempt();
-        long until = send.timeout() == 0
+        int attemptIndex = subRequest.beginAttempt();
+        long timeoutAt = send.timeout() == 0
                 ? subRequest.deadline
                 : Math.min(subRequest.deadline, now + Math.max(0, send.timeout()));
-        NodeAttempt attempt = new NodeAttempt(subRequest.id, number, send.endpoint(), now, until);
-        if (subRequest.completed || number >= settings.scheduling().maxAttempts() || now >= until) {
+        NodeAttempt attempt = new NodeAttempt(subRequest.id, attemptIndex, send.endpoint(), now, timeoutAt);
+        if (subRequest.completed || attemptIndex >= settings.scheduling().maxAttempts() || now >= timeoutAt) {
             attemptEnded(attempt, Outcome.NOT_STARTED, null);
         } else {
-            nodes.send(attempt, subRequest.nodeRequest(number, until));
+            nodes.send(attempt, subRequest.nodeRequest(attemptIndex, timeoutAt));
         }
     }
 
-    /** Ends a sub-request that had no effect and is not to be sent. */
+    /** Ends a sub-request that had no effect and will not be sent. */
     public void reject(RejectRequest reject) {
         SubRequest subRequest = subRequests.find(reject.id());
         if (subRequest != null && !subRequest.completed) {
@@ -230,7 +233,7 @@
         }
     }
 
-    /** Ends a sub-request whose effect is not known. */
+    /** Ends a sub-request whose effect is unknown. */
     public void fail(FailRequest fail) {
         SubRequest subRequest = subRequests.find(fail.id());
         if (subRequest != null && !subRequest.completed) {
@@ -252,24 +255,24 @@
 
     // ---------------------------------------------------------------- from node connections
 
-    /** An attempt ended; {@code answer} is the node's, or null where it gave none. */
+    /** An attempt ended; {@code answer} is null if the node gave none. */
     public void attemptEnded(NodeAttempt attempt, Outcome outcome, NodeMessage.Answer answer) {
         SubRequest subRequest = subRequests.find(attempt.id());
         if (subRequest == null) {
             reportCompleted(attempt, outcome, true, answer);
             return;
         }
-        boolean awaited = outcome == Outcome.OK && !subRequest.completed;
-        Outcome checkedOutcome = awaited ? acceptResult(subRequest, answer) : outcome;
+        boolean resultPending = outcome == Outcome.OK && !subRequest.completed;
+        Outcome checkedOutcome = resultPending ? acceptResult(subRequest, answer) : outcome;
         subRequest.endAttempt(checkedOutcome);
-        boolean moved = metMovedExtent(subRequest, answer);
-        reportCompleted(attempt, checkedOutcome, subRequest.completed || moved, answer);
-        if (moved) {
+        boolean reroute = shouldReroute(subRequest, answer);
+        reportCompleted(attempt, checkedOutcome, subRequest.completed || reroute, answer);
+        if (reroute) {
             withdraw(subRequest);
             return;
         }
-        subRequests.forgetIfDone(subRequest);
-        if (awaited && checkedOutcome == Outcome.OK) {
+        subRequests.removeIfDone(subRequest);
+        if (resultPending && checkedOutcome == Outcome.OK) {
             advance(subRequest.operation);
         }
     }
@@ -287,7 +290,7 @@
                 answer == null ? Map.of() : answer.load()));
     }
 
-    /** Takes over what a node answered; an answer that can't be right counts as an error of the node. */
+    /** Accepts the result of a sub-request; an answer that does not match the request counts as an error of the node. */
     private Outcome acceptResult(SubRequest subRequest, NodeMessage.Answer answer) {
         if (!NodeAnswerReader.read(subRequest, answer.data())) {
             return Outcome.ERROR;
@@ -296,20 +299,21 @@
         long volume = operation.volume.id();
         int shard = subRequest.shard;
         subRequests.complete(subRequest);
-        if (operation.op == Op.FLUSH && !unflushed.flushed(volume, shard, answer.life(), subRequest.lastWriteCovered)) {
+        if (operation.op == Op.FLUSH
+                && !unflushedWrites.recordFlush(volume, shard, answer.life(), subRequest.lastWriteCovered)) {
             operation.failed(
                     subRequest,
                     "the node of shard " + shard + " restarted and lost writes that were answered and not flushed");
             return Outcome.OK;
         }
         if (operation.op.changes() && !operation.sync) {
-            unflushed.written(volume, shard, answer.life());
+            unflushedWrites.recordWrite(volume, shard, answer.life());
         }
         operation.served(subRequest, answer.data());
         return Outcome.OK;
     }
 
-    private static boolean metMovedExtent(SubRequest subRequest, NodeMessage.Answer answer) {
+    private static boolean shouldReroute(SubRequest subRequest, NodeMessage.Answer answer) {
         return answer != null
                 && answer.result() == NodeMessage.Result.STALE
                 && subRequest.safeToReroute()
@@ -317,11 +321,11 @@
     }
 
     /**
-     * Takes a sub-request that met a moved extent back from the scheduler, which has learned that the attempt did not
-     * run; it comes back as a new request once the map says where the extent is.
+     * Withdraws a sub-request whose extent has moved. The scheduler has been notified that its attempt was not executed;
+     * it is submitted again as a new request once the extent map has been updated.
      *
-     * <p>It could hurt where the map service is silent while an extent moves: then the sub-request comes back after a
-     * while, each time as a new request that counts against its volume's limit again.
+     * <p>If the map service sends no update while an extent moves, the sub-request is resubmitted after
+     * {@link ReroutingQueue#REROUTE_AFTER_MICROS}, each time as a new request that counts against its volume's limit again.
      */
     private void withdraw(SubRequest subRequest) {
         subRequests.withdrawWithSuccessors(subRequest, now);
@@ -330,7 +334,7 @@
 
     // ---------------------------------------------------------------- time
 
-    /** When a deadline must be looked at. */
+    /** When {@link #expire()} must be called next; {@link Long#MAX_VALUE} for never. */
     public long nextDeadline() {
         return Math.min(subRequests.nextReroute(), nextOverdue());
     }
@@ -343,15 +347,16 @@
     }
 
     /**
-     * Ends what the scheduler left without a result past its deadline. It guards the first rule against a defect in the
-     * scheduler or a late turn; it can't hurt, as the client has given up by then.
+     * Reroutes the sub-requests that are due, and ends those for which the scheduler gave no result by their deadline.
+     * The latter ensures that every request is answered despite a defect in the scheduler or a late turn; it is harmless,
+     * as the client has given up by then.
      */
     public void expire() {
         if (now >= subRequests.nextReroute()) {
             subRequests.reroute(router);
         }
         while (now >= nextOverdue()) {
-            SubRequest subRequest = subRequests.earliest();
+            SubRequest subRequest = subRequests.firstByDeadline();
             events.add(new RequestCancelled(subRequest.id));
             if (subRequest.awaitingRoute) {
                 reject(subRequest, settings.scheduling().maxRetryAfter());
--- a/core/src/main/java/garnetreel/core/request/RequestSplitter.java
+++ b/core/src/main/java/garnetreel/core/request/RequestSplitter.java
@@ -4,11 +4,11 @@
 import garnetreel.core.ExtentLayout;
 import garnetreel.core.Volume;
 
-/** Splits operations into sub-requests: along extents, and along the largest request that the scheduler takes. */
+/** Splits operations into sub-requests, at extent boundaries and by the largest request that the scheduler accepts. */
 final class RequestSplitter {
-    /** A block status answers for at most so many extents; the specification lets it be shorter than asked. */
+    /** Limit of extents that a block status reply covers; NBD allows it to cover less than was requested. */
     private static final int MAX_STATUS_EXTENTS = 32;
-    /** Bits of a key that hold the volume and the block; together under 2^53, as the wire has it. */
+    /** A key holds the volume in its upper and the block in its lower bits; the wire protocol requires keys below 2^53. */
     private static final int KEY_VOLUME_BITS = 16;
 
     private static final int KEY_BLOCK_BITS = 36;
@@ -22,8 +22,8 @@
 
     /**
      * @param unitBytes bytes that the scheduler counts as one unit
-     * @param keyBytes bytes of one block, which share a key
-     * @param maxSubRequestBytes largest read or write that is sent as one; a multiple of {@code unitBytes}
+     * @param keyBytes size of the blocks whose bytes share a key
+     * @param maxSubRequestBytes largest read or write sent as one sub-request; a multiple of {@code unitBytes}
      */
     RequestSplitter(ExtentRouter router, int unitBytes, int keyBytes, int maxSubRequestBytes) {
         this.router = router;
@@ -32,20 +32,21 @@
         this.maxSubRequestBytes = maxSubRequestBytes;
     }
 
-    /** Cuts the next sub-request off what remains of an operation. */
+    /** Creates the next sub-request, from the part of an operation that none covers yet. */
     SubRequest next(BlockOperation operation, long id) {
-        long offset = operation.next;
+        long offset = operation.nextOffset;
         ExtentLayout.ExtentLocation location = router.locate(operation.volume, offset);
         long end = Math.min(operation.offset + operation.length, location.end());
         boolean carriesData = operation.op == Op.READ || operation.op == Op.WRITE;
         if (carriesData) {
-            // Sub-requests end where units do, so that neighbours of one block keep its key.
+            // Cut at unit boundaries, so that adjacent sub-requests within a block share its key.
             end = Math.min(end, (offset / maxSubRequestBytes + 1) * maxSubRequestBytes);
         }
         int length = (int) Math.min(Integer.MAX_VALUE, end - offset);
         int units = carriesData ? (length + unitBytes - 1) / unitBytes : 1;
-        operation.next = offset + length;
-        if (operation.op == Op.STATUS && operation.next - operation.offset >= (long) MAX_STATUS_EXTENTS * length) {
+        operation.nextOffset = offset + length;
+        if (operation.op == Op.STATUS
+                && operation.nextOffset - operation.offset >= (long) MAX_STATUS_EXTENTS * length) {
             operation.stopped = true;
         }
         return new SubRequest(
@@ -60,14 +61,14 @@
                 operation.deadline);
     }
 
-    /** A flush of one shard, whose number stands where another operation has its offset. */
+    /** Creates a flush of one shard; the sub-request has the shard number in place of an offset. */
     static SubRequest flush(BlockOperation operation, int shard, long lastWriteCovered, long id) {
         SubRequest flush = new SubRequest(id, operation, shard, 0, shard, 0, 1, SubRequest.NO_KEY, operation.deadline);
         flush.lastWriteCovered = lastWriteCovered;
         return flush;
     }
 
-    /** The scheduler's key of a block: the volume and the block within it. */
+    /** The scheduler's key of the block at an offset: the volume and the number of the block within it. */
     private long key(Volume volume, long offset) {
         return (volume.id() & KEY_VOLUME_MASK) << KEY_BLOCK_BITS | offset / keyBytes & KEY_BLOCK_MASK;
     }
--- a/core/src/main/java/garnetreel/core/request/ReroutingQueue.java
+++ b/core/src/main/java/garnetreel/core/request/ReroutingQueue.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Sub-requests whose extent has moved and that wait for a newer extent map, in the order they were created. */
+/** Sub-requests that wait for a newer extent map because their extent has moved, in the order of creation. */
 final class ReroutingQueue {
-    /** Microseconds after which waiting sub-requests are routed again even if no newer map came. */
+    /** Microseconds after which waiting sub-requests are rerouted even without a newer map. */
     static final long REROUTE_AFTER_MICROS = 50_000;
 
     private final TreeMap<Long, SubRequest> waiting = new TreeMap<>();
@@ -21,12 +21,12 @@
         waiting.remove(subRequest.sequence);
     }
 
-    /** Whether an ordered sub-request must wait behind an earlier one of its key. */
+    /** Whether a sub-request must wait here because it is ordered and another one with its key is waiting. */
     boolean blocks(SubRequest subRequest) {
         return subRequest.ordered() && waiting.values().stream().anyMatch(other -> other.key == subRequest.key);
     }
 
-    /** Empties the queue, oldest first. */
+    /** Removes and returns all sub-requests, oldest first. */
     List<SubRequest> drain() {
         rerouteAt = Long.MAX_VALUE;
         List<SubRequest> drained = List.copyOf(waiting.values());
@@ -34,7 +34,7 @@
         return drained;
     }
 
-    /** When the queue is to be routed again at the latest; {@link Long#MAX_VALUE} for never. */
+    /** When the waiting sub-requests are to be rerouted at the latest; {@link Long#MAX_VALUE} for never. */
     long nextDeadline() {
         return rerouteAt;
     }
--- a/core/src/main/java/garnetreel/core/request/SubRequest.java
+++ b/core/src/main/java/garnetreel/core/request/SubRequest.java
@@ -10,31 +10,31 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** One request as the scheduler knows it: what an operation covers of one extent. */
+/** One request to the scheduler: the part of an operation that lies within one extent. */
 final class SubRequest {
-    /** Key of a flush, which concerns no single block. */
+    /** Key of a flush, which does not concern a single block. */
     static final long NO_KEY = -1;
 
-    /** Id given to the scheduler; a new one each time the sub-request is routed again. */
+    /** Id at the scheduler; a new one is assigned each time the sub-request is rerouted. */
     long id;
-    /** The first id, which gives the order in which sub-requests were created. */
+    /** The initial id, which gives the order in which sub-requests were created. */
     final long sequence;
 
     final BlockOperation operation;
     final long offset;
     final int length;
     int shard;
-    /** Version of the extent map by which it was routed. */
+    /** Version of the extent, according to the map by which the sub-request was routed. */
     long version;
 
     final int units;
     final long key;
     final long deadline;
-    /** For a flush: number of the last write that it makes durable. */
+    /** For a flush: number of the last write that it covers, see {@link UnflushedWrites}. */
     long lastWriteCovered;
-    /** Times it was routed again because its extent had moved. */
+    /** Number of times it was rerouted because its extent had moved. */
     int reroutes;
-    /** It waits for a newer extent map, and the scheduler does not know of it. */
+    /** It waits for a newer extent map and is not known to the scheduler. */
     boolean awaitingRoute;
     /** Its result is known; attempts of it may still be in flight. */
     boolean completed;
@@ -67,7 +67,7 @@
         this.deadline = deadline;
     }
 
-    /** Begins an attempt and returns its index. */
+    /** Starts an attempt and returns its index. */
     int beginAttempt() {
         attemptsInFlight++;
         return attemptsStarted++;
@@ -88,19 +88,19 @@
         return attemptsInFlight > 0;
     }
 
-    /** Whether it can be sent as a new request: no attempt of it can have had an effect that a second one would repeat. */
+    /** Whether it can be sent as a new request without the risk of repeating an effect of an earlier attempt. */
     boolean safeToReroute() {
         return !completed
                 && attemptsInFlight == 0
                 && (attemptsPossiblyExecuted == 0 || operation.requestClass.idempotency() == Idempotency.IDEMPOTENT);
     }
 
-    /** Whether it must keep its place among sub-requests of the same key. */
+    /** Whether it must be executed in order with other sub-requests of the same key. */
     boolean ordered() {
         return operation.requestClass.ordered() && key >= 0;
     }
 
-    /** Makes it a new request to the scheduler, for the shard that holds its extent now. */
+    /** Turns it into a new request to the scheduler, for the shard that now holds its extent. */
     void reroute(long newId, ExtentLayout.ExtentLocation location) {
         id = newId;
         awaitingRoute = false;
@@ -110,7 +110,7 @@
         version = location.version();
     }
 
-    /** The event by which the scheduler learns of it. */
+    /** The event that submits it to the scheduler. */
     RequestReceived receivedEvent() {
         Volume volume = operation.volume;
         return new RequestReceived(
@@ -127,7 +127,7 @@
                 operation.op.changes());
     }
 
-    /** The message that starts an attempt at a node. */
+    /** The message that sends an attempt to a node. */
     NodeMessage.Request nodeRequest(int attempt, long attemptDeadline) {
         return new NodeMessage.Request(
                 id,
@@ -147,7 +147,7 @@
                 payload());
     }
 
-    /** The bytes to write, as a view. */
+    /** A view of the bytes to write; empty for other operations. */
     private ByteBuffer payload() {
         if (operation.op != Op.WRITE) {
             return ByteBuffer.allocate(0);
--- a/core/src/main/java/garnetreel/core/request/SubRequestTable.java
+++ b/core/src/main/java/garnetreel/core/request/SubRequestTable.java
@@ -9,17 +9,17 @@
 import java.util.TreeSet;
 
 /**
- * The life of sub-requests: known to the scheduler or waiting for a newer extent map, then completed, and forgotten once
- * no attempt is in flight.
+ * The sub-requests of a gateway. A sub-request is either known to the scheduler or waits for a newer extent map; once it
+ * is completed and no attempt is in flight it is removed.
  */
 final class SubRequestTable {
     private final PendingEvents events;
     private final Map<Long, SubRequest> byId = new HashMap<>();
     private final ReroutingQueue rerouting = new ReroutingQueue();
-    private final TreeSet<SubRequest> deadlines =
+    private final TreeSet<SubRequest> byDeadline =
             new TreeSet<>(Comparator.<SubRequest>comparingLong(s -> s.deadline).thenComparingLong(s -> s.id));
     private long lastId;
-    private long rerouted;
+    private long reroutes;
 
     SubRequestTable(PendingEvents events) {
         this.events = events;
@@ -29,15 +29,15 @@
         return ++lastId;
     }
 
-    /** The sub-request that the scheduler knows by an id; null for none. */
+    /** The sub-request with this id at the scheduler; null if there is none. */
     SubRequest find(long id) {
         return byId.get(id);
     }
 
-    /** Adds a new sub-request; it waits with an earlier one of its key if that waits for the map. */
+    /** Adds a new sub-request. If it must follow an earlier one that waits for a newer map, it waits as well. */
     void add(SubRequest subRequest, long now) {
-        subRequest.operation.open.add(subRequest);
-        deadlines.add(subRequest);
+        subRequest.operation.openSubRequests.add(subRequest);
+        byDeadline.add(subRequest);
         if (rerouting.blocks(subRequest)) {
             withdraw(subRequest, now);
         } else {
@@ -50,15 +50,15 @@
         events.add(subRequest.receivedEvent());
     }
 
-    /** From here on the scheduler knows nothing of a sub-request, until it is routed again. */
+    /** Removes a sub-request from those known to the scheduler, until it is rerouted. */
     private void withdraw(SubRequest subRequest, long now) {
         byId.remove(subRequest.id);
         rerouting.add(subRequest, now);
     }
 
     /**
-     * Withdraws a sub-request whose extent has moved. Of those that the scheduler knows, later ones of its key that were
-     * not sent are withdrawn too, so that they come behind it again.
+     * Withdraws a sub-request whose extent has moved. If it is ordered, later ordered ones with the same key that have not
+     * been sent are withdrawn as well, so that they are resubmitted after it.
      */
     void withdrawWithSuccessors(SubRequest subRequest, long now) {
         withdraw(subRequest, now);
@@ -81,40 +81,40 @@
                 && !other.attempted();
     }
 
-    /** Routes what waits for the map again, in the order it was created; to the scheduler each is a new request. */
+    /** Reroutes the waiting sub-requests in the order of creation; to the scheduler each is a new request. */
     void reroute(ExtentRouter router) {
         for (SubRequest subRequest : rerouting.drain()) {
             ExtentLayout.ExtentLocation location = router.locate(subRequest.operation.volume, subRequest.offset);
-            // The id is part of the order of deadlines, so it changes outside of that set.
-            deadlines.remove(subRequest);
+            // The set's comparator uses the id, so the sub-request must not be in the set while the id changes.
+            byDeadline.remove(subRequest);
             subRequest.reroute(nextId(), location);
-            deadlines.add(subRequest);
-            rerouted++;
+            byDeadline.add(subRequest);
+            reroutes++;
             submit(subRequest);
         }
     }
 
-    /** Marks a sub-request as completed: its result is known. */
+    /** Marks a sub-request as completed, as its result is known. */
     void complete(SubRequest subRequest) {
         subRequest.completed = true;
-        forgetIfDone(subRequest);
+        removeIfDone(subRequest);
     }
 
-    /** Ends a sub-request whose client has left. */
+    /** Ends a sub-request whose client has disconnected. */
     void cancel(SubRequest subRequest) {
         subRequest.completed = true;
         if (!subRequest.awaitingRoute) {
             events.add(new RequestCancelled(subRequest.id));
         }
-        forgetIfDone(subRequest);
+        removeIfDone(subRequest);
     }
 
-    /** Forgets a sub-request that is completed and has no attempt in flight. */
-    void forgetIfDone(SubRequest subRequest) {
+    /** Removes a sub-request if it is completed and has no attempt in flight. */
+    void removeIfDone(SubRequest subRequest) {
         if (!subRequest.completed) {
             return;
         }
-        deadlines.remove(subRequest);
+        byDeadline.remove(subRequest);
         if (subRequest.awaitingRoute) {
             rerouting.remove(subRequest);
         } else if (!subRequest.hasAttemptInFlight()) {
@@ -122,23 +122,23 @@
         }
     }
 
-    /** Sub-requests routed again so far. */
+    /** Number of reroutes so far, over all sub-requests. */
     long rerouted() {
-        return rerouted;
+        return reroutes;
     }
 
-    /** When what waits for the map is to be routed again; {@link Long#MAX_VALUE} for never. */
+    /** When the waiting sub-requests are to be rerouted at the latest; {@link Long#MAX_VALUE} for never. */
     long nextReroute() {
         return rerouting.nextDeadline();
     }
 
     /** The earliest deadline of a sub-request without a result; {@link Long#MAX_VALUE} for none. */
     long earliestDeadline() {
-        return deadlines.isEmpty() ? Long.MAX_VALUE : deadlines.first().deadline;
+        return byDeadline.isEmpty() ? Long.MAX_VALUE : byDeadline.first().deadline;
     }
 
-    /** The sub-request with the earliest deadline; there must be one. */
-    SubRequest earliest() {
-        return deadlines.first();
+    /** The sub-request without a result that has the earliest deadline; there must be one. */
+    SubRequest firstByDeadline() {
+        return byDeadline.first();
     }
 }
--- a/core/src/main/java/garnetreel/core/request/UnflushedWrites.java
+++ b/core/src/main/java/garnetreel/core/request/UnflushedWrites.java
@@ -7,43 +7,43 @@
 import java.util.TreeSet;
 
 /**
- * Writes that nodes answered and may not yet hold durably, by volume and shard, so that a flush knows which shards to
- * ask and can tell when it is too late.
+ * Writes acknowledged by nodes that may not be durable yet, by volume and shard. They determine to which shards a flush is
+ * sent, and whether one of these writes has been lost in the meantime.
  *
- * <p>Guards against a node that answers a write, restarts without it, and then answers a flush: the flush would claim
- * what is lost. A node names its incarnation with each answer; a flush answered by another incarnation than a write it
- * covers fails. It could hurt where a node keeps its unflushed writes over a restart: such a node must keep the name of
- * its incarnation.
+ * <p>Without this check, a node could acknowledge a write, lose it in a restart and then acknowledge a flush, so that the
+ * client would take the lost write for durable. Each answer of a node therefore carries the node's incarnation, and a
+ * flush fails if it covers a write that another incarnation acknowledged. A node that keeps its unflushed writes over a
+ * restart must keep its incarnation too; otherwise flushes fail although no write was lost.
  *
- * <p>Bound: one entry for each volume, shard and incarnation with unflushed writes; incarnations of a shard past
- * {@link #MAX_INCARNATIONS} count as one that is lost.
+ * <p>Memory is bounded: there is one entry per volume, shard and incarnation with unflushed writes. Further incarnations
+ * of a shard beyond {@link #MAX_INCARNATIONS} share one entry, whose writes count as lost.
  */
 final class UnflushedWrites {
     private static final int MAX_INCARNATIONS = 8;
-    /** Stands for all incarnations past the bound; no node has it as its own. */
+    /** Stands for all incarnations beyond the limit; no node uses this value. */
     private static final long LOST_INCARNATION = Long.MIN_VALUE;
 
     private record VolumeShard(long volume, int shard) {}
 
-    /** For each incarnation of a shard's node the number of its last write. */
+    /** The number of the last unflushed write, by incarnation of the shard's node. */
     private final Map<VolumeShard, TreeMap<Long, Long>> lastWrites = new HashMap<>();
 
-    private long writes;
+    private long lastWriteNumber;
 
-    /** A write was answered by an incarnation of the shard's node. */
-    void written(long volume, int shard, long incarnation) {
+    /** Records a write acknowledged by an incarnation of the shard's node. */
+    void recordWrite(long volume, int shard, long incarnation) {
         TreeMap<Long, Long> byIncarnation =
-                lastWrites.computeIfAbsent(new VolumeShard(volume, shard), any -> new TreeMap<>());
-        boolean pastBound = byIncarnation.size() >= MAX_INCARNATIONS && !byIncarnation.containsKey(incarnation);
-        byIncarnation.put(pastBound ? LOST_INCARNATION : incarnation, ++writes);
+                lastWrites.computeIfAbsent(new VolumeShard(volume, shard), unused -> new TreeMap<>());
+        boolean limitReached = byIncarnation.size() >= MAX_INCARNATIONS && !byIncarnation.containsKey(incarnation);
+        byIncarnation.put(limitReached ? LOST_INCARNATION : incarnation, ++lastWriteNumber);
     }
 
-    /** Number of the last write answered; a flush that begins now covers the writes up to it. */
-    long lastWrite() {
-        return writes;
+    /** Number of the last acknowledged write; a flush that starts now covers all writes up to it. */
+    long lastWriteNumber() {
+        return lastWriteNumber;
     }
 
-    /** Shards of a volume that hold writes not known to be durable, in ascending order. */
+    /** The shards of a volume with writes that may not be durable, in ascending order. */
     Set<Integer> shards(long volume) {
         Set<Integer> shards = new TreeSet<>();
         for (VolumeShard entry : lastWrites.keySet()) {
@@ -54,15 +54,15 @@
         return shards;
     }
 
-    /** A flush was answered by an incarnation; false when a write of another one is lost. */
-    boolean flushed(long volume, int shard, long incarnation, long lastWriteCovered) {
+    /** Records a flush acknowledged by an incarnation; returns false if a write of another incarnation has been lost. */
+    boolean recordFlush(long volume, int shard, long incarnation, long lastWriteCovered) {
         VolumeShard key = new VolumeShard(volume, shard);
         TreeMap<Long, Long> byIncarnation = lastWrites.get(key);
         if (byIncarnation == null) {
             return true;
         }
         boolean lost = byIncarnation.entrySet().removeIf(e -> e.getKey() != incarnation);
-        byIncarnation.computeIfPresent(incarnation, (any, last) -> last <= lastWriteCovered ? null : last);
+        byIncarnation.computeIfPresent(incarnation, (unused, last) -> last <= lastWriteCovered ? null : last);
         if (byIncarnation.isEmpty()) {
             lastWrites.remove(key);
         }
--- a/core/src/main/java/garnetreel/core/request/package-info.java
+++ b/core/src/main/java/garnetreel/core/request/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The life of block requests within a gateway: a client's operation is split along extents into sub-requests, each of
- * which the scheduler decides on, and the results of its sub-requests are composed into one reply.
+ * Block requests within a gateway. A client's operation is split at extent boundaries into sub-requests, each of which is
+ * scheduled separately, and their results are composed into one reply.
  *
  * <p>{@link garnetreel.core.request.BlockBackend} is what protocol servers call;
  * {@link garnetreel.core.request.RequestRegistry} implements it.
--- a/core/src/test/java/garnetreel/core/request/NodeAnswerReaderTest.java
+++ b/core/src/test/java/garnetreel/core/request/NodeAnswerReaderTest.java
@@ -15,7 +15,7 @@
 class NodeAnswerReaderTest {
     private final SubRequest status = subRequest(1, operation(Op.STATUS, 0, 10), 0, 10, 0);
 
-    private static ByteBuffer pairs(int... numbers) {
+    private static ByteBuffer encoded(int... numbers) {
         ByteBuffer data = ByteBuffer.allocate(numbers.length * Integer.BYTES);
         for (int number : numbers) {
             data.putInt(number);
@@ -24,24 +24,24 @@
     }
 
     @Test
-    void readMustHaveItsLength() {
+    void readAnswerMustHaveTheRequestedLength() {
         SubRequest read = subRequest(1, operation(Op.READ, 0, 10), 0, 10, 0);
         assertTrue(NodeAnswerReader.read(read, ByteBuffer.allocate(10)));
         assertFalse(NodeAnswerReader.read(read, ByteBuffer.allocate(9)));
     }
 
     @Test
-    void statusMustCoverTheRange() {
-        assertTrue(NodeAnswerReader.read(status, pairs(4, 0, 6, 3)));
+    void statusAnswerMustCoverTheRequestedRange() {
+        assertTrue(NodeAnswerReader.read(status, encoded(4, 0, 6, 3)));
         assertEquals(List.of(new ExtentStatus(4, 0), new ExtentStatus(6, 3)), status.extents);
-        assertFalse(NodeAnswerReader.read(status, pairs(4, 0, 5, 3)));
-        assertFalse(NodeAnswerReader.read(status, pairs(10, 0, 0, 0)));
-        assertFalse(NodeAnswerReader.read(status, pairs()));
+        assertFalse(NodeAnswerReader.read(status, encoded(4, 0, 5, 3)));
+        assertFalse(NodeAnswerReader.read(status, encoded(10, 0, 0, 0)));
+        assertFalse(NodeAnswerReader.read(status, encoded()));
     }
 
     @Test
-    void malformedStatusLeavesNoResult() {
-        assertFalse(NodeAnswerReader.read(status, pairs(-1, 0, 11, 0)));
+    void malformedStatusAnswerLeavesNoResult() {
+        assertFalse(NodeAnswerReader.read(status, encoded(-1, 0, 11, 0)));
         assertEquals(List.of(), status.extents);
     }
 }
--- a/core/src/test/java/garnetreel/core/request/ReplyComposerTest.java
+++ b/core/src/test/java/garnetreel/core/request/ReplyComposerTest.java
@@ -22,7 +22,7 @@
     private final ReplyComposer composer = new ReplyComposer(Op.WRITE, 100, 8);
 
     @Test
-    void readIsPutTogetherInOrderOfOffset() {
+    void readDataIsAssembledInOrderOfOffset() {
         ReplyComposer read = new ReplyComposer(Op.READ, 100, 8);
         read.served(second, ByteBuffer.wrap(new byte[] {5, 6, 7, 8}));
         read.served(first, ByteBuffer.wrap(new byte[] {1, 2, 3, 4}));
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void rejectedThroughoutIsRejectedWithTheLongestRetryAfter() {
+    void replyIsRejectedWithTheLongestRetryAfterIfAllAreRejected() {
         composer.rejected(second, 3000);
         composer.rejected(first, 7000);
         Reply reply = composer.compose();
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void writeServedInPartAndRejectedInPartHasFailed() {
+    void partlyRejectedWriteFails() {
         composer.served(first, NO_DATA);
         composer.rejected(second, 3000);
         Reply reply = composer.compose();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void readServedInPartAndRejectedInPartIsRejected() {
+    void partlyRejectedReadIsRejected() {
         ReplyComposer read = new ReplyComposer(Op.READ, 100, 8);
         read.served(first, ByteBuffer.wrap(new byte[4]));
         read.rejected(second, 3000);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void failureCountsMoreThanARejectionAndTheFirstByteNamesTheReason() {
+    void failureOutweighsRejectionAndMessageIsOfTheLowestOffset() {
         composer.rejected(second, 3000);
         composer.failed(first, "lost");
         Reply reply = composer.compose();
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void blockStatusIsSortedAndNeighboursOfTheSameFlagsAreJoined() {
+    void blockStatusIsSortedAndAdjacentExtentsWithTheSameFlagsAreMerged() {
         first.extents = List.of(new ExtentStatus(3, 0), new ExtentStatus(1, 1));
         second.extents = List.of(new ExtentStatus(2, 1), new ExtentStatus(2, 0));
         ReplyComposer status = new ReplyComposer(Op.STATUS, 100, 8);
--- a/core/src/test/java/garnetreel/core/request/RequestFixtures.java
+++ b/core/src/test/java/garnetreel/core/request/RequestFixtures.java
@@ -8,7 +8,7 @@
 import garnetreel.policy.config.RequestClass;
 import java.util.List;
 
-/** Operations and sub-requests on a volume of 1 MiB with extents of 64 KiB, dealt out over shards 0 to 2. */
+/** Operations and sub-requests on a volume of 1 MiB with extents of 64 KiB, distributed over shards 0 to 2. */
 final class RequestFixtures {
     static final long EXTENT_BYTES = 64 << 10;
     static final long DEADLINE = 1_000_000;
@@ -27,7 +27,7 @@
 
     private RequestFixtures() {}
 
-    /** Finds extents by the volume's own layout. */
+    /** A router that locates extents by the volume's initial layout. */
     static ExtentRouter fixedRouter() {
         return new ExtentRouter() {
             @Override
--- a/core/src/test/java/garnetreel/core/request/RequestSplitterTest.java
+++ b/core/src/test/java/garnetreel/core/request/RequestSplitterTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void dataIsCutAtExtentsAndAtTheLargestRequest() {
+    void readIsSplitAtExtentsAndByTheLargestRequest() {
         List<SubRequest> parts = split(operation(Op.READ, EXTENT_BYTES - MAX_BYTES - 100, 100 + MAX_BYTES + 10));
         assertEquals(
                 List.of(EXTENT_BYTES - MAX_BYTES - 100, EXTENT_BYTES - MAX_BYTES, EXTENT_BYTES),
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void trimIsCutAtExtentsAloneAndCountsAsOneUnit() {
+    void trimIsSplitOnlyAtExtentsAndCountsAsOneUnit() {
         List<SubRequest> parts = split(operation(Op.TRIM, 0, 2 * EXTENT_BYTES));
         assertEquals(
                 List.of((int) EXTENT_BYTES, (int) EXTENT_BYTES),
@@ -47,21 +47,21 @@
     }
 
     @Test
-    void keyHoldsTheVolumeAndTheBlock() {
+    void keyConsistsOfVolumeAndBlock() {
         SubRequest part = split(operation(Op.READ, 3 * BLOCK + 5, 1)).get(0);
         assertEquals(RequestFixtures.VOLUME.id() << 36 | 3, part.key);
     }
 
     @Test
-    void blockStatusStopsAfterSoManyExtents() {
+    void blockStatusCoversALimitedNumberOfExtents() {
         BlockOperation operation = operation(Op.STATUS, 0, 1000 * EXTENT_BYTES);
         assertEquals(32, split(operation).size());
         assertFalse(operation.hasRemaining());
-        assertEquals(32 * EXTENT_BYTES, operation.next);
+        assertEquals(32 * EXTENT_BYTES, operation.nextOffset);
     }
 
     @Test
-    void flushNamesItsShardInPlaceOfAnOffset() {
+    void flushHasItsShardInPlaceOfAnOffset() {
         SubRequest flush = RequestSplitter.flush(operation(Op.FLUSH, 0, 0), 5, 42, 1);
         assertEquals(5, flush.shard);
         assertEquals(5, flush.offset);
--- a/core/src/test/java/garnetreel/core/request/SubRequestTableTest.java
+++ b/core/src/test/java/garnetreel/core/request/SubRequestTableTest.java
@@ -31,8 +31,8 @@
         return added;
     }
 
-    /** What happened since the last call: +id for a request received, -id for one cancelled. */
-    private List<Long> drained() {
+    /** The events since the last call: the id of each received request, the negated id of each cancelled one. */
+    private List<Long> drainedIds() {
         return events.drain().stream().map(SubRequestTableTest::signedId).toList();
     }
 
@@ -41,37 +41,37 @@
     }
 
     @Test
-    void completedSubRequestIsForgottenWithItsLastAttempt() {
+    void completedSubRequestIsRemovedAfterItsLastAttempt() {
         SubRequest one = add(ordered, 1);
         one.beginAttempt();
         table.complete(one);
         assertSame(one, table.find(1));
         assertEquals(Long.MAX_VALUE, table.earliestDeadline());
         one.endAttempt(Outcome.OK);
-        table.forgetIfDone(one);
+        table.removeIfDone(one);
         assertNull(table.find(1));
     }
 
     @Test
-    void laterOnesOfTheKeyAreWithdrawnWithAMovedOneAndComeBackInOrder() {
+    void laterSubRequestsOfTheKeyAreWithdrawnWithAReroutedOneAndResubmittedInOrder() {
         SubRequest moved = add(ordered, 1);
         moved.beginAttempt();
         moved.endAttempt(Outcome.NOT_STARTED);
         SubRequest follower = add(ordered, 1);
         SubRequest otherKey = add(ordered, 2);
-        assertEquals(List.of(1L, 2L, 3L), drained());
+        assertEquals(List.of(1L, 2L, 3L), drainedIds());
 
         table.withdrawWithSuccessors(moved, NOW);
-        assertEquals(List.of(-2L), drained());
+        assertEquals(List.of(-2L), drainedIds());
         assertFalse(otherKey.awaitingRoute);
         assertEquals(NOW + ReroutingQueue.REROUTE_AFTER_MICROS, table.nextReroute());
 
         SubRequest late = add(ordered, 1);
         assertTrue(late.awaitingRoute);
-        assertEquals(List.of(), drained());
+        assertEquals(List.of(), drainedIds());
 
         table.reroute(RequestFixtures.fixedRouter());
-        assertEquals(List.of(5L, 6L, 7L), drained());
+        assertEquals(List.of(5L, 6L, 7L), drainedIds());
         assertEquals(List.of(5L, 6L, 7L), List.of(moved.id, follower.id, late.id));
         assertEquals(3, table.rerouted());
         assertEquals(Long.MAX_VALUE, table.nextReroute());
@@ -79,30 +79,30 @@
     }
 
     @Test
-    void cancelledOneIsReportedUnlessItWaitsForTheMap() {
+    void cancelledSubRequestIsReportedUnlessItWaitsForTheMap() {
         SubRequest known = add(ordered, 1);
         SubRequest waiting = add(ordered, 2);
         table.withdrawWithSuccessors(waiting, NOW);
-        drained();
+        drainedIds();
         table.cancel(known);
         table.cancel(waiting);
-        assertEquals(List.of(-1L), drained());
+        assertEquals(List.of(-1L), drainedIds());
         table.reroute(RequestFixtures.fixedRouter());
-        assertEquals(List.of(), drained());
+        assertEquals(List.of(), drainedIds());
     }
 
     @Test
-    void earliestDeadlineIsOfWhatHasNoResult() {
+    void earliestDeadlineIgnoresCompletedSubRequests() {
         SubRequest one = add(ordered, 1);
         SubRequest two = add(ordered, 2);
-        assertSame(one, table.earliest());
+        assertSame(one, table.firstByDeadline());
         table.complete(one);
-        assertSame(two, table.earliest());
+        assertSame(two, table.firstByDeadline());
         assertEquals(DEADLINE, table.earliestDeadline());
     }
 
     @Test
-    void onlyWhatCannotRepeatAnEffectIsReroutable() {
+    void rerouteIsSafeOnlyIfNoEffectCanBeRepeated() {
         SubRequest keyed = add(ordered, 1);
         keyed.beginAttempt();
         assertFalse(keyed.safeToReroute());
--- a/core/src/test/java/garnetreel/core/request/UnflushedWritesTest.java
+++ b/core/src/test/java/garnetreel/core/request/UnflushedWritesTest.java
@@ -8,43 +8,43 @@
 import org.junit.jupiter.api.Test;
 
 class UnflushedWritesTest {
-    private final UnflushedWrites unflushed = new UnflushedWrites();
+    private final UnflushedWrites unflushedWrites = new UnflushedWrites();
 
     @Test
-    void flushCoversWhatWasAnsweredBeforeIt() {
-        unflushed.written(1, 4, 10);
-        long lastWrite = unflushed.lastWrite();
-        unflushed.written(1, 4, 10);
-        assertTrue(unflushed.flushed(1, 4, 10, lastWrite));
-        assertEquals(Set.of(4), unflushed.shards(1));
-        assertTrue(unflushed.flushed(1, 4, 10, unflushed.lastWrite()));
-        assertEquals(Set.of(), unflushed.shards(1));
+    void flushCoversWritesAcknowledgedBeforeIt() {
+        unflushedWrites.recordWrite(1, 4, 10);
+        long lastWriteNumber = unflushedWrites.lastWriteNumber();
+        unflushedWrites.recordWrite(1, 4, 10);
+        assertTrue(unflushedWrites.recordFlush(1, 4, 10, lastWriteNumber));
+        assertEquals(Set.of(4), unflushedWrites.shards(1));
+        assertTrue(unflushedWrites.recordFlush(1, 4, 10, unflushedWrites.lastWriteNumber()));
+        assertEquals(Set.of(), unflushedWrites.shards(1));
     }
 
     @Test
     void writeOfAnEarlierIncarnationIsLostAndReportedOnce() {
-        unflushed.written(1, 4, 10);
-        unflushed.written(1, 4, 11);
-        assertFalse(unflushed.flushed(1, 4, 11, unflushed.lastWrite()));
-        assertTrue(unflushed.flushed(1, 4, 11, unflushed.lastWrite()));
+        unflushedWrites.recordWrite(1, 4, 10);
+        unflushedWrites.recordWrite(1, 4, 11);
+        assertFalse(unflushedWrites.recordFlush(1, 4, 11, unflushedWrites.lastWriteNumber()));
+        assertTrue(unflushedWrites.recordFlush(1, 4, 11, unflushedWrites.lastWriteNumber()));
     }
 
     @Test
-    void volumesAndShardsAreKeptApart() {
-        unflushed.written(1, 4, 10);
-        unflushed.written(1, 5, 20);
-        unflushed.written(2, 4, 10);
-        assertEquals(Set.of(4, 5), unflushed.shards(1));
-        assertTrue(unflushed.flushed(2, 4, 10, unflushed.lastWrite()));
-        assertFalse(unflushed.flushed(1, 5, 21, unflushed.lastWrite()));
-        assertEquals(Set.of(4), unflushed.shards(1));
+    void volumesAndShardsAreIndependent() {
+        unflushedWrites.recordWrite(1, 4, 10);
+        unflushedWrites.recordWrite(1, 5, 20);
+        unflushedWrites.recordWrite(2, 4, 10);
+        assertEquals(Set.of(4, 5), unflushedWrites.shards(1));
+        assertTrue(unflushedWrites.recordFlush(2, 4, 10, unflushedWrites.lastWriteNumber()));
+        assertFalse(unflushedWrites.recordFlush(1, 5, 21, unflushedWrites.lastWriteNumber()));
+        assertEquals(Set.of(4), unflushedWrites.shards(1));
     }
 
     @Test
-    void incarnationsPastTheBoundCountAsLost() {
+    void writesOfIncarnationsBeyondTheLimitCountAsLost() {
         for (long incarnation = 0; incarnation < 100; incarnation++) {
-            unflushed.written(1, 4, incarnation);
+            unflushedWrites.recordWrite(1, 4, incarnation);
         }
-        assertFalse(unflushed.flushed(1, 4, 99, unflushed.lastWrite()));
+        assertFalse(unflushedWrites.recordFlush(1, 4, 99, unflushedWrites.lastWriteNumber()));
     }
 }
