--- a/core/src/main/java/garnetreel/core/connection/AttemptKey.java
+++ b/core/src/main/java/garnetreel/core/connection/AttemptKey.java
@@ -1,4 +1,4 @@
 package garnetreel.core.connection;
 
-/** An attempt as a node's answer names it: the sub-request and the index of the attempt. */
-record AttemptKey(long id, int number) {}
+/** Identifies an attempt in a node's answer: the id of the sub-request and the index of the attempt. */
+record AttemptKey(long subRequestId, int attemptIndex) {}
--- a/core/src/main/java/garnetreel/core/connection/AttemptTracker.java
+++ b/core/src/main/java/garnetreel/core/connection/AttemptTracker.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Attempts that have not ended: which connection carries each, and when each times out. */
+/** The attempts that have not ended, with their connections and time-outs. */
 final class AttemptTracker {
     private final Map<AttemptKey, Long> connectionIds = new HashMap<>();
-    private final TreeSet<NodeAttempt> byTimeout = new TreeSet<>(Comparator.comparingLong(NodeAttempt::until)
-            .thenComparingLong(NodeAttempt::id)
-            .thenComparingInt(NodeAttempt::number));
+    private final TreeSet<NodeAttempt> byTimeout = new TreeSet<>(Comparator.comparingLong(NodeAttempt::timeoutAt)
+            .thenComparingLong(NodeAttempt::subRequestId)
+            .thenComparingInt(NodeAttempt::index));
 
     void add(NodeAttempt attempt, long connectionId) {
         byTimeout.add(attempt);
@@ -22,18 +22,18 @@
         connectionIds.remove(attempt.key());
     }
 
-    /** Id of the connection that carries an attempt, or null once the attempt has ended. */
+    /** Id of the connection that an attempt is assigned to; null if the attempt has ended. */
     Long connectionId(AttemptKey key) {
         return connectionIds.get(key);
     }
 
-    /** The attempt that timed out first, or null when none has. */
+    /** The attempt with the earliest time-out if that has passed; null otherwise. */
     NodeAttempt firstTimedOut(long now) {
         return nextDeadline() <= now ? byTimeout.first() : null;
     }
 
-    /** When the next attempt times out; {@link Long#MAX_VALUE} for none. */
+    /** When the next attempt times out; {@link Long#MAX_VALUE} if there is none. */
     long nextDeadline() {
-        return byTimeout.isEmpty() ? Long.MAX_VALUE : byTimeout.first().until();
+        return byTimeout.isEmpty() ? Long.MAX_VALUE : byTimeout.first().timeoutAt();
     }
 }
--- a/core/src/main/java/garnetreel/core/connection/ConnectionIdAllocator.java
+++ b/core/src/main/java/garnetreel/core/connection/ConnectionIdAllocator.java
@@ -1,13 +1,13 @@
 package garnetreel.core.connection;
 
 /**
- * Allocates ids of connections that a state machine opens. They are below 0, so that they differ from those of accepted
- * connections, and are never used twice.
+ * Allocates ids of the connections that a state machine opens. They are negative, to differ from those of accepted
+ * connections, and are never reused.
  */
 public final class ConnectionIdAllocator {
     private long last;
 
-    /** A new id. */
+    /** Allocates an id. */
     public long next() {
         return --last;
     }
--- a/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
+++ b/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
@@ -23,21 +23,22 @@
 import java.util.SplittableRandom;
 
 /**
- * The gateway's extent map and the connection to the map service. The cached map is used however old it is, since nodes
- * refuse what was routed by an outdated version; updates are followed as they come, and asked for after a stale answer.
+ * The gateway's extent map and its connection to the map service. The cached map is used regardless of its age, since
+ * nodes reject requests routed by an outdated version. Updates arrive by subscription and are requested after a stale
+ * answer.
  *
- * <p>Bounds on what a gateway asks of the service: one call at a time, and between calls a backoff that doubles from
- * {@link #INITIAL_BACKOFF_MICROS} to {@link #MAX_BACKOFF_MICROS}, with a jitter of its own, so that gateways that come
- * back together spread.
+ * <p>To limit the load on the service, there is one call at a time. After a failure, a backoff doubles from
+ * {@link #INITIAL_BACKOFF_MICROS} to {@link #MAX_BACKOFF_MICROS}; its jitter spreads the calls of gateways that reconnect
+ * at the same time.
  */
 public final class MapServiceClient implements ExtentRouter, ConnectionHandler {
-    /** Name under which the map is persisted. */
+    /** Name under which the extent map is persisted. */
     public static final String CACHE_NAME = "map";
 
     private static final long INITIAL_BACKOFF_MICROS = 100_000;
-    /** A service that comes back is found within this time. */
+    /** Bounds the time until a gateway reconnects to a service that is available again. */
     private static final long MAX_BACKOFF_MICROS = 5_000_000;
-    /** Between two writes of the map to disk, so that a burst of migrations does not become a burst of writes. */
+    /** Minimum time between two writes of the map to disk, so that a burst of migrations causes no burst of writes. */
     private static final long PERSIST_INTERVAL_MICROS = 1_000_000;
 
     private final GatewaySettings settings;
@@ -61,35 +62,35 @@
     private long lastPersistAt;
     private boolean needsFullMap;
 
-    /** A client without a map or connection. */
+    /** A client without a map, which connects after {@link #start}. */
     public MapServiceClient(GatewaySettings settings, ConnectionIdAllocator connectionIds) {
         this.settings = settings;
         this.connectionIds = connectionIds;
         this.random = new SplittableRandom(settings.incarnation() * 31 + settings.gatewayNumber());
     }
 
-    /** Sets what is run after the map has changed; once, before the first turn. */
+    /** Sets what is run after each change of the map; to be called once, before the first turn. */
     public void onChange(Runnable listener) {
         changeListener = listener;
     }
 
-    /** Begins a turn: its time, and where its actions go. */
+    /** Begins a turn at this time, whose actions are added to {@code turnActions}. */
     public void locate(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
     }
 
-    /** Starts with what an earlier incarnation persisted, whatever its age; bytes that can't be read are no map. */
+    /** Loads the map that an earlier incarnation persisted, regardless of its age; an unreadable one is ignored. */
     public void start(byte[] persisted) {
         if (persisted != null) {
-            load(persisted);
+            loadPersisted(persisted);
         }
         if (!settings.map().isEmpty()) {
             nextCallAt = now;
         }
     }
 
-    private void load(byte[] persisted) {
+    private void loadPersisted(byte[] persisted) {
         ByteQueue queue = new ByteQueue();
         queue.add(ByteBuffer.wrap(persisted));
         try {
@@ -97,7 +98,7 @@
                 cache.apply(whole);
             }
         } catch (ProtocolException e) {
-            warn("the remembered map can't be read (" + e.getMessage() + "); starting without one");
+            warn("cached extent map is unreadable (" + e.getMessage() + "); starting without a map");
         }
     }
 
@@ -113,8 +114,9 @@
     }
 
     /**
-     * With a subscription, the change is on its way already. Without a connection it is asked for: at once by a gateway
-     * that does not follow the map, since its next request would be answered stale as well, else as a call is spaced.
+     * Schedules a call to the map service if there is no connection. With one, the update is already on its way. A gateway
+     * that does not subscribe calls as soon as the interval between calls allows, since its next requests would be stale
+     * too; a gateway that subscribes calls after a jittered delay.
      */
     @Override
     public void reportStale() {
@@ -165,7 +167,7 @@
         backoff = Math.min(MAX_BACKOFF_MICROS, 2 * backoff);
     }
 
-    // ---------------------------------------------------------------- from the network
+    // ---------------------------------------------------------------- network events
 
     @Override
     public boolean owns(long id) {
@@ -181,7 +183,7 @@
 
     @Override
     public void drained(long id, int bytes) {
-        // Calls are small and one at a time: what has not left needs no bound.
+        // Needs no flow control: calls are small and sent one at a time.
     }
 
     @Override
@@ -208,34 +210,34 @@
     public void received(long id, ByteBuffer data) {
         lastReceivedAt = now;
         receivedBytes.add(data);
-        boolean changed = false;
+        boolean mapChanged = false;
         try {
             MapMessage message;
             while ((message = MapCodec.next(receivedBytes)) != null) {
-                changed |= handle(message);
+                mapChanged |= handle(message);
             }
         } catch (ProtocolException | IllegalArgumentException e) {
-            warn("map service: " + e.getMessage() + "; connection closed");
+            warn("map service: " + e.getMessage() + "; closing connection");
             close(true);
         }
-        if (hasAllItAskedFor()) {
+        if (connectionUnneeded()) {
             close(false);
         }
-        if (changed) {
+        if (mapChanged) {
             nextPersistAt = Math.min(nextPersistAt, Math.max(now, lastPersistAt + PERSIST_INTERVAL_MICROS));
             changeListener.run();
         }
     }
 
-    /** Whether a gateway that does not follow the map has no more use for its connection. */
-    private boolean hasAllItAskedFor() {
+    /** Whether the connection is no longer needed, as this gateway does not subscribe and no call is in flight or due. */
+    private boolean connectionUnneeded() {
         return connectionId != 0
                 && !callInFlight
                 && nextCallAt == Long.MAX_VALUE
                 && !settings.connections().followMap();
     }
 
-    /** Handles a message; true when the map has changed. */
+    /** Handles a message; returns true if the map has changed. */
     private boolean handle(MapMessage message) throws ProtocolException {
         if (message instanceof Whole whole) {
             return updated(cache.apply(whole));
@@ -248,7 +250,7 @@
             nextCallAt = now + jitter(Math.max(INITIAL_BACKOFF_MICROS, busy.micros()));
             return false;
         }
-        throw new ProtocolException("sent a " + message.getClass().getSimpleName());
+        throw new ProtocolException("unexpected message " + message.getClass().getSimpleName());
     }
 
     private boolean updated(MapCache.Outcome outcome) {
@@ -260,8 +262,8 @@
                 nextCallAt = Math.min(nextCallAt, now + jitter(INITIAL_BACKOFF_MICROS));
             }
             case ROLLED_BACK -> {
-                warn("map service: it went back behind version " + cache.version() + " of epoch " + cache.epoch()
-                        + "; not followed");
+                warn("map service: offered a map older than version " + cache.version() + " of epoch " + cache.epoch()
+                        + "; update ignored");
                 callAfterBackoff();
             }
         }
@@ -272,21 +274,21 @@
         actions.add(new NetAction.Log(NetAction.Level.WARN, text));
     }
 
-    // ---------------------------------------------------------------- time
+    // ---------------------------------------------------------------- deadlines
 
-    /** When something here is due; {@link Long#MAX_VALUE} for nothing. */
+    /** When {@link #expire()} must be called next; {@link Long#MAX_VALUE} for never. */
     public long nextDeadline() {
         return Math.min(Math.min(nextCallAt, nextPersistAt), silentAt());
     }
 
-    /** When a connection on which nothing came counts as broken. */
+    /** When the connection counts as broken unless data arrives before. */
     private long silentAt() {
         return connectionId == 0
                 ? Long.MAX_VALUE
                 : lastReceivedAt + settings.connections().listSilence();
     }
 
-    /** Makes the call that is due, persists the map, and ends a connection on which the service is silent. */
+    /** Closes the connection if the service is silent, makes a call if one is due, and persists the map if that is due. */
     public void expire() {
         if (now >= silentAt()) {
             close(true);
--- a/core/src/main/java/garnetreel/core/connection/NodeAttempt.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeAttempt.java
@@ -1,15 +1,16 @@
 package garnetreel.core.connection;
 
 /**
- * One attempt to have a sub-request served by a node.
+ * An attempt of a sub-request at a node.
  *
- * @param id the sub-request
- * @param number index of the attempt among those of the sub-request
+ * @param subRequestId id of the sub-request at the scheduler
+ * @param index index of the attempt among those of the sub-request
  * @param node address of the node
- * @param until when it times out
+ * @param sentAt when it was passed to the connection pool
+ * @param timeoutAt when it times out
  */
-public record NodeAttempt(long id, int number, String node, long sentAt, long until) {
+public record NodeAttempt(long subRequestId, int index, String node, long sentAt, long timeoutAt) {
     AttemptKey key() {
-        return new AttemptKey(id, number);
+        return new AttemptKey(subRequestId, index);
     }
 }
--- a/core/src/main/java/garnetreel/core/connection/NodeConnection.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnection.java
@@ -8,23 +8,26 @@
 import java.util.List;
 import java.util.Map;
 
-/** One connection to a node, with the attempts that it carries. */
+/** A connection to a node, with the attempts sent or queued on it. */
 final class NodeConnection {
     final long id;
     final String node;
     final ByteQueue received = new ByteQueue();
-    /** Attempts whose bytes were handed over: they may have been executed. */
+    /** Attempts whose requests were passed to the open connection: the node may have executed them. */
     final Map<AttemptKey, NodeAttempt> sent = new LinkedHashMap<>();
-    /** Attempts that wait until the node has welcomed this gateway. */
+    /** Attempts that wait for the end of the handshake, the node's Welcome. */
     final List<QueuedAttempt> queued = new ArrayList<>();
 
     private final long openedAt;
     private long lastUsedAt;
     private boolean ready;
-    /** Added to a time of this gateway, gives one that the node's clock shows no later. */
+    /**
+     * The node's clock minus the gateway's. The Welcome takes time to arrive, so this is too low by that time: a gateway
+     * time converted with it is never later than what the node's clock shows at that time.
+     */
     private long clockOffset;
 
-    /** An attempt and the request to send for it. */
+    /** An attempt and its request, which is sent once the connection is ready. */
     record QueuedAttempt(NodeAttempt attempt, NodeMessage.Request request) {}
 
     NodeConnection(long id, String node, long now) {
@@ -34,32 +37,32 @@
         this.lastUsedAt = now;
     }
 
-    /** The node has welcomed this gateway, so that attempts can be sent. */
+    /** Whether the handshake is complete, so that attempts can be sent. */
     boolean ready() {
         return ready;
     }
 
-    void welcomed(long nodeClock, long now) {
+    void handshakeCompleted(long nodeClock, long now) {
         ready = true;
         lastUsedAt = now;
         clockOffset = nodeClock - now;
     }
 
-    void used(long now) {
+    void markUsed(long now) {
         lastUsedAt = now;
     }
 
-    /** Attempts that it carries or that wait for it. */
+    /** Number of attempts that are sent and not ended, or queued. */
     int load() {
         return sent.size() + queued.size();
     }
 
-    /** A time of this gateway by the node's clock. */
-    long onNodeClock(long time) {
+    /** Converts a time of this gateway to the node's clock. */
+    long toNodeClock(long time) {
         return time + clockOffset;
     }
 
-    /** When it is closed unless something happens: not ready in time, or idle. */
+    /** When it is to be closed: at the end of the connect timeout if not ready, or of the idle time if it carries nothing. */
     long nextDeadline(GatewaySettings.ConnectionSettings settings) {
         if (!ready) {
             return openedAt + settings.connectTimeout();
--- a/core/src/main/java/garnetreel/core/connection/NodeConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnectionPool.java
@@ -22,20 +22,21 @@
 import java.util.Map;
 
 /**
- * Connections to nodes and the attempts on them. An attempt ends here exactly once: by its answer, which is matched by
- * connection, id and attempt number and by nothing else, by its time-out, by being cancelled, or by its connection's end.
+ * The connections to nodes and the attempts on them. An attempt ends exactly once: by its answer, time-out, cancellation,
+ * or the end of its connection. An answer is matched by connection, sub-request id and attempt index only.
  *
- * <p>The outcome decides what may be tried again:
+ * <p>The outcome tells whether an attempt may have been executed, and so whether a retry is safe:
  * <ul>
- * <li>bytes never handed to a connection that was ready: CONNECT_FAILED, it was not executed;
- * <li>handed over and the connection ended: RESET, it may have been executed;
- * <li>no answer in time: TIMEOUT; an answer that comes later matches no attempt and is counted as late.
+ * <li>CONNECT_FAILED: its request was never passed to a ready connection, so it was not executed;
+ * <li>RESET: the connection ended after the request was passed to it, so it may have been executed;
+ * <li>TIMEOUT: there was no answer in time, so it may have been executed. An answer that arrives later matches no attempt
+ *     and is counted as late.
  * </ul>
  */
 public final class NodeConnectionPool implements ConnectionHandler {
-    /** Learns how attempts and health checks ended. */
+    /** Is notified of the ends of attempts and health checks. */
     public interface Listener {
-        /** An attempt ended; {@code answer} is null where the node gave none. */
+        /** An attempt ended; {@code answer} is null if the node gave none. */
         void attemptEnded(NodeAttempt attempt, Outcome outcome, Answer answer);
 
         /** A health check ended. */
@@ -47,7 +48,7 @@
     private final NodeConnectionTable connections;
     private final AttemptTracker attempts = new AttemptTracker();
     private final HealthCheckTracker healthChecks = new HealthCheckTracker();
-    /** Attempts that found no capacity; reported in the next turn, since the scheduler is in its own turn now. */
+    /** Attempts for which no connection had capacity. Reported in the next turn, as the scheduler's turn is still running. */
     private final List<NodeAttempt> unsendable = new ArrayList<>();
 
     private Listener listener;
@@ -55,30 +56,30 @@
     private long now;
     private long lateAnswers;
 
-    /** A pool without connections. */
+    /** A pool that opens connections when they are needed. */
     public NodeConnectionPool(GatewaySettings settings, ConnectionIdAllocator connectionIds) {
         this.settings = settings;
         this.connectionIds = connectionIds;
         this.connections = new NodeConnectionTable(settings.connections());
     }
 
-    /** Sets who learns how attempts end; once, before the first turn. */
+    /** Sets the listener; to be called once, before the first turn. */
     public void listener(Listener newListener) {
         listener = newListener;
     }
 
-    /** Begins a turn: its time, and where its actions go. */
+    /** Begins a turn at this time, whose actions are added to {@code turnActions}. */
     public void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
     }
 
-    /** Answers that came after their attempt had ended. */
+    /** Number of answers that arrived after their attempt had ended. */
     public long lateAnswers() {
         return lateAnswers;
     }
 
-    /** Connections that are open or being opened. */
+    /** Number of connections that are open or being opened. */
     public int connections() {
         return connections.size();
     }
@@ -88,9 +89,9 @@
         return connections.contains(connectionId);
     }
 
-    // ---------------------------------------------------------------- from the scheduler
+    // ---------------------------------------------------------------- scheduler actions
 
-    /** Sends an attempt, or queues it until its connection is ready. */
+    /** Sends an attempt, or queues it until a connection is ready. */
     public void send(NodeAttempt attempt, NodeMessage.Request request) {
         NodeConnection connection = connectionFor(attempt.node());
         if (connection == null) {
@@ -98,7 +99,7 @@
             return;
         }
         attempts.add(attempt, connection.id);
-        connection.used(now);
+        connection.markUsed(now);
         if (connection.ready()) {
             sendNow(connection, attempt, request);
         } else {
@@ -108,10 +109,10 @@
 
     private void sendNow(NodeConnection connection, NodeAttempt attempt, NodeMessage.Request request) {
         connection.sent.put(attempt.key(), attempt);
-        write(connection, request.until(connection.onNodeClock(request.deadline())));
+        write(connection, request.until(connection.toNodeClock(request.deadline())));
     }
 
-    /** A connection with capacity, opened if needed and allowed; null for none. */
+    /** A connection with capacity, newly opened if necessary; null if the limits don't allow one. */
     private NodeConnection connectionFor(String node) {
         NodeConnection connection = connections.leastLoaded(node);
         if (connection == null && connections.mayOpen(node)) {
@@ -126,9 +127,9 @@
         actions.add(new NetAction.Write(connection.id, NodeCodec.frame(message)));
     }
 
-    /** Stops waiting for an attempt; the node may drop it while it has not begun. */
-    public void cancel(long id, int number) {
-        AttemptKey key = new AttemptKey(id, number);
+    /** Ends an attempt as cancelled. If it was sent, the node is notified and may drop it if it has not started it. */
+    public void cancel(long subRequestId, int attemptIndex) {
+        AttemptKey key = new AttemptKey(subRequestId, attemptIndex);
         Long connectionId = attempts.connectionId(key);
         if (connectionId == null) {
             return;
@@ -136,14 +137,14 @@
         NodeConnection connection = connections.get(connectionId);
         NodeAttempt attempt = connection.sent.get(key);
         if (attempt != null) {
-            write(connection, new NodeMessage.Cancel(id, number));
+            write(connection, new NodeMessage.Cancel(subRequestId, attemptIndex));
             endSent(connection, attempt, Outcome.CANCELLED, null);
         } else {
             endQueued(connection, key, Outcome.CANCELLED);
         }
     }
 
-    /** Checks a node's health beside its queue. */
+    /** Sends a health check to a node; the check does not wait in the node's request queue. */
     public void checkHealth(String node) {
         NodeConnection connection = healthChecks.isFull() ? null : connectionFor(node);
         if (connection == null) {
@@ -155,7 +156,7 @@
         }
     }
 
-    /** Closes connections to a node that carry no attempt. */
+    /** Closes the connections to a node that have no attempts. */
     public void closeIdle(String node) {
         for (NodeConnection connection : connections.of(node)) {
             if (connection.load() == 0) {
@@ -164,7 +165,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- from the network
+    // ---------------------------------------------------------------- network events
 
     @Override
     public void connected(long connectionId) {
@@ -173,12 +174,12 @@
 
     @Override
     public void drained(long connectionId, int bytes) {
-        // What a connection carries is bounded by its attempts.
+        // Needs no flow control: the data in flight is bounded by the number of attempts per connection.
     }
 
     @Override
     public void closed(NetEvent.Closed event) {
-        drop(connections.get(event.connectionId()));
+        remove(connections.get(event.connectionId()));
     }
 
     @Override
@@ -192,26 +193,27 @@
             }
         } catch (ProtocolException e) {
             actions.add(new NetAction.Log(
-                    NetAction.Level.WARN, "node " + connection.node + ": " + e.getMessage() + "; connection closed"));
+                    NetAction.Level.WARN, "node " + connection.node + ": " + e.getMessage() + "; closing connection"));
             close(connection, true);
         }
     }
 
     private void handle(NodeConnection connection, NodeMessage message) throws ProtocolException {
         if (message instanceof Welcome welcome && !connection.ready()) {
-            welcomed(connection, welcome);
+            handshakeCompleted(connection, welcome);
         } else if (message instanceof Answer answer) {
             answered(connection, answer);
         } else if (message instanceof Probed probed) {
             healthCheckAnswered(probed);
         } else {
-            throw new ProtocolException("a node sent a " + message.getClass().getSimpleName());
+            throw new ProtocolException(
+                    "unexpected message " + message.getClass().getSimpleName());
         }
     }
 
-    /** The node knows this gateway, and its clock is known: what was queued is sent. */
-    private void welcomed(NodeConnection connection, Welcome welcome) {
-        connection.welcomed(welcome.clock(), now);
+    /** The handshake is complete and the node's clock is known: sends the queued attempts. */
+    private void handshakeCompleted(NodeConnection connection, Welcome welcome) {
+        connection.handshakeCompleted(welcome.clock(), now);
         for (QueuedAttempt queued : connection.queued) {
             sendNow(connection, queued.attempt(), queued.request());
         }
@@ -224,7 +226,7 @@
             lateAnswers++;
             return;
         }
-        connection.used(now);
+        connection.markUsed(now);
         endSent(connection, attempt, outcomeOf(answer.result()), answer);
     }
 
@@ -268,11 +270,11 @@
 
     private void close(NodeConnection connection, boolean abort) {
         actions.add(new NetAction.Close(connection.id, abort));
-        drop(connection);
+        remove(connection);
     }
 
-    /** Forgets a connection and ends all that it carried. */
-    private void drop(NodeConnection connection) {
+    /** Removes a connection and ends its attempts and health checks. */
+    private void remove(NodeConnection connection) {
         connections.remove(connection);
         for (QueuedAttempt queued : connection.queued) {
             attempts.remove(queued.attempt());
@@ -287,14 +289,14 @@
         }
     }
 
-    // ---------------------------------------------------------------- time
+    // ---------------------------------------------------------------- deadlines
 
-    /** When something here is due; {@link Long#MAX_VALUE} for nothing. */
+    /** When {@link #expire()} must be called next; {@link Long#MAX_VALUE} for never. */
     public long nextDeadline() {
         return unsendable.isEmpty() ? Math.min(attempts.nextDeadline(), connections.nextDeadline()) : now;
     }
 
-    /** Ends what has run out of time. */
+    /** Ends attempts that timed out or could not be sent, and closes connections that are idle or not ready in time. */
     public void expire() {
         failUnsendable();
         expireAttempts();
@@ -318,10 +320,10 @@
             AttemptKey key = attempt.key();
             NodeConnection connection = connections.get(attempts.connectionId(key));
             if (connection.sent.containsKey(key)) {
-                connection.used(now);
+                connection.markUsed(now);
                 endSent(connection, attempt, Outcome.TIMEOUT, null);
             } else {
-                // Its connection was never ready: nothing was sent.
+                // The connection has not become ready, so nothing was sent.
                 endQueued(connection, key, Outcome.CONNECT_FAILED);
             }
         }
--- a/core/src/main/java/garnetreel/core/connection/NodeConnectionTable.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnectionTable.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Connections to nodes by id and by node, and the choice of one for an attempt. */
+/** The connections to nodes, and the choice of one for an attempt. */
 final class NodeConnectionTable {
     private final GatewaySettings.ConnectionSettings settings;
-    /** In the order they were opened, as ids count down from -1. */
+    /** In the order of opening, as ids count down from -1. */
     private final Map<Long, NodeConnection> byId = new TreeMap<>(Comparator.reverseOrder());
 
     private final Map<String, List<NodeConnection>> byNode = new HashMap<>();
@@ -32,19 +32,19 @@
         return byId.size();
     }
 
-    /** All connections in the order they were opened, as a copy, so that they may be closed meanwhile. */
+    /** A copy of all connections in the order of opening; connections may be removed while it is iterated. */
     List<NodeConnection> all() {
         return List.copyOf(byId.values());
     }
 
-    /** A node's connections, as a copy. */
+    /** A copy of the connections to a node. */
     List<NodeConnection> of(String node) {
         return List.copyOf(byNode.getOrDefault(node, List.of()));
     }
 
     void add(NodeConnection connection) {
         byId.put(connection.id, connection);
-        byNode.computeIfAbsent(connection.node, any -> new ArrayList<>()).add(connection);
+        byNode.computeIfAbsent(connection.node, unused -> new ArrayList<>()).add(connection);
     }
 
     void remove(NodeConnection connection) {
@@ -56,30 +56,30 @@
         }
     }
 
-    /** The ready connection with most capacity left, else one being opened that has capacity; null for none. */
+    /** The least loaded ready connection with capacity, else the least loaded one being opened; null if there is none. */
     NodeConnection leastLoaded(String node) {
         NodeConnection best = null;
         for (NodeConnection connection : byNode.getOrDefault(node, List.of())) {
-            if (connection.load() < settings.maxAttempts() && (best == null || isBetter(connection, best))) {
+            if (connection.load() < settings.maxAttempts() && (best == null || isPreferable(connection, best))) {
                 best = connection;
             }
         }
         return best;
     }
 
-    private static boolean isBetter(NodeConnection candidate, NodeConnection best) {
+    private static boolean isPreferable(NodeConnection candidate, NodeConnection best) {
         if (candidate.ready() != best.ready()) {
             return candidate.ready();
         }
         return candidate.load() < best.load();
     }
 
-    /** Whether one more connection to a node is allowed. */
+    /** Whether another connection to a node may be opened. */
     boolean mayOpen(String node) {
         return byNode.getOrDefault(node, List.of()).size() < settings.maxPerNode();
     }
 
-    /** When the next connection is to be closed; {@link Long#MAX_VALUE} for none. */
+    /** When the next connection is to be closed as idle or not ready; {@link Long#MAX_VALUE} for never. */
     long nextDeadline() {
         long next = Long.MAX_VALUE;
         for (NodeConnection connection : byId.values()) {
--- a/core/src/main/java/garnetreel/core/connection/NodeListClient.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeListClient.java
@@ -28,14 +28,14 @@
 import java.util.function.Consumer;
 
 /**
- * The connection to the node list. The scheduler decides when to subscribe or to poll; this carries it out, keeps
- * versions in step, and persists the list for the next start. It never asks of its own accord, but for one thing: after
- * a gap in versions the changes can't be applied, so the subscription is renewed with the full list.
+ * The client of the node list service. The scheduler decides when to subscribe or to poll; this class carries that out,
+ * tracks the version of the list, and persists the list for the next start. It makes a call on its own in one case only:
+ * after a gap in versions changes can't be applied, so it renews the subscription and requests the full list.
  */
 public final class NodeListClient implements ConnectionHandler {
-    /** Name under which the list is persisted. */
+    /** Name under which the node list is persisted. */
     public static final String CACHE_NAME = "nodes";
-    /** As the known version of a subscription: all entries are asked for. */
+    /** As the known version in a subscription: requests the full list. */
     private static final long NO_VERSION = 0;
 
     private final GatewaySettings settings;
@@ -45,8 +45,8 @@
     private ByteQueue receivedBytes = new ByteQueue();
     private List<NetAction> actions = new ArrayList<>();
     /** Calls that wait until the connection is open. */
-    private final List<NodeListMessage> queued = new ArrayList<>();
-    /** The connection to the list; 0 while there is none. */
+    private final List<NodeListMessage> queuedCalls = new ArrayList<>();
+    /** The connection to the node list service; 0 while there is none. */
     private long connectionId;
 
     private boolean open;
@@ -54,10 +54,10 @@
     private long version;
     private long now;
     private long lastReceivedAt;
-    /** When a call must have been answered; {@link Long#MAX_VALUE} while none is in flight. */
+    /** When the call in flight must have been answered; {@link Long#MAX_VALUE} while none is in flight. */
     private long callDeadline = Long.MAX_VALUE;
 
-    /** A client without a list or connection, which hands what it learns to {@code updates}. */
+    /** A client without a list or connection, which passes updates of the list to {@code updates}. */
     public NodeListClient(
             GatewaySettings settings, ConnectionIdAllocator connectionIds, Consumer<EndpointUpdate> updates) {
         this.settings = settings;
@@ -65,24 +65,24 @@
         this.updates = updates;
     }
 
-    /** Begins a turn: its time, and where its actions go. */
+    /** Begins a turn at this time, whose actions are added to {@code turnActions}. */
     public void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
     }
 
     /**
-     * Starts with what an earlier incarnation persisted; bytes that are torn or of another format are no list, and the
-     * gateway starts without one.
+     * Loads the list that an earlier incarnation persisted, and reports its entries as cached. Truncated data or data in
+     * another format is ignored.
      */
     public void start(byte[] persisted) {
         if (persisted != null && persisted.length > 0) {
-            load(persisted);
+            loadPersisted(persisted);
         }
         publish(EndpointUpdateKind.CACHED, entries.values());
     }
 
-    private void load(byte[] persisted) {
+    private void loadPersisted(byte[] persisted) {
         ByteQueue queue = new ByteQueue();
         queue.add(ByteBuffer.wrap(persisted));
         try {
@@ -90,22 +90,22 @@
                 list.entries().forEach(e -> entries.put(e.address(), e));
                 version = list.version();
             } else {
-                warn("the remembered node list is torn; starting without one");
+                warn("cached node list is incomplete or followed by extra data; starting without a list");
             }
         } catch (ProtocolException e) {
-            warn("the remembered node list can't be read (" + e.getMessage() + "); starting without one");
+            warn("cached node list is unreadable (" + e.getMessage() + "); starting without a list");
         }
     }
 
-    // ---------------------------------------------------------------- from the scheduler
+    // ---------------------------------------------------------------- scheduler actions
 
-    /** Begins or ends the subscription to changes. */
+    /** Starts or ends the subscription to changes. */
     public void subscribe(boolean active) {
         subscribed = active;
         call(new Subscribe(settings.gatewayNumber(), active, version), active);
     }
 
-    /** Asks once for the list. */
+    /** Requests the list once. */
     public void poll() {
         call(new Fetch(settings.gatewayNumber()), true);
     }
@@ -123,7 +123,7 @@
         if (open) {
             write(message);
         } else {
-            queued.add(message);
+            queuedCalls.add(message);
         }
     }
 
@@ -131,7 +131,7 @@
         actions.add(new NetAction.Write(connectionId, NodeListCodec.frame(message)));
     }
 
-    // ---------------------------------------------------------------- from the network
+    // ---------------------------------------------------------------- network events
 
     @Override
     public boolean owns(long id) {
@@ -143,17 +143,17 @@
         connected();
     }
 
-    /** The connection is open: calls that waited are sent. */
+    /** The connection is open: sends the queued calls. */
     public void connected() {
         open = true;
         lastReceivedAt = now;
-        queued.forEach(this::write);
-        queued.clear();
+        queuedCalls.forEach(this::write);
+        queuedCalls.clear();
     }
 
     @Override
     public void drained(long id, int bytes) {
-        // Calls are small and few: what has not left needs no bound.
+        // Needs no flow control: calls are small and few.
     }
 
     @Override
@@ -161,11 +161,11 @@
         closed();
     }
 
-    /** The connection has ended, and with it the subscription and any call. */
+    /** The connection has ended, and with it the subscription and the call in flight. */
     public void closed() {
         connectionId = 0;
         open = false;
-        queued.clear();
+        queuedCalls.clear();
         listUnavailable();
     }
 
@@ -185,7 +185,7 @@
         received(data);
     }
 
-    /** Bytes came from the list. */
+    /** Handles bytes received from the node list service. */
     public void received(ByteBuffer data) {
         lastReceivedAt = now;
         receivedBytes.add(data);
@@ -195,7 +195,7 @@
                 handle(message);
             }
         } catch (ProtocolException e) {
-            warn("node list: " + e.getMessage() + "; connection closed");
+            warn("node list: " + e.getMessage() + "; closing connection");
             abort();
         }
     }
@@ -207,22 +207,22 @@
             listUnavailable();
         } else {
             throw new ProtocolException(
-                    "the node list sent a " + message.getClass().getSimpleName());
+                    "unexpected message " + message.getClass().getSimpleName());
         }
     }
 
     private void update(News list) {
-        boolean delta = list.kind() == Kind.CHANGES;
-        if (delta && list.since() != version) {
-            warn("node list: changes since version " + list.since() + " while at " + version
+        boolean isDelta = list.kind() == Kind.CHANGES;
+        if (isDelta && list.since() != version) {
+            warn("node list: changes since version " + list.since() + " received, but the known version is " + version
                     + "; requesting the full list");
             call(new Subscribe(settings.gatewayNumber(), true, NO_VERSION), true);
             return;
         }
         boolean answersCall = callDeadline != Long.MAX_VALUE;
         callDeadline = Long.MAX_VALUE;
-        boolean keepAlive = delta && list.entries().isEmpty() && !answersCall;
-        if (keepAlive) {
+        boolean isKeepAlive = isDelta && list.entries().isEmpty() && !answersCall;
+        if (isKeepAlive) {
             return;
         }
         apply(list);
@@ -272,9 +272,9 @@
         actions.add(new NetAction.Log(NetAction.Level.WARN, text));
     }
 
-    // ---------------------------------------------------------------- time
+    // ---------------------------------------------------------------- deadlines
 
-    /** When a call or the subscription is given up unless an answer or a keep-alive comes. */
+    /** When the call in flight times out, or the subscription counts as broken; {@link Long#MAX_VALUE} for never. */
     public long nextDeadline() {
         long silentAt =
                 subscribed && open ? lastReceivedAt + settings.connections().listSilence() : Long.MAX_VALUE;
@@ -282,13 +282,13 @@
     }
 
     /**
-     * A call without an answer has failed, and a subscription without a keep-alive is broken. Guards against a half-open
-     * connection, on which a gateway would trust an old list for ever; it could hurt where the list's keep-alives come
-     * later than the bound, which is why the bound is several of them.
+     * Closes the connection if a call was not answered in time or the subscription received no keep-alive. Without this,
+     * an outdated list would be used indefinitely on a half-open connection. The limit is several keep-alive intervals, so
+     * that a late keep-alive does not end the subscription.
      */
     public void expire() {
         if (now >= nextDeadline()) {
-            warn("node list: silent; connection closed");
+            warn("node list: no answer or keep-alive in time; closing connection");
             abort();
         }
     }
--- a/core/src/main/java/garnetreel/core/request/RequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/request/RequestRegistry.java
@@ -103,7 +103,7 @@
         return subRequests.rerouted();
     }
 
-    // ---------------------------------------------------------------- from protocol servers
+    // ---------------------------------------------------------------- protocol servers
 
     @Override
     public BlockBackend.OperationHandle submit(
@@ -196,14 +196,14 @@
         operation.openSubRequests.clear();
     }
 
-    // ---------------------------------------------------------------- from the map service
+    // ---------------------------------------------------------------- extent map
 
     /** The extent map has changed: reroutes the sub-requests that waited for it. */
     public void mapChanged() {
         subRequests.reroute(router);
     }
 
-    // ---------------------------------------------------------------- from the scheduler
+    // ---------------------------------------------------------------- scheduler actions
 
     /** Starts an attempt. If it can't be started it ends at once, which is reported to the scheduler in its next turn. */
     public void send(SendAttempt send) {
@@ -253,11 +253,11 @@
         advance(subRequest.operation);
     }
 
-    // ---------------------------------------------------------------- from node connections
+    // ---------------------------------------------------------------- node connections
 
     /** An attempt ended; {@code answer} is null if the node gave none. */
     public void attemptEnded(NodeAttempt attempt, Outcome outcome, NodeMessage.Answer answer) {
-        SubRequest subRequest = subRequests.find(attempt.id());
+        SubRequest subRequest = subRequests.find(attempt.subRequestId());
         if (subRequest == null) {
             reportCompleted(attempt, outcome, true, answer);
             return;
@@ -279,8 +279,8 @@
 
     private void reportCompleted(NodeAttempt attempt, Outcome outcome, boolean completed, NodeMessage.Answer answer) {
         events.add(new AttemptCompleted(
-                attempt.id(),
-                attempt.number(),
+                attempt.subRequestId(),
+                attempt.index(),
                 attempt.node(),
                 outcome,
                 now - attempt.sentAt(),
@@ -332,7 +332,7 @@
         router.reportStale();
     }
 
-    // ---------------------------------------------------------------- time
+    // ---------------------------------------------------------------- deadlines
 
     /** When {@link #expire()} must be called next; {@link Long#MAX_VALUE} for never. */
     public long nextDeadline() {
--- a/core/src/test/java/garnetreel/core/connection/AttemptTrackerTest.java
+++ b/core/src/test/java/garnetreel/core/connection/AttemptTrackerTest.java
@@ -13,7 +13,7 @@
     private final NodeAttempt early = new NodeAttempt(2, 1, "n:1", 0, 100);
 
     @Test
-    void attemptsTimeOutInOrderOfTheirDeadline() {
+    void attemptsTimeOutInOrderOfTimeOut() {
         tracker.add(late, CONNECTION);
         tracker.add(early, CONNECTION);
         assertEquals(100, tracker.nextDeadline());
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void attemptIsFoundByIdAndNumberUntilItEnds() {
+    void attemptIsFoundBySubRequestIdAndIndexUntilItEnds() {
         tracker.add(early, CONNECTION);
         assertEquals(CONNECTION, tracker.connectionId(new AttemptKey(2, 1)));
         assertNull(tracker.connectionId(new AttemptKey(2, 0)));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void attemptsOfOneDeadlineAreKeptApart() {
+    void attemptsWithTheSameTimeOutAreDistinguished() {
         NodeAttempt hedged = new NodeAttempt(2, 2, "n:2", 0, 100);
         tracker.add(hedged, CONNECTION);
         tracker.add(early, CONNECTION);
--- a/core/src/test/java/garnetreel/core/connection/HealthCheckTrackerTest.java
+++ b/core/src/test/java/garnetreel/core/connection/HealthCheckTrackerTest.java
@@ -13,14 +13,14 @@
     private final HealthCheckTracker checks = new HealthCheckTracker();
 
     @Test
-    void checkEndsOnce() {
+    void checkIsCompletedOnce() {
         long id = checks.begin("n:1", -1, 10);
         assertEquals(new HealthCheck("n:1", -1, 10), checks.complete(id));
         assertNull(checks.complete(id));
     }
 
     @Test
-    void endOfAConnectionEndsItsChecksOldestFirst() {
+    void checksOnAConnectionAreRemovedOldestFirst() {
         checks.begin("n:1", -1, 10);
         long other = checks.begin("n:2", -2, 11);
         checks.begin("n:1", -1, 12);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void isFullAtItsBound() {
+    void isFullAtTheLimit() {
         for (int i = 0; i < 63; i++) {
             checks.begin("n:1", -1, i);
         }
--- a/core/src/test/java/garnetreel/core/connection/NodeConnectionPoolTest.java
+++ b/core/src/test/java/garnetreel/core/connection/NodeConnectionPoolTest.java
@@ -27,11 +27,12 @@
     private final List<NetAction> actions = new ArrayList<>();
     private final NodeConnectionPool pool = new NodeConnectionPool(settings(), new ConnectionIdAllocator());
 
-    /** One connection a node, which carries two attempts. */
+    /** At most one connection per node and two attempts per connection. */
     private static GatewaySettings settings() {
-        GatewaySettings.ConnectionSettings links =
+        GatewaySettings.ConnectionSettings connections =
                 new GatewaySettings.ConnectionSettings(1, 2, IDLE, CONNECT_TIMEOUT, 0, 0, true);
-        return new GatewaySettings(3, 77, "", "", "", null, List.of(), 0, null, links, GatewaySettings.Files.NONE);
+        return new GatewaySettings(
+                3, 77, "", "", "", null, List.of(), 0, null, connections, GatewaySettings.Files.NONE);
     }
 
     @BeforeEach
@@ -39,7 +40,7 @@
         pool.listener(new NodeConnectionPool.Listener() {
             @Override
             public void attemptEnded(NodeAttempt attempt, Outcome outcome, Answer answer) {
-                ended.add(attempt.id() + "/" + attempt.number() + " " + outcome);
+                ended.add(attempt.subRequestId() + "/" + attempt.index() + " " + outcome);
             }
 
             @Override
@@ -57,7 +58,7 @@
                         id, 0, 0, NodeMessage.Op.READ, false, false, until, 1, 0, 1, 0, 0, 0, 10, NodeMessage.none()));
     }
 
-    private void welcome() {
+    private void completeHandshake() {
         pool.connected(FIRST);
         pool.received(FIRST, NodeCodec.frame(new NodeMessage.Welcome(5, 0)));
     }
@@ -68,21 +69,21 @@
                 NodeCodec.frame(new Answer(id, 0, NodeMessage.Result.OK, 0, 0, 5, Map.of(), NodeMessage.none())));
     }
 
-    private List<String> kinds() {
-        List<String> kinds =
+    private List<String> drainActionTypes() {
+        List<String> types =
                 actions.stream().map(a -> a.getClass().getSimpleName()).toList();
         actions.clear();
-        return kinds;
+        return types;
     }
 
     @Test
-    void attemptWaitsForTheWelcomeAndEndsByItsAnswerOnce() {
+    void attemptWaitsForTheHandshakeAndEndsOnceByItsAnswer() {
         send(1, 500);
-        assertEquals(List.of("Connect"), kinds());
+        assertEquals(List.of("Connect"), drainActionTypes());
         pool.connected(FIRST);
-        assertEquals(List.of("Write"), kinds());
+        assertEquals(List.of("Write"), drainActionTypes());
         pool.received(FIRST, NodeCodec.frame(new NodeMessage.Welcome(5, 0)));
-        assertEquals(List.of("Write"), kinds());
+        assertEquals(List.of("Write"), drainActionTypes());
         answer(1);
         answer(1);
         assertEquals(List.of("1/0 OK"), ended);
@@ -90,7 +91,7 @@
     }
 
     @Test
-    void whatWasNeverSentHasNotRun() {
+    void unsentAttemptsEndAsConnectFailed() {
         send(1, 500);
         pool.beginTurn(500, actions);
         pool.expire();
@@ -101,10 +102,10 @@
     }
 
     @Test
-    void whatWasSentMayHaveRun() {
+    void sentAttemptsEndAsTimeoutOrReset() {
         send(1, 500);
         send(2, 900);
-        welcome();
+        completeHandshake();
         pool.beginTurn(500, actions);
         pool.expire();
         pool.closed(new NetEvent.Closed(FIRST, true, "closed by the test"));
@@ -129,7 +130,7 @@
         pool.cancel(1, 0);
         pool.cancel(1, 0);
         send(2, 500);
-        welcome();
+        completeHandshake();
         pool.cancel(2, 0);
         assertEquals(List.of("1/0 CANCELLED", "2/0 CANCELLED"), ended);
     }
@@ -137,16 +138,16 @@
     @Test
     void healthCheckNeedsAReadyConnectionAndEndsWithIt() {
         pool.checkHealth(NODE);
-        welcome();
+        completeHandshake();
         pool.checkHealth(NODE);
         pool.closed(new NetEvent.Closed(FIRST, true, "closed by the test"));
         assertEquals(List.of("check CONNECT_FAILED", "check RESET"), ended);
     }
 
     @Test
-    void idleConnectionIsClosedInOrderAndOneThatNeverOpenedIsAborted() {
+    void idleConnectionIsClosedGracefullyAndOneNotReadyInTimeIsAborted() {
         pool.checkHealth(NODE);
-        welcome();
+        completeHandshake();
         assertEquals(IDLE, pool.nextDeadline());
         pool.beginTurn(IDLE, actions);
         actions.clear();
@@ -161,12 +162,12 @@
     }
 
     @Test
-    void unexpectedMessageEndsTheConnection() {
+    void unexpectedMessageClosesTheConnection() {
         send(1, 500);
-        welcome();
-        kinds();
+        completeHandshake();
+        drainActionTypes();
         pool.received(FIRST, NodeCodec.frame(new NodeMessage.Hello(1, 1)));
-        assertEquals(List.of("Log", "Close"), kinds());
+        assertEquals(List.of("Log", "Close"), drainActionTypes());
         assertEquals(List.of("1/0 RESET"), ended);
     }
 }
--- a/core/src/test/java/garnetreel/core/connection/NodeConnectionTableTest.java
+++ b/core/src/test/java/garnetreel/core/connection/NodeConnectionTableTest.java
@@ -15,7 +15,7 @@
     private static final long IDLE = 1000;
     private static final long CONNECT_TIMEOUT = 50;
 
-    /** Two connections a node, two attempts each. */
+    /** At most two connections per node and two attempts per connection. */
     private final GatewaySettings.ConnectionSettings settings =
             new GatewaySettings.ConnectionSettings(2, 2, IDLE, CONNECT_TIMEOUT, 0, 0, true);
 
@@ -23,37 +23,37 @@
     private final NodeConnection first = new NodeConnection(-1, NODE, 0);
     private final NodeConnection second = new NodeConnection(-2, NODE, 0);
 
-    private static void load(NodeConnection connection, int number) {
-        NodeAttempt attempt = new NodeAttempt(1, number, NODE, 0, 10);
+    private static void addAttempt(NodeConnection connection, int index) {
+        NodeAttempt attempt = new NodeAttempt(1, index, NODE, 0, 10);
         connection.sent.put(attempt.key(), attempt);
     }
 
     @Test
-    void readyConnectionGoesBeforeOneBeingOpened() {
+    void readyConnectionIsPreferredToOneBeingOpened() {
         table.add(first);
         table.add(second);
-        second.welcomed(0, 0);
-        load(second, 0);
+        second.handshakeCompleted(0, 0);
+        addAttempt(second, 0);
         assertSame(second, table.leastLoaded(NODE));
     }
 
     @Test
-    void leastLoadedIsChosenAndTheOlderOneOfTwoAlike() {
+    void leastLoadedConnectionIsChosenAndTheOlderOneIfEqual() {
         table.add(first);
         table.add(second);
-        first.welcomed(0, 0);
-        second.welcomed(0, 0);
+        first.handshakeCompleted(0, 0);
+        second.handshakeCompleted(0, 0);
         assertSame(first, table.leastLoaded(NODE));
-        load(first, 0);
+        addAttempt(first, 0);
         assertSame(second, table.leastLoaded(NODE));
     }
 
     @Test
     void fullConnectionsAreNotChosen() {
         table.add(first);
-        first.welcomed(0, 0);
-        load(first, 0);
-        load(first, 1);
+        first.handshakeCompleted(0, 0);
+        addAttempt(first, 0);
+        addAttempt(first, 1);
         assertNull(table.leastLoaded(NODE));
         assertTrue(table.mayOpen(NODE));
         table.add(second);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void connectionsAreListedInTheOrderTheyWereOpened() {
+    void connectionsAreListedInOrderOfOpening() {
         table.add(first);
         table.add(second);
         assertEquals(List.of(first, second), table.all());
@@ -72,12 +72,12 @@
     }
 
     @Test
-    void deadlineIsThatOfOpeningAndThenOfIdleness() {
+    void deadlineIsTheConnectTimeoutAndThenTheIdleTime() {
         table.add(first);
         assertEquals(CONNECT_TIMEOUT, table.nextDeadline());
-        first.welcomed(0, 20);
+        first.handshakeCompleted(0, 20);
         assertEquals(20 + IDLE, table.nextDeadline());
-        load(first, 0);
+        addAttempt(first, 0);
         assertEquals(Long.MAX_VALUE, table.nextDeadline());
     }
 }
