--- a/core/src/main/java/garnetreel/core/ExtentLayout.java
+++ b/core/src/main/java/garnetreel/core/ExtentLayout.java
@@ -3,36 +3,37 @@
 import java.util.List;
 
 /**
- * Where the bytes of a volume are, as long as no extent map says otherwise. One look-up gives the extent that holds an
- * offset.
+ * The initial placement of a volume's extents on shards, which applies unless the extent map contains the volume.
  */
 public interface ExtentLayout {
 
-    /** The extent that holds an offset within the volume. */
+    /** The location of the extent that contains an offset of the volume. */
     ExtentLocation locate(long offset);
 
     /**
-     * Where an extent is.
+     * The location of an extent.
      *
      * @param shard the shard that holds the extent
-     * @param version version under which it does; 0 where versions are not kept
-     * @param end first byte after the extent
+     * @param version version of this placement; 0 for an initial layout, which has no versions
+     * @param end offset of the first byte after the extent
      */
     record ExtentLocation(int shard, long version, long end) {}
 
     /**
-     * Extents of one size, dealt out over shards in turn.
+     * A layout of extents of equal size, assigned to the shards round-robin.
      *
-     * @throws IllegalArgumentException for an empty extent or no shard
+     * @throws IllegalArgumentException if the extent size is not positive or there is no shard
      */
     static ExtentLayout fixed(long extentBytes, List<Integer> shards) {
         if (extentBytes <= 0 || shards.isEmpty()) {
-            throw new IllegalArgumentException("a layout needs extents of at least a byte and a shard");
+            throw new IllegalArgumentException("a layout needs a positive extent size and at least one shard, got "
+                    + extentBytes + " bytes and " + shards.size() + " shards");
         }
-        int[] shardOfTurn = shards.stream().mapToInt(Integer::intValue).toArray();
+        int[] shardNumbers = shards.stream().mapToInt(Integer::intValue).toArray();
         return offset -> {
             long extent = offset / extentBytes;
-            return new ExtentLocation(shardOfTurn[(int) (extent % shardOfTurn.length)], 0, (extent + 1) * extentBytes);
+            return new ExtentLocation(
+                    shardNumbers[(int) (extent % shardNumbers.length)], 0, (extent + 1) * extentBytes);
         };
     }
 }
--- a/core/src/main/java/garnetreel/core/Gateway.java
+++ b/core/src/main/java/garnetreel/core/Gateway.java
@@ -30,35 +30,36 @@
 import java.util.List;
 
 /**
- * A gateway instance without I/O: protocol servers, request registry, connections to nodes, list and map, and the
- * scheduler, tied together. All that happened since the last turn goes into one turn of the scheduler.
+ * A gateway instance as a state machine without I/O. It connects the protocol servers, the request registry, the clients of
+ * nodes, node list and map service, and the scheduler. All events since the last turn are passed to the scheduler in one
+ * turn.
  */
 public final class Gateway implements StateMachine, NodeConnectionPool.Listener, SchedulerDriver.ActionHandler {
-    /** The listener of NBD clients. */
+    /** Name of the listener for NBD clients. */
     public static final String NBD = "nbd";
-    /** The listener of rsync clients. */
+    /** Name of the listener for rsync clients. */
     public static final String RSYNC = "rsync";
 
-    /** Accepts no new work, answers what was accepted, then emits {@link NetAction.Stopped}. */
+    /** Commands the gateway to accept no new work, finish what it has accepted, and then emit {@link NetAction.Stopped}. */
     public record Drain() implements NetEvent.Command {}
 
     private final GatewaySettings settings;
-    private final byte[] cachedList;
+    private final byte[] cachedNodeList;
     private final byte[] cachedMap;
     private final SchedulerDriver scheduler;
-    private final ProcessPauseDetector pauses = new ProcessPauseDetector();
+    private final ProcessPauseDetector pauseDetector = new ProcessPauseDetector();
     private final NodeConnectionPool nodes;
-    private final NodeListClient list;
-    private final MapServiceClient map;
+    private final NodeListClient nodeList;
+    private final MapServiceClient mapService;
     private final RequestRegistry requests;
     private final ByteBudget byteBudget;
     private final NbdServer nbd;
-    private final FileCatalogueStore files;
+    private final FileCatalogueStore fileCatalogue;
     private final RsyncServer rsync;
-    private final ConnectionDispatcher connections;
+    private final ConnectionDispatcher connectionEvents;
 
-    private volatile Figures figures = new Figures(0, 0, 0, 0, 0, 0, 0, 0, 0);
-    private boolean begun;
+    private volatile Figures statistics = new Figures(0, 0, 0, 0, 0, 0, 0, 0, 0);
+    private boolean started;
     private boolean draining;
     private boolean stopped;
     private long now;
@@ -67,51 +68,51 @@
      * A gateway without a file catalogue.
      *
      * @param scheduler a new scheduler
-     * @param cachedList the last {@link NetAction.Persist} under {@link NodeListClient#CACHE_NAME}; null for none
+     * @param cachedNodeList the last {@link NetAction.Persist} under {@link NodeListClient#CACHE_NAME}; null for none
      * @param cachedMap the same under {@link MapServiceClient#CACHE_NAME}
      */
-    public Gateway(GatewaySettings settings, Scheduler scheduler, byte[] cachedList, byte[] cachedMap) {
-        this(settings, scheduler, cachedList, cachedMap, FileCatalogueStore.StoredCatalogue.NOTHING);
+    public Gateway(GatewaySettings settings, Scheduler scheduler, byte[] cachedNodeList, byte[] cachedMap) {
+        this(settings, scheduler, cachedNodeList, cachedMap, FileCatalogueStore.StoredCatalogue.NOTHING);
     }
 
     /**
      * A gateway that starts with what an earlier incarnation persisted.
      *
      * @param scheduler a new scheduler
-     * @param cachedList the last {@link NetAction.Persist} under {@link NodeListClient#CACHE_NAME}; null for none
+     * @param cachedNodeList the last {@link NetAction.Persist} under {@link NodeListClient#CACHE_NAME}; null for none
      * @param cachedMap the same under {@link MapServiceClient#CACHE_NAME}
      * @param catalogue the file catalogue, from {@link NetAction.Append} and {@link NetAction.Snapshot}
      */
     public Gateway(
             GatewaySettings settings,
             Scheduler scheduler,
-            byte[] cachedList,
+            byte[] cachedNodeList,
             byte[] cachedMap,
             FileCatalogueStore.StoredCatalogue catalogue) {
         this.settings = settings;
-        this.cachedList = cachedList;
+        this.cachedNodeList = cachedNodeList;
         this.cachedMap = cachedMap;
         this.scheduler = new SchedulerDriver(scheduler, this);
         ConnectionIdAllocator connectionIds = new ConnectionIdAllocator();
         nodes = new NodeConnectionPool(settings, connectionIds);
         nodes.listener(this);
-        map = new MapServiceClient(settings, connectionIds);
-        requests = new RequestRegistry(settings, nodes, map);
-        map.onChange(requests::mapChanged);
-        list = new NodeListClient(settings, connectionIds, requests::addEvent);
+        mapService = new MapServiceClient(settings, connectionIds);
+        requests = new RequestRegistry(settings, nodes, mapService);
+        mapService.onChange(requests::mapChanged);
+        nodeList = new NodeListClient(settings, connectionIds, requests::addEvent);
         byteBudget = new ByteBudget(settings.bounds().gatewayBytes());
         nbd = new NbdServer(settings, requests, byteBudget);
-        files = new FileCatalogueStore(settings, catalogue);
-        rsync = new RsyncServer(settings, requests, byteBudget, files);
-        connections = new ConnectionDispatcher(nbd, rsync, nodes, list, map);
+        fileCatalogue = new FileCatalogueStore(settings, catalogue);
+        rsync = new RsyncServer(settings, requests, byteBudget, fileCatalogue);
+        connectionEvents = new ConnectionDispatcher(nbd, rsync, nodes, nodeList, mapService);
     }
 
     @Override
     public void handle(long time, List<NetEvent> events, List<NetAction> actions) {
         now = Math.max(now, time);
         beginTurn(actions);
-        if (!begun) {
-            begun = true;
+        if (!started) {
+            started = true;
             start(actions);
         }
         for (NetEvent event : events) {
@@ -121,23 +122,23 @@
         runScheduler(actions);
         byteBudget.notifyWaiting();
         stopIfDrained(actions);
-        figures = currentFigures();
+        statistics = currentStatistics();
     }
 
     private void beginTurn(List<NetAction> actions) {
-        long receivedAt = pauses.beginTurn(now, hasClients(), actions);
+        long receivedAt = pauseDetector.beginTurn(now, hasClients(), actions);
         nodes.beginTurn(now, actions);
-        list.beginTurn(now, actions);
-        map.locate(now, actions);
+        nodeList.beginTurn(now, actions);
+        mapService.locate(now, actions);
         requests.beginTurn(now, receivedAt);
         nbd.beginTurn(now, actions);
-        files.beginTurn(now, actions);
+        fileCatalogue.beginTurn(now, actions);
         rsync.beginTurn(now, actions);
     }
 
     private void start(List<NetAction> actions) {
-        list.start(cachedList);
-        map.start(cachedMap);
+        nodeList.start(cachedNodeList);
+        mapService.start(cachedMap);
         actions.add(new NetAction.Listen(NBD, settings.listen()));
         if (servesFiles()) {
             actions.add(new NetAction.Listen(RSYNC, settings.files().listen()));
@@ -148,7 +149,7 @@
         return !settings.files().listen().isEmpty();
     }
 
-    // ---------------------------------------------------------------- from the network
+    // ---------------------------------------------------------------- network events
 
     private void handle(NetEvent event, List<NetAction> actions) {
         if (event instanceof NetEvent.Accepted accepted) {
@@ -156,11 +157,11 @@
         } else if (event instanceof NetEvent.ListenFailed failed) {
             actions.add(new NetAction.Log(Level.WARN, describe(failed)));
         } else if (event instanceof NetEvent.Appended appended) {
-            files.appended(appended.sequence());
+            fileCatalogue.appended(appended.sequence());
         } else if (event instanceof NetEvent.CommandReceived received && received.command() instanceof Drain) {
             drain(actions);
         } else {
-            connections.dispatch(event);
+            connectionEvents.dispatch(event);
         }
     }
 
@@ -170,7 +171,7 @@
 
     private String describe(NetEvent.ListenFailed failed) {
         String address = failed.listener().equals(RSYNC) ? settings.files().listen() : settings.listen();
-        return "can't listen for " + failed.listener() + " on " + address + ": " + failed.reason();
+        return "can't listen for " + failed.listener() + " clients on " + address + ": " + failed.reason();
     }
 
     private void drain(List<NetAction> actions) {
@@ -186,17 +187,17 @@
         rsync.drain();
     }
 
-    // ---------------------------------------------------------------- time
+    // ---------------------------------------------------------------- deadlines
 
-    /** What ends here is part of this turn: the scheduler learns of it afterwards. */
+    /** Runs before the scheduler, so that the events of expired deadlines are part of the same scheduler turn. */
     private void expire() {
         nodes.expire();
-        list.expire();
-        map.expire();
+        nodeList.expire();
+        mapService.expire();
         nbd.expire();
         requests.expire();
         rsync.expire();
-        files.expire();
+        fileCatalogue.expire();
     }
 
     private void runScheduler(List<NetAction> actions) {
@@ -223,18 +224,18 @@
 
     @Override
     public long nextDeadline() {
-        if (!begun || requests.hasEvents()) {
+        if (!started || requests.hasEvents()) {
             return now;
         }
         return earliest(
-                map.nextDeadline(),
+                mapService.nextDeadline(),
                 nodes.nextDeadline(),
-                list.nextDeadline(),
+                nodeList.nextDeadline(),
                 nbd.nextDeadline(),
                 requests.nextDeadline(),
                 rsync.nextDeadline(),
-                files.nextDeadline(),
-                pauses.nextDeadline(hasClients()),
+                fileCatalogue.nextDeadline(),
+                pauseDetector.nextDeadline(hasClients()),
                 scheduler.nextDeadline());
     }
 
@@ -246,7 +247,7 @@
         return earliest;
     }
 
-    // ---------------------------------------------------------------- from the scheduler
+    // ---------------------------------------------------------------- scheduler actions
 
     @Override
     public void send(SendAttempt send) {
@@ -280,15 +281,15 @@
 
     @Override
     public void subscribe(SubscribeEndpoints subscribe) {
-        list.subscribe(subscribe.active());
+        nodeList.subscribe(subscribe.active());
     }
 
     @Override
     public void pollEndpoints() {
-        list.poll();
+        nodeList.poll();
     }
 
-    // ---------------------------------------------------------------- from node connections
+    // ---------------------------------------------------------------- node connections
 
     @Override
     public void attemptEnded(NodeAttempt attempt, Outcome outcome, NodeMessage.Answer answer) {
@@ -300,9 +301,9 @@
         requests.addEvent(result);
     }
 
-    // ---------------------------------------------------------------- figures
+    // ---------------------------------------------------------------- statistics
 
-    private Figures currentFigures() {
+    private Figures currentStatistics() {
         return new Figures(
                 clientConnections(),
                 requests.operations(),
@@ -312,25 +313,25 @@
                 requests.rejectedAtTable(),
                 requests.overdue(),
                 requests.rerouted(),
-                map.version());
+                mapService.version());
     }
 
-    /** Figures as they were after the last turn; may be asked for on any thread. */
+    /** The statistics as of the end of the last turn. May be called on any thread. */
     public Figures figures() {
-        return figures;
+        return statistics;
     }
 
     /**
-     * What a gateway holds and has counted.
+     * Statistics of a gateway: its current load, and counters since its start.
      *
-     * @param connections connections of clients
+     * @param connections open client connections
      * @param operations operations in progress
-     * @param reservedBytes bytes reserved of the gateway's byte budget
+     * @param reservedBytes bytes reserved from the gateway's byte budget
      * @param nodeConnections connections to nodes
-     * @param lateAnswers answers of nodes that came after their attempt had ended
-     * @param rejectedAtTable operations rejected because the table was full
-     * @param overdue sub-requests that the scheduler left without a result past their deadline
-     * @param rerouted sub-requests routed again because their extent had moved
+     * @param lateAnswers answers of nodes that arrived after their attempt had ended
+     * @param rejectedAtTable operations rejected because the limit of concurrent operations was reached
+     * @param overdue sub-requests for which the scheduler gave no result by their deadline
+     * @param rerouted number of times a sub-request was rerouted because its extent had moved
      * @param mapVersion version of the cached extent map
      */
     public record Figures(
--- a/core/src/main/java/garnetreel/core/GatewaySettings.java
+++ b/core/src/main/java/garnetreel/core/GatewaySettings.java
@@ -5,19 +5,20 @@
 import java.util.Map;
 
 /**
- * Settings of a gateway, fixed for one run of it.
+ * Settings of a gateway, fixed while it runs.
  *
- * @param gatewayNumber its number among the gateways of a deployment
- * @param incarnation differs at each start of the gateway
- * @param listen where NBD clients connect, host:port
- * @param list where the node list is, host:port
- * @param map where the map service is, host:port; empty where extents stay where the volumes' layouts have them
+ * @param gatewayNumber number of this gateway within the deployment
+ * @param incarnation number that is different at each start of the gateway
+ * @param listen address for NBD clients, host:port
+ * @param list address of the node list service, host:port
+ * @param map address of the map service, host:port; empty if extents never move from their initial layout
  * @param scheduling settings of the scheduler
- * @param volumes all volumes, of which {@link #exports()} are exported
- * @param files what is served by rsync
- * @param margin microseconds before the class's deadline at which the reply is given at the latest, for its way to the client
- * @param bounds bounds of what the gateway holds
- * @param connections connections to nodes, list and map service
+ * @param volumes all volumes; NBD clients see those of {@link #exports()}
+ * @param margin microseconds by which the gateway's deadline for a reply precedes that of the request class, to allow for
+ *     the transfer to the client
+ * @param bounds limits of the resources that the gateway uses
+ * @param connections settings of the connections to nodes, node list and map service
+ * @param files settings of the rsync service
  */
 public record GatewaySettings(
         int gatewayNumber,
@@ -32,52 +33,52 @@
         ConnectionSettings connections,
         Files files) {
 
-    /** Volumes exported by NBD: one that holds an rsync module's files is not, as a block client would write over them. */
+    /** The volumes exported by NBD. Volumes of rsync modules are excluded, as a block client would overwrite their files. */
     public List<Volume> exports() {
         return volumes.stream()
                 .filter(v -> files.modules().stream().noneMatch(m -> m.volume().equals(v.name())))
                 .toList();
     }
 
-    /** The same settings with other rsync modules or another address for them. */
+    /** A copy of these settings with other settings of the rsync service. */
     public GatewaySettings withFiles(Files other) {
         return new GatewaySettings(
                 gatewayNumber, incarnation, listen, list, map, scheduling, volumes, margin, bounds, connections, other);
     }
 
     /**
-     * What is served by rsync.
+     * Settings of the rsync service.
      *
-     * @param listen where rsync clients connect; empty for not at all
-     * @param modules what clients can choose from
-     * @param secret bytes that nobody else knows, from which challenges are made
+     * @param listen address for rsync clients, host:port; empty if rsync is not served
+     * @param modules the modules that clients can choose from
+     * @param secret random secret from which authentication challenges are derived
      */
     public record Files(String listen, List<Module> modules, byte[] secret) {
-        /** No files are served. */
+        /** The rsync service is disabled. */
         public static final Files NONE = new Files("", List.of(), new byte[0]);
     }
 
     /**
-     * An rsync module: a directory tree that clients name.
+     * An rsync module: a directory tree that clients select by name.
      *
-     * @param comment shown in the list of modules
-     * @param volume the volume that holds its files and nothing else
-     * @param users passwords by name; empty where no password is asked for
+     * @param comment description, shown in the list of modules
+     * @param volume the volume that stores its files exclusively
+     * @param users passwords by user name; empty if no authentication is required
      */
     public record Module(String name, String comment, String volume, boolean readOnly, Map<String, String> users) {}
 
     /**
-     * Bounds of what a gateway holds; what happens at each is in docs/gateway.md.
+     * Resource limits of a gateway. The behaviour at each limit is described in docs/gateway.md.
      *
-     * @param connections client connections served
-     * @param connectionRequests requests in progress per connection; past it the connection is not read from
-     * @param gatewayRequests operations in progress at this gateway; past it one is rejected before it is accepted
-     * @param connectionBytes payload and replies buffered per connection; past it the connection is not read from
-     * @param gatewayBytes the byte budget of all connections together
-     * @param maxPayload largest read or write in bytes
+     * @param connections maximum of client connections
+     * @param connectionRequests maximum of requests in progress per connection; at the limit, reading from it is suspended
+     * @param gatewayRequests maximum of operations in progress at this gateway; at the limit, new ones are rejected
+     * @param connectionBytes maximum of payload and reply bytes buffered per connection; at the limit, reading is suspended
+     * @param gatewayBytes byte budget shared by all client connections
+     * @param maxPayload maximum size of a read or write in bytes
      * @param unitBytes bytes that the scheduler counts as one unit; a sub-request has at most its {@code maxUnits}
-     * @param keyBytes bytes of one block, which share a key: for the scheduler's order and the nodes' deduplication
-     * @param handshake time a client has for its handshake, in microseconds
+     * @param keyBytes size of the blocks whose bytes share a key; the scheduler orders and nodes deduplicate by key
+     * @param handshake time limit of a client's handshake, in microseconds
      */
     public record Bounds(
             int connections,
@@ -91,15 +92,17 @@
             long handshake) {}
 
     /**
-     * Connections to nodes, the list and the map service; times in microseconds.
+     * Settings of the connections to nodes, node list and map service; times are in microseconds.
      *
      * @param maxPerNode maximum of connections to one node
-     * @param maxAttempts maximum of attempts in flight on one of them
-     * @param idle time after which an unused one is closed
-     * @param connectTimeout time in which one must be ready
-     * @param listCall time in which a call to the list must be answered
-     * @param listSilence time without a message after which a subscription counts as broken
-     * @param followMap changes of the map are subscribed to; else they are asked for after a stale answer alone
+     * @param maxAttempts maximum of attempts in flight on a connection to a node
+     * @param idle time after which an unused connection to a node is closed
+     * @param connectTimeout time within which a connection to a node must be ready
+     * @param listCall time within which the node list service must answer a call
+     * @param listSilence time without a message after which a connection to the map service or a node list subscription
+     *     counts as broken
+     * @param followMap whether to subscribe to changes of the extent map; if false, they are requested only after a stale
+     *     answer
      */
     public record ConnectionSettings(
             int maxPerNode,
--- a/core/src/main/java/garnetreel/core/ProcessPauseDetector.java
+++ b/core/src/main/java/garnetreel/core/ProcessPauseDetector.java
@@ -5,48 +5,49 @@
 import java.util.List;
 
 /**
- * Notices that this process was paused or got no CPU. Guards against requests that waited in sockets meanwhile: their
- * clients' time ran, and counted from now it would end after the client has given up. What is read as the process resumes
- * counts as received when it was paused. It could hurt what came just before it resumed, which has that much less time.
+ * Detects that this process was paused or got no CPU time. Requests may have waited in the sockets meanwhile; if their
+ * deadlines were counted from when they are read, these would end after the clients have given up. Data read right after
+ * a pause therefore counts as received when the pause began. Requests that arrived towards the end of the pause get less
+ * time than they should.
  */
 public final class ProcessPauseDetector {
     private static final long MICROS_PER_MILLI = 1000;
-    /** Microseconds: a gateway with clients takes a turn at least so often, so that a longer gap means a pause. */
+    /** Interval at which a gateway with clients takes a turn at least, so that a much longer gap indicates a pause. */
     private static final long HEARTBEAT_MICROS = 50_000;
-    /** A gap past this is no busy host's late turn. */
+    /** A shorter gap may be a late turn on a busy host. */
     private static final long PAUSE_THRESHOLD_MICROS = 4 * HEARTBEAT_MICROS;
-    /** Time after which sockets hold nothing any more that came during the pause. */
+    /** Time after a pause within which all data that arrived during it has been read from the sockets. */
     private static final long CATCH_UP_MICROS = 100_000;
-    /** In place of the last turn's time, before the first one. */
-    private static final long NONE = -1;
+    /** Value of {@link #lastTurn} before the first turn. */
+    private static final long NO_TURN = -1;
 
-    private long lastTurn = NONE;
+    private long lastTurn = NO_TURN;
     private long pausedAt;
-    private long caughtUpAt;
+    private long catchUpEndsAt;
 
     /**
      * Begins a turn.
      *
-     * @param clients whether clients are connected; without any there was no heartbeat to miss
-     * @return the time as of which what is read now was received
+     * @param hasClients whether clients are connected; without clients there are no regular turns, so gaps are ignored
+     * @return the earliest time at which the data read in this turn may have been received
      */
-    public long beginTurn(long now, boolean clients, List<NetAction> actions) {
-        if (lastTurn != NONE && now - lastTurn > PAUSE_THRESHOLD_MICROS && clients) {
+    public long beginTurn(long now, boolean hasClients, List<NetAction> actions) {
+        if (lastTurn != NO_TURN && now - lastTurn > PAUSE_THRESHOLD_MICROS && hasClients) {
             pausedAt = lastTurn;
-            caughtUpAt = now + CATCH_UP_MICROS;
+            catchUpEndsAt = now + CATCH_UP_MICROS;
             actions.add(new NetAction.Log(Level.WARN, describePause(now - lastTurn)));
         }
         lastTurn = now;
-        return now < caughtUpAt ? pausedAt : now;
+        return now < catchUpEndsAt ? pausedAt : now;
     }
 
     private static String describePause(long micros) {
         return "no turn for " + micros / MICROS_PER_MILLI
-                + " ms: this process was stopped or starved; what waited in its sockets counts as received before";
+                + " ms: process was paused or got no CPU time; data read now counts as received before the pause";
     }
 
-    /** When the next turn is due even if nothing happens. */
-    public long nextDeadline(boolean clients) {
-        return clients ? lastTurn + HEARTBEAT_MICROS : Long.MAX_VALUE;
+    /** When the next turn is due even without events; {@link Long#MAX_VALUE} for never. */
+    public long nextDeadline(boolean hasClients) {
+        return hasClients ? lastTurn + HEARTBEAT_MICROS : Long.MAX_VALUE;
     }
 }
--- a/core/src/main/java/garnetreel/core/SchedulerDriver.java
+++ b/core/src/main/java/garnetreel/core/SchedulerDriver.java
@@ -21,9 +21,9 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** Drives the scheduler in a gateway, whatever its protocols: its turns, its timers, and its actions on their way. */
+/** Runs the scheduler in a gateway, independently of protocols: calls it, keeps its timers, and dispatches its actions. */
 public final class SchedulerDriver {
-    /** Carries out what the scheduler decided. */
+    /** Executes the scheduler's decisions. */
     public interface ActionHandler {
         /** Sends an attempt to an endpoint. */
         void send(SendAttempt send);
@@ -31,7 +31,7 @@
         /** Ends a request that had no effect. */
         void reject(RejectRequest reject);
 
-        /** Ends a request whose effect is not known. */
+        /** Ends a request whose effect is unknown. */
         void fail(FailRequest fail);
 
         /** Stops waiting for an attempt. */
@@ -40,17 +40,17 @@
         /** Checks the health of an endpoint. */
         void checkHealth(CheckHealth check);
 
-        /** Closes connections to an endpoint that carry nothing. */
+        /** Closes the connections to an endpoint that have no attempts. */
         void closeIdle(CloseIdleConnections close);
 
-        /** Begins or ends the subscription to the list of endpoints. */
+        /** Starts or ends the subscription to the list of endpoints. */
         void subscribe(SubscribeEndpoints subscribe);
 
-        /** Asks once for the list of endpoints. */
+        /** Requests the list of endpoints once. */
         void pollEndpoints();
     }
 
-    /** A timer; {@code sequence} keeps timers of one time in the order they were set. */
+    /** A timer; {@code sequence} orders timers with the same expiry time by when they were set. */
     private record Timer(long expiresAt, long sequence, String name) {}
 
     private final Scheduler scheduler;
@@ -59,27 +59,27 @@
             new PriorityQueue<>(Comparator.comparingLong(Timer::expiresAt).thenComparingLong(Timer::sequence));
     private long lastSequence;
 
-    /** Drives a scheduler whose actions {@code handler} carries out. */
+    /** A driver of {@code scheduler} that passes its actions to {@code handler}. */
     public SchedulerDriver(Scheduler scheduler, ActionHandler handler) {
         this.scheduler = scheduler;
         this.handler = handler;
     }
 
-    /** Hands over an event for each timer that has expired, in order. */
+    /** Removes the expired timers and passes an event for each to {@code events}, in order. */
     public void expireTimers(long now, Consumer<SchedulerEvent> events) {
         while (nextDeadline() <= now) {
             events.accept(new TimerExpired(timers.poll().name()));
         }
     }
 
-    /** Gives the scheduler a turn with these events, and carries out its actions in order. */
+    /** Passes events to the scheduler and executes the resulting actions in order. */
     public void decide(long now, List<SchedulerEvent> events, List<NetAction> actions) {
         for (SchedulerAction action : scheduler.decide(now, events)) {
-            carryOut(action, now, actions);
+            execute(action, now, actions);
         }
     }
 
-    private void carryOut(SchedulerAction action, long now, List<NetAction> actions) {
+    private void execute(SchedulerAction action, long now, List<NetAction> actions) {
         if (action instanceof SendAttempt send) {
             handler.send(send);
         } else if (action instanceof RejectRequest reject) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /** When the next timer expires; {@link Long#MAX_VALUE} for never. */
+    /** When the next timer expires; {@link Long#MAX_VALUE} if there is none. */
     public long nextDeadline() {
         return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().expiresAt();
     }
--- a/core/src/main/java/garnetreel/core/Volume.java
+++ b/core/src/main/java/garnetreel/core/Volume.java
@@ -1,16 +1,16 @@
 package garnetreel.core;
 
 /**
- * A volume, which NBD clients see as an export.
+ * A volume; an NBD export or the storage of an rsync module.
  *
- * @param id number of the volume, the same at all gateways
- * @param size in bytes
+ * @param id number of the volume, the same on all gateways
+ * @param size size in bytes
  * @param plan name of its plan
- * @param readClass class of its reads, as of CACHE and BLOCK_STATUS
- * @param writeClass class of what changes data
- * @param flushClass class of FLUSH; its effect allows repeats
- * @param gateways number of gateways through which its requests come; 0 for all
- * @param layout where its extents are until an extent map says otherwise
+ * @param readClass request class of READ, CACHE and BLOCK_STATUS
+ * @param writeClass request class of operations that change data
+ * @param flushClass request class of FLUSH, which must be idempotent
+ * @param gateways number of gateways that receive requests for it; 0 for all
+ * @param layout initial placement of its extents, which applies unless the extent map contains the volume
  */
 public record Volume(
         long id,
--- a/core/src/main/java/garnetreel/core/io/ConnectionDispatcher.java
+++ b/core/src/main/java/garnetreel/core/io/ConnectionDispatcher.java
@@ -1,19 +1,19 @@
 package garnetreel.core.io;
 
 /**
- * Passes each event of a connection to the handler that owns it. An event of a connection without an owner is dropped: it
- * was queued in the turn in which the gateway closed that connection.
+ * Dispatches each connection event to the handler that owns the connection. Events of connections without an owner are
+ * dropped: they were queued before the gateway closed the connection.
  */
 public final class ConnectionDispatcher {
-    /** In the order in which they are asked. */
+    /** In the order in which they are queried. */
     private final ConnectionHandler[] handlers;
 
-    /** @param handlers in the order in which they are asked; best the one with most events first */
+    /** @param handlers in the order in which they are queried; for speed, the one with the most events should come first */
     public ConnectionDispatcher(ConnectionHandler... handlers) {
         this.handlers = handlers.clone();
     }
 
-    /** Handles an event of a connection; other events are ignored. */
+    /** Dispatches a connection event; other events are ignored. */
     public void dispatch(NetEvent event) {
         if (event instanceof NetEvent.Received received) {
             ConnectionHandler handler = ownerOf(received.connectionId());
--- a/core/src/main/java/garnetreel/core/io/ConnectionHandler.java
+++ b/core/src/main/java/garnetreel/core/io/ConnectionHandler.java
@@ -2,20 +2,20 @@
 
 import java.nio.ByteBuffer;
 
-/** The owner of a set of connections, which receives the events of each. A connection has one owner for its whole life. */
+/** Owns a set of connections and handles their events. The owner of a connection never changes. */
 public interface ConnectionHandler {
-    /** Whether a connection is one of this handler's; no other method is called for one that is not. */
+    /** Whether this handler owns a connection. The other methods are called only for owned connections. */
     boolean owns(long connectionId);
 
-    /** A connection that this handler opened is established. Accepted connections have no such event. */
+    /** A connection that this handler opened is established. Not called for accepted connections. */
     default void connected(long connectionId) {}
 
     /** Bytes arrived; the handler owns the buffer. */
     void received(long connectionId, ByteBuffer data);
 
-    /** So many bytes of what was written have left. */
+    /** This number of written bytes has left, see {@link NetEvent.Drained}. */
     default void drained(long connectionId, int bytes) {}
 
-    /** The connection has ended, or could not be opened; this is the last event of it. */
+    /** The connection has ended or could not be opened; this is its last event. */
     void closed(NetEvent.Closed event);
 }
--- a/core/src/main/java/garnetreel/core/io/NetAction.java
+++ b/core/src/main/java/garnetreel/core/io/NetAction.java
@@ -2,45 +2,45 @@
 
 import java.nio.ByteBuffer;
 
-/** What a {@link StateMachine} asks of its driver. Actions are carried out in order. */
+/** An action that a {@link StateMachine} requests from its driver. Actions are executed in order. */
 public sealed interface NetAction {
 
     /**
      * Binds a listener; answered by {@link NetEvent.Listening} or {@link NetEvent.ListenFailed}.
      *
-     * @param maxConnections connections of it that may be open, those included that are being closed; further ones wait
-     *     unaccepted. 0 for no such bound
+     * @param maxConnections maximum of open connections of this listener, including those being closed; further ones are
+     *     not accepted until one has ended. 0 for no limit
      */
     record Listen(String listener, String address, int maxConnections) implements NetAction {
-        /** A listener without a bound on its connections. */
+        /** A listener without a limit on its connections. */
         public Listen(String listener, String address) {
             this(listener, address, 0);
         }
     }
 
-    /** Ends a listener; what it has accepted, or has waiting, is still reported, and connections go on. */
+    /** Closes a listener. Connections accepted or waiting to be accepted are still reported, and open ones stay open. */
     record StopListening(String listener) implements NetAction {}
 
-    /** Opens a connection under an id below 0 that the state machine has never used before. */
+    /** Opens a connection under a negative id that the state machine has never used before. */
     record Connect(long connectionId, String address) implements NetAction {}
 
-    /** Writes bytes; the buffer is given away. {@link NetEvent.Drained} reports when they have left. */
+    /** Writes bytes. The driver owns the buffer from now on; {@link NetEvent.Drained} reports when the bytes have left. */
     record Write(long connectionId, ByteBuffer data) implements NetAction {}
 
-    /** Starts or stops reading; a peer that is not read from can in the end not write. */
+    /** Starts or stops reading from a connection. While stopped, TCP flow control eventually blocks the peer's writes. */
     record SetReadInterest(long connectionId, boolean enabled) implements NetAction {}
 
     /**
-     * Ends a connection. With {@code abort} at once, as it is. Else in order: what is written is sent and its Drained
-     * reported, then the sending side is shut down, and what still comes is read and dropped until the peer's end or a time
-     * limit, since closing over unread bytes resets the connection and may destroy the reply before it. A second Close
-     * with {@code abort} ends that early.
+     * Closes a connection: with {@code abort} at once, otherwise gracefully. A graceful close sends the bytes already
+     * written and reports them as drained, shuts down the sending side, and then reads and discards data until the peer
+     * closes or a time limit is reached: closing a socket with unread data resets the connection, and the peer may lose
+     * the last reply. A further Close with {@code abort} ends a graceful close early.
      */
     record Close(long connectionId, boolean abort) implements NetAction {}
 
-    /** Keeps bytes under a name so that they survive a kill; the last of a name wins. */
+    /** Stores data under a name so that it survives a crash or kill of the process; replaces earlier data of the same name. */
     record Persist(String name, byte[] data) implements NetAction {
-        /** Keeps what remains of a buffer, as a copy. */
+        /** Stores a copy of the buffer's remaining bytes. */
         public Persist(String name, ByteBuffer frame) {
             this(name, copyOf(frame));
         }
@@ -52,28 +52,28 @@
         }
     }
 
-    /** Adds a record to the journal; {@link NetEvent.Appended} reports when it is durable. They become so in order. */
+    /** Appends a record to the journal. {@link NetEvent.Appended} reports when it is durable; records become so in order. */
     record Append(long sequence, byte[] data) implements NetAction {}
 
     /**
-     * Replaces all that the journal holds up to a record by a snapshot, in one step, so that a restart reads the snapshot
-     * and the records after it. Of those it covers the last {@code retainedRecords} stay, for history.
+     * Atomically replaces the journal up to a record by a snapshot, so that a restart reads the snapshot and the later
+     * records. The last {@code retainedRecords} of the replaced records are retained as history.
      */
     record Snapshot(long sequence, byte[] data, int retainedRecords) implements NetAction {}
 
-    /** A line for the log. */
+    /** Writes a line to the log. */
     record Log(Level level, String text) implements NetAction {}
 
-    /** The state machine has ended its work as commanded; connections that it closed in order are finished first. */
+    /** The state machine has stopped as commanded. The driver completes graceful closes first. */
     record Stopped() implements NetAction {}
 
     /** Severity of a {@link Log}. */
     enum Level {
-        /** Of use while looking into one connection. */
+        /** Details for the diagnosis of a single connection. */
         DEBUG,
-        /** Normal, but worth a line. */
+        /** Notable events of normal operation. */
         INFO,
-        /** Someone should look at it. */
+        /** Problems that an operator should look into. */
         WARN
     }
 }
--- a/core/src/main/java/garnetreel/core/io/NetEvent.java
+++ b/core/src/main/java/garnetreel/core/io/NetEvent.java
@@ -2,10 +2,10 @@
 
 import java.nio.ByteBuffer;
 
-/** What happens to a {@link StateMachine}. Connections that were accepted have ids above 0, those it opened below 0. */
+/** An input to a {@link StateMachine}. Accepted connections have positive ids, those that it opened negative ones. */
 public sealed interface NetEvent {
 
-    /** A listener is bound; the address has the actual port. */
+    /** A listener is bound; the address contains the actual port. */
     record Listening(String listener, String address) implements NetEvent {}
 
     /** A listener could not be bound. */
@@ -17,40 +17,40 @@
     /** A connection that the state machine opened is established. */
     record Connected(long connectionId) implements NetEvent {}
 
-    /** Bytes came; the state machine owns the buffer. */
+    /** Bytes arrived; the state machine owns the buffer. */
     record Received(long connectionId, ByteBuffer data) implements NetEvent {}
 
-    /** So many bytes of what was to be written have left for the socket, or never will as the connection was closed. */
+    /** This number of bytes was written to the socket, or discarded as the connection was closed. */
     record Drained(long connectionId, int bytes) implements NetEvent {}
 
     /**
-     * The connection has ended, or could not be opened; nothing more is reported of it. Not reported for one that the
-     * state machine itself closed.
+     * A connection has ended or could not be opened; this is its last event. Not reported for connections that the state
+     * machine closed itself.
      *
-     * @param opened false where it was never established, so that nothing written to it was sent
-     * @param orderly the peer ended its sending in order, so that all it wrote has come; false for a reset
-     * @param localFailure it could not be opened for want of something on this host, such as a descriptor, a port or a
-     *     route: that says nothing of the peer
+     * @param opened whether it was ever established; if not, nothing written to it was sent
+     * @param orderly whether the peer shut down its sending side, so that all it wrote has arrived; false for a reset
+     * @param localFailure whether it could not be opened because this host lacks a resource, such as a descriptor, a port
+     *     or a route, which says nothing about the peer
      */
     record Closed(long connectionId, boolean opened, boolean orderly, boolean localFailure, String reason)
             implements NetEvent {
-        /** One that was never established, or that broke. */
+        /** The end of a connection that was never established, or that was reset. */
         public Closed(long connectionId, boolean opened, String reason) {
             this(connectionId, opened, false, false, reason);
         }
 
-        /** One that ended. */
+        /** The end of a connection without a local failure. */
         public Closed(long connectionId, boolean opened, boolean orderly, String reason) {
             this(connectionId, opened, orderly, false, reason);
         }
     }
 
-    /** A record given with {@link NetAction.Append} is durable. */
+    /** A record of a {@link NetAction.Append} is durable. */
     record Appended(long sequence) implements NetEvent {}
 
-    /** A command from whoever runs the state machine. */
+    /** A command from the owner of the state machine. */
     record CommandReceived(Command command) implements NetEvent {}
 
-    /** What can be commanded; each state machine has its own. */
+    /** A command; each type of state machine defines its own. */
     interface Command {}
 }
--- a/core/src/main/java/garnetreel/core/io/StateMachine.java
+++ b/core/src/main/java/garnetreel/core/io/StateMachine.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * A program without I/O, clock, thread or log of its own: bytes, events and a time go in, actions come out. The same
- * one runs on sockets (garnetreel.net) and on an emulated network.
+ * A program without I/O, clock, threads or log of its own: its input is events and the current time, its output is
+ * actions. It runs unchanged on sockets (garnetreel.net) and on an emulated network.
  *
- * <p>One thread at a time calls it. The same calls give the same actions.
+ * <p>It is called by one thread at a time, and is deterministic: the same calls give the same actions.
  */
 public interface StateMachine {
 
     /**
-     * Handles all that happened since the last turn. The first turn has no events and is where a state machine begins to
-     * listen and connect.
+     * Handles the events since the last turn. The first turn has no events; in it, the state machine starts to listen and
+     * connect.
      *
-     * @param now microseconds of a clock that never goes back, counted from the epoch so that hosts can compare them
-     * @param actions receives what is to be done, in order
+     * @param now microseconds since the epoch, so that hosts can compare times, by a clock that never goes back
+     * @param actions receives the requested actions, in order
      */
     void handle(long now, List<NetEvent> events, List<NetAction> actions);
 
-    /** When the next turn is due even if nothing happens; {@link Long#MAX_VALUE} for not at all. */
+    /** When the next turn is due even without events; {@link Long#MAX_VALUE} for never. */
     long nextDeadline();
 }
--- a/core/src/main/java/garnetreel/core/io/package-info.java
+++ b/core/src/main/java/garnetreel/core/io/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The border between state machines and the network or its emulation: events go in, actions come out. Nothing here or
- * behind it has a socket, clock, thread or log of its own.
+ * The interface between state machines and the network or its emulation: events are the input, actions the output.
+ * Neither this package nor the state machines have sockets, clocks, threads or logs of their own.
  */
 package garnetreel.core.io;
--- a/core/src/main/java/garnetreel/core/package-info.java
+++ b/core/src/main/java/garnetreel/core/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A gateway instance without I/O: {@link garnetreel.core.Gateway} ties protocol servers, the request registry, the
- * connections it opens and the scheduler together. Bytes, events and a time go in, actions come out.
+ * A gateway instance as a state machine without I/O. {@link garnetreel.core.Gateway} connects the protocol servers, the
+ * request registry, the connections it opens, and the scheduler. Its input is network events and the current time, its
+ * output is actions.
  */
 package garnetreel.core;
--- a/core/src/test/java/garnetreel/core/ProcessPauseDetectorTest.java
+++ b/core/src/test/java/garnetreel/core/ProcessPauseDetectorTest.java
@@ -12,7 +12,7 @@
     private final List<NetAction> actions = new ArrayList<>();
 
     @Test
-    void gapWithClientsCountsAsReceivedBeforeUntilCaughtUp() {
+    void dataReadAfterAGapWithClientsCountsAsReceivedBeforeItUntilCaughtUp() {
         assertEquals(1_000_000, detector.beginTurn(1_000_000, true, actions));
         assertEquals(1_200_000, detector.beginTurn(1_200_000, true, actions));
         assertEquals(List.of(), actions);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void gapWithoutClientsIsNoPause() {
+    void gapWithoutClientsIsIgnored() {
         detector.beginTurn(1_000_000, false, actions);
         assertEquals(9_000_000, detector.beginTurn(9_000_000, false, actions));
         assertEquals(List.of(), actions);
--- a/core/src/test/java/garnetreel/core/SchedulerDriverTest.java
+++ b/core/src/test/java/garnetreel/core/SchedulerDriverTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.Test;
 
 class SchedulerDriverTest {
-    private final List<SchedulerAction> decided = new ArrayList<>();
+    private final List<SchedulerAction> decisions = new ArrayList<>();
     private final List<SchedulerAction> handled = new ArrayList<>();
     private final List<NetAction> actions = new ArrayList<>();
     private final SchedulerDriver driver =
-            new SchedulerDriver((now, events) -> List.copyOf(decided), new SchedulerDriver.ActionHandler() {
+            new SchedulerDriver((now, events) -> List.copyOf(decisions), new SchedulerDriver.ActionHandler() {
                 @Override
                 public void send(SendAttempt send) {
                     handled.add(send);
@@ -66,34 +66,34 @@
                 }
             });
 
-    private List<String> expired(long now) {
+    private List<String> expireTimers(long now) {
         List<String> names = new ArrayList<>();
         driver.expireTimers(now, event -> names.add(((TimerExpired) event).name()));
         return names;
     }
 
     @Test
-    void timersExpireByTimeAndThenInTheOrderTheyWereSet() {
+    void timersExpireByTimeAndThenInTheOrderOfSetting() {
         assertEquals(Long.MAX_VALUE, driver.nextDeadline());
-        decided.addAll(List.of(new SetTimer("late", 20), new SetTimer("a", 10), new SetTimer("b", 10)));
+        decisions.addAll(List.of(new SetTimer("late", 20), new SetTimer("a", 10), new SetTimer("b", 10)));
         driver.decide(100, List.of(), actions);
         assertEquals(110, driver.nextDeadline());
-        assertEquals(List.of(), expired(109));
-        assertEquals(List.of("a", "b"), expired(110));
-        assertEquals(List.of("late"), expired(500));
+        assertEquals(List.of(), expireTimers(109));
+        assertEquals(List.of("a", "b"), expireTimers(110));
+        assertEquals(List.of("late"), expireTimers(500));
         assertEquals(Long.MAX_VALUE, driver.nextDeadline());
     }
 
     @Test
-    void timerInThePastExpiresAtOnce() {
-        decided.add(new SetTimer("now", -5));
+    void timerInThePastExpiresImmediately() {
+        decisions.add(new SetTimer("now", -5));
         driver.decide(100, List.of(), actions);
         assertEquals(100, driver.nextDeadline());
     }
 
     @Test
-    void actionsAreCarriedOutInOrderAndMessagesGoToTheLog() {
-        decided.addAll(List.of(
+    void actionsAreExecutedInOrderAndMessagesAreLogged() {
+        decisions.addAll(List.of(
                 new PollEndpoints(), new LogMessage("text"), new CheckHealth("n:1"), new SubscribeEndpoints(true)));
         driver.decide(100, List.of(), actions);
         assertEquals(List.of(new PollEndpoints(), new CheckHealth("n:1"), new SubscribeEndpoints(true)), handled);
