--- a/core/src/main/java/garnetreel/core/Gateway.java
+++ b/core/src/main/java/garnetreel/core/Gateway.java
@@ -30,9 +30,9 @@
 import java.util.List;
 
 /**
- * A gateway instance as a state machine without I/O. It connects the protocol servers, the request registry, the clients of
- * nodes, node list and map service, and the scheduler. All events since the last turn are passed to the scheduler in one
- * turn.
+ * A gateway instance as a state machine without I/O. It connects the protocol servers, the request registry, the
+ * clients of nodes, node list and map service, and the scheduler. All events since the last turn are passed to the
+ * scheduler in one turn.
  */
 public final class Gateway implements StateMachine, NodeConnectionPool.Listener, SchedulerDriver.ActionHandler {
     /** Name of the listener for NBD clients. */
@@ -40,7 +40,9 @@
     /** Name of the listener for rsync clients. */
     public static final String RSYNC = "rsync";
 
-    /** Commands the gateway to accept no new work, finish what it has accepted, and then emit {@link NetAction.Stopped}. */
+    /**
+     * Commands the gateway to accept no new work, finish what it has accepted, and then emit {@link NetAction.Stopped}.
+     */
     public record Drain() implements NetEvent.Command {}
 
     private final GatewaySettings settings;
@@ -58,7 +60,7 @@
     private final RsyncServer rsync;
     private final ConnectionDispatcher connectionEvents;
 
-    private volatile Figures statistics = new Figures(0, 0, 0, 0, 0, 0, 0, 0, 0);
+    private volatile Statistics statistics = new Statistics(0, 0, 0, 0, 0, 0, 0, 0, 0);
     private boolean started;
     private boolean draining;
     private boolean stopped;
@@ -303,21 +305,21 @@
 
     // ---------------------------------------------------------------- statistics
 
-    private Figures currentStatistics() {
-        return new Figures(
+    private Statistics currentStatistics() {
+        return new Statistics(
                 clientConnections(),
                 requests.operations(),
                 byteBudget.reserved(),
                 nodes.connections(),
                 nodes.lateAnswers(),
-                requests.rejectedAtTable(),
-                requests.overdue(),
-                requests.rerouted(),
+                requests.rejectedAtLimit(),
+                requests.missedDeadlines(),
+                requests.reroutes(),
                 mapService.version());
     }
 
     /** The statistics as of the end of the last turn. May be called on any thread. */
-    public Figures figures() {
+    public Statistics figures() {
         return statistics;
     }
 
@@ -329,19 +331,19 @@
      * @param reservedBytes bytes reserved from the gateway's byte budget
      * @param nodeConnections connections to nodes
      * @param lateAnswers answers of nodes that arrived after their attempt had ended
-     * @param rejectedAtTable operations rejected because the limit of concurrent operations was reached
-     * @param overdue sub-requests for which the scheduler gave no result by their deadline
-     * @param rerouted number of times a sub-request was rerouted because its extent had moved
+     * @param rejectedAtLimit operations rejected because the limit of concurrent operations was reached
+     * @param missedDeadlines sub-requests for which the scheduler gave no result by their deadline
+     * @param reroutes number of times a sub-request was rerouted because its extent had moved
      * @param mapVersion version of the cached extent map
      */
-    public record Figures(
+    public record Statistics(
             int connections,
             int operations,
             long reservedBytes,
             int nodeConnections,
             long lateAnswers,
-            long rejectedAtTable,
-            long overdue,
-            long rerouted,
+            long rejectedAtLimit,
+            long missedDeadlines,
+            long reroutes,
             long mapVersion) {}
 }
--- a/core/src/main/java/garnetreel/core/GatewaySettings.java
+++ b/core/src/main/java/garnetreel/core/GatewaySettings.java
@@ -14,8 +14,8 @@
  * @param map address of the map service, host:port; empty if extents never move from their initial layout
  * @param scheduling settings of the scheduler
  * @param volumes all volumes; NBD clients see those of {@link #exports()}
- * @param margin microseconds by which the gateway's deadline for a reply precedes that of the request class, to allow for
- *     the transfer to the client
+ * @param margin microseconds by which the gateway's deadline for a reply precedes that of the request class, to allow
+ *     for the transfer to the client
  * @param bounds limits of the resources that the gateway uses
  * @param connections settings of the connections to nodes, node list and map service
  * @param files settings of the rsync service
@@ -33,7 +33,7 @@
         ConnectionSettings connections,
         Files files) {
 
-    /** The volumes exported by NBD. Volumes of rsync modules are excluded, as a block client would overwrite their files. */
+    /** The volumes exported by NBD: all but those of rsync modules, whose files a block client would overwrite. */
     public List<Volume> exports() {
         return volumes.stream()
                 .filter(v -> files.modules().stream().noneMatch(m -> m.volume().equals(v.name())))
@@ -71,9 +71,11 @@
      * Resource limits of a gateway. The behaviour at each limit is described in docs/gateway.md.
      *
      * @param connections maximum of client connections
-     * @param connectionRequests maximum of requests in progress per connection; at the limit, reading from it is suspended
+     * @param connectionRequests maximum of requests in progress per connection; at the limit, reading from it is
+     *     suspended
      * @param gatewayRequests maximum of operations in progress at this gateway; at the limit, new ones are rejected
-     * @param connectionBytes maximum of payload and reply bytes buffered per connection; at the limit, reading is suspended
+     * @param connectionBytes maximum of payload and reply bytes buffered per connection; at the limit, reading is
+     *     suspended
      * @param gatewayBytes byte budget shared by all client connections
      * @param maxPayload maximum size of a read or write in bytes
      * @param unitBytes bytes that the scheduler counts as one unit; a sub-request has at most its {@code maxUnits}
@@ -101,8 +103,8 @@
      * @param listCall time within which the node list service must answer a call
      * @param listSilence time without a message after which a connection to the map service or a node list subscription
      *     counts as broken
-     * @param followMap whether to subscribe to changes of the extent map; if false, they are requested only after a stale
-     *     answer
+     * @param followMap whether to subscribe to changes of the extent map; if false, they are requested only after a
+     *     stale answer
      */
     public record ConnectionSettings(
             int maxPerNode,
--- a/core/src/main/java/garnetreel/core/ProcessPauseDetector.java
+++ b/core/src/main/java/garnetreel/core/ProcessPauseDetector.java
@@ -6,9 +6,9 @@
 
 /**
  * Detects that this process was paused or got no CPU time. Requests may have waited in the sockets meanwhile; if their
- * deadlines were counted from when they are read, these would end after the clients have given up. Data read right after
- * a pause therefore counts as received when the pause began. Requests that arrived towards the end of the pause get less
- * time than they should.
+ * deadlines were counted from when they are read, these would end after the clients have given up. Data read right
+ * after a pause therefore counts as received when the pause began. Requests that arrived towards the end of the pause
+ * get less time than they should.
  */
 public final class ProcessPauseDetector {
     private static final long MICROS_PER_MILLI = 1000;
--- a/core/src/main/java/garnetreel/core/SchedulerDriver.java
+++ b/core/src/main/java/garnetreel/core/SchedulerDriver.java
@@ -21,7 +21,9 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** Runs the scheduler in a gateway, independently of protocols: calls it, keeps its timers, and dispatches its actions. */
+/**
+ * Runs the scheduler in a gateway, independently of protocols: calls it, keeps its timers, and dispatches its actions.
+ */
 public final class SchedulerDriver {
     /** Executes the scheduler's decisions. */
     public interface ActionHandler {
--- a/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
+++ b/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
@@ -28,8 +28,8 @@
  * answer.
  *
  * <p>To limit the load on the service, there is one call at a time. After a failure, a backoff doubles from
- * {@link #INITIAL_BACKOFF_MICROS} to {@link #MAX_BACKOFF_MICROS}; its jitter spreads the calls of gateways that reconnect
- * at the same time.
+ * {@link #INITIAL_BACKOFF_MICROS} to {@link #MAX_BACKOFF_MICROS}; its jitter spreads the calls of gateways that
+ * reconnect at the same time.
  */
 public final class MapServiceClient implements ExtentRouter, ConnectionHandler {
     /** Name under which the extent map is persisted. */
@@ -114,9 +114,9 @@
     }
 
     /**
-     * Schedules a call to the map service if there is no connection. With one, the update is already on its way. A gateway
-     * that does not subscribe calls as soon as the interval between calls allows, since its next requests would be stale
-     * too; a gateway that subscribes calls after a jittered delay.
+     * Schedules a call to the map service if there is no connection. With one, the update is already on its way. A
+     * gateway that does not subscribe calls as soon as the interval between calls allows, since its next requests would
+     * be stale too; a gateway that subscribes calls after a jittered delay.
      */
     @Override
     public void reportStale() {
@@ -229,7 +229,7 @@
         }
     }
 
-    /** Whether the connection is no longer needed, as this gateway does not subscribe and no call is in flight or due. */
+    /** Whether the connection is no longer needed: not subscribed, and no call is in flight or due. */
     private boolean connectionUnneeded() {
         return connectionId != 0
                 && !callInFlight
@@ -288,7 +288,7 @@
                 : lastReceivedAt + settings.connections().listSilence();
     }
 
-    /** Closes the connection if the service is silent, makes a call if one is due, and persists the map if that is due. */
+    /** Closes a connection on which the service is silent, and makes a call or persists the map if due. */
     public void expire() {
         if (now >= silentAt()) {
             close(true);
--- a/core/src/main/java/garnetreel/core/connection/NodeConnection.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnection.java
@@ -22,8 +22,8 @@
     private long lastUsedAt;
     private boolean ready;
     /**
-     * The node's clock minus the gateway's. The Welcome takes time to arrive, so this is too low by that time: a gateway
-     * time converted with it is never later than what the node's clock shows at that time.
+     * The node's clock minus the gateway's. The Welcome takes time to arrive, so this is too low by that time: a
+     * gateway time converted with it is never later than what the node's clock shows at that time.
      */
     private long clockOffset;
 
@@ -62,7 +62,7 @@
         return time + clockOffset;
     }
 
-    /** When it is to be closed: at the end of the connect timeout if not ready, or of the idle time if it carries nothing. */
+    /** When it is to be closed, unless used before: not ready within the connect timeout, or idle. */
     long nextDeadline(GatewaySettings.ConnectionSettings settings) {
         if (!ready) {
             return openedAt + settings.connectTimeout();
--- a/core/src/main/java/garnetreel/core/connection/NodeConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnectionPool.java
@@ -22,15 +22,16 @@
 import java.util.Map;
 
 /**
- * The connections to nodes and the attempts on them. An attempt ends exactly once: by its answer, time-out, cancellation,
- * or the end of its connection. An answer is matched by connection, sub-request id and attempt index only.
+ * The connections to nodes and the attempts on them. An attempt ends exactly once: by its answer, time-out,
+ * cancellation, or the end of its connection. An answer is matched by connection, sub-request id and attempt index
+ * only.
  *
  * <p>The outcome tells whether an attempt may have been executed, and so whether a retry is safe:
  * <ul>
  * <li>CONNECT_FAILED: its request was never passed to a ready connection, so it was not executed;
  * <li>RESET: the connection ended after the request was passed to it, so it may have been executed;
- * <li>TIMEOUT: there was no answer in time, so it may have been executed. An answer that arrives later matches no attempt
- *     and is counted as late.
+ * <li>TIMEOUT: there was no answer in time, so it may have been executed. An answer that arrives later matches no
+ *     attempt and is counted as late.
  * </ul>
  */
 public final class NodeConnectionPool implements ConnectionHandler {
@@ -48,7 +49,7 @@
     private final NodeConnectionTable connections;
     private final AttemptTracker attempts = new AttemptTracker();
     private final HealthCheckTracker healthChecks = new HealthCheckTracker();
-    /** Attempts for which no connection had capacity. Reported in the next turn, as the scheduler's turn is still running. */
+    /** Attempts without a connection; reported in the next turn, as the scheduler's turn is still running. */
     private final List<NodeAttempt> unsendable = new ArrayList<>();
 
     private Listener listener;
--- a/core/src/main/java/garnetreel/core/connection/NodeConnectionTable.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnectionTable.java
@@ -56,7 +56,7 @@
         }
     }
 
-    /** The least loaded ready connection with capacity, else the least loaded one being opened; null if there is none. */
+    /** The least loaded ready connection with capacity, else the least loaded one being opened; null if none. */
     NodeConnection leastLoaded(String node) {
         NodeConnection best = null;
         for (NodeConnection connection : byNode.getOrDefault(node, List.of())) {
--- a/core/src/main/java/garnetreel/core/connection/NodeListClient.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeListClient.java
@@ -29,8 +29,8 @@
 
 /**
  * The client of the node list service. The scheduler decides when to subscribe or to poll; this class carries that out,
- * tracks the version of the list, and persists the list for the next start. It makes a call on its own in one case only:
- * after a gap in versions changes can't be applied, so it renews the subscription and requests the full list.
+ * tracks the version of the list, and persists the list for the next start. It makes a call on its own in one case
+ * only: after a gap in versions changes can't be applied, so it renews the subscription and requests the full list.
  */
 public final class NodeListClient implements ConnectionHandler {
     /** Name under which the node list is persisted. */
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Loads the list that an earlier incarnation persisted, and reports its entries as cached. Truncated data or data in
-     * another format is ignored.
+     * Loads the list that an earlier incarnation persisted, and reports its entries as cached. Truncated data or data
+     * in another format is ignored.
      */
     public void start(byte[] persisted) {
         if (persisted != null && persisted.length > 0) {
@@ -282,9 +282,9 @@
     }
 
     /**
-     * Closes the connection if a call was not answered in time or the subscription received no keep-alive. Without this,
-     * an outdated list would be used indefinitely on a half-open connection. The limit is several keep-alive intervals, so
-     * that a late keep-alive does not end the subscription.
+     * Closes the connection if a call was not answered in time or the subscription received no keep-alive. Without
+     * this, an outdated list would be used indefinitely on a half-open connection. The limit is several keep-alive
+     * intervals, so that a late keep-alive does not end the subscription.
      */
     public void expire() {
         if (now >= nextDeadline()) {
--- a/core/src/main/java/garnetreel/core/io/ConnectionDispatcher.java
+++ b/core/src/main/java/garnetreel/core/io/ConnectionDispatcher.java
@@ -8,7 +8,9 @@
     /** In the order in which they are queried. */
     private final ConnectionHandler[] handlers;
 
-    /** @param handlers in the order in which they are queried; for speed, the one with the most events should come first */
+    /**
+     * @param handlers in the order in which they are queried; for speed, the one with the most events should come first
+     */
     public ConnectionDispatcher(ConnectionHandler... handlers) {
         this.handlers = handlers.clone();
     }
--- a/core/src/main/java/garnetreel/core/io/NetAction.java
+++ b/core/src/main/java/garnetreel/core/io/NetAction.java
@@ -8,8 +8,8 @@
     /**
      * Binds a listener; answered by {@link NetEvent.Listening} or {@link NetEvent.ListenFailed}.
      *
-     * @param maxConnections maximum of open connections of this listener, including those being closed; further ones are
-     *     not accepted until one has ended. 0 for no limit
+     * @param maxConnections maximum of open connections of this listener, including those being closed; further ones
+     *     are not accepted until one has ended. 0 for no limit
      */
     record Listen(String listener, String address, int maxConnections) implements NetAction {
         /** A listener without a limit on its connections. */
@@ -18,16 +18,16 @@
         }
     }
 
-    /** Closes a listener. Connections accepted or waiting to be accepted are still reported, and open ones stay open. */
+    /** Closes a listener. Connections already waiting are still reported, and open ones stay open. */
     record StopListening(String listener) implements NetAction {}
 
     /** Opens a connection under a negative id that the state machine has never used before. */
     record Connect(long connectionId, String address) implements NetAction {}
 
-    /** Writes bytes. The driver owns the buffer from now on; {@link NetEvent.Drained} reports when the bytes have left. */
+    /** Writes bytes and takes over the buffer; {@link NetEvent.Drained} reports when the bytes have left. */
     record Write(long connectionId, ByteBuffer data) implements NetAction {}
 
-    /** Starts or stops reading from a connection. While stopped, TCP flow control eventually blocks the peer's writes. */
+    /** Starts or stops reading. While stopped, TCP flow control eventually blocks the peer's writes. */
     record SetReadInterest(long connectionId, boolean enabled) implements NetAction {}
 
     /**
@@ -38,7 +38,7 @@
      */
     record Close(long connectionId, boolean abort) implements NetAction {}
 
-    /** Stores data under a name so that it survives a crash or kill of the process; replaces earlier data of the same name. */
+    /** Stores data under a name, replacing earlier data; it survives a crash or kill of the process. */
     record Persist(String name, byte[] data) implements NetAction {
         /** Stores a copy of the buffer's remaining bytes. */
         public Persist(String name, ByteBuffer frame) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Appends a record to the journal. {@link NetEvent.Appended} reports when it is durable; records become so in order. */
+    /** Appends a record to the journal; {@link NetEvent.Appended} reports, in order, when it is durable. */
     record Append(long sequence, byte[] data) implements NetAction {}
 
     /**
--- a/core/src/main/java/garnetreel/core/io/NetEvent.java
+++ b/core/src/main/java/garnetreel/core/io/NetEvent.java
@@ -24,13 +24,13 @@
     record Drained(long connectionId, int bytes) implements NetEvent {}
 
     /**
-     * A connection has ended or could not be opened; this is its last event. Not reported for connections that the state
-     * machine closed itself.
+     * A connection has ended or could not be opened; this is its last event. Not reported for connections that the
+     * state machine closed itself.
      *
      * @param opened whether it was ever established; if not, nothing written to it was sent
      * @param orderly whether the peer shut down its sending side, so that all it wrote has arrived; false for a reset
-     * @param localFailure whether it could not be opened because this host lacks a resource, such as a descriptor, a port
-     *     or a route, which says nothing about the peer
+     * @param localFailure whether it could not be opened because this host lacks a resource, such as a descriptor, a
+     *     port or a route, which says nothing about the peer
      */
     record Closed(long connectionId, boolean opened, boolean orderly, boolean localFailure, String reason)
             implements NetEvent {
--- a/core/src/main/java/garnetreel/core/io/StateMachine.java
+++ b/core/src/main/java/garnetreel/core/io/StateMachine.java
@@ -11,8 +11,8 @@
 public interface StateMachine {
 
     /**
-     * Handles the events since the last turn. The first turn has no events; in it, the state machine starts to listen and
-     * connect.
+     * Handles the events since the last turn. The first turn has no events; in it, the state machine starts to listen
+     * and connect.
      *
      * @param now microseconds since the epoch, so that hosts can compare times, by a clock that never goes back
      * @param actions receives the requested actions, in order
--- a/core/src/main/java/garnetreel/core/request/RequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/request/RequestRegistry.java
@@ -19,17 +19,17 @@
 import java.util.Map;
 
 /**
- * The block requests of a gateway. It splits operations into sub-requests at extent boundaries, reports each sub-request
- * to the scheduler, executes the scheduler's decisions, and gives one reply per operation.
+ * The block requests of a gateway. It splits operations into sub-requests at extent boundaries, reports each
+ * sub-request to the scheduler, executes the scheduler's decisions, and gives one reply per operation.
  *
- * <p>The scheduler alone decides on sending, waiting, rejecting, retrying and node health. This class replies without it
- * only if the limit of concurrent operations is reached, if a request's deadline passed before it was read, or if the
- * scheduler let a deadline pass.
+ * <p>The scheduler alone decides on sending, waiting, rejecting, retrying and node health. This class replies without
+ * it only if the limit of concurrent operations is reached, if a request's deadline passed before it was read, or if a
+ * deadline passes without a decision.
  */
 public final class RequestRegistry implements BlockBackend {
     /** Limit of sub-requests of one operation at the scheduler at a time, so that a trim of 4 GiB does not flood it. */
     private static final int MAX_OPEN_SUB_REQUESTS = 32;
-    /** Limit of times a sub-request is rerouted; after that a stale answer is left to the scheduler as any other failure. */
+    /** Limit of reroutes of a sub-request; after that a stale answer counts as any other failed attempt. */
     private static final int MAX_REROUTES = 20;
 
     private final GatewaySettings settings;
@@ -43,8 +43,8 @@
     private long now;
     private long receivedAt;
     private int operations;
-    private long rejectedAtTable;
-    private long overdue;
+    private long rejectedAtLimit;
+    private long missedDeadlines;
 
     /** A registry that locates extents through {@code router} and sends to the nodes through {@code nodes}. */
     public RequestRegistry(GatewaySettings settings, NodeConnectionPool nodes, ExtentRouter router) {
@@ -89,18 +89,18 @@
     }
 
     /** Operations rejected because the limit of concurrent operations was reached. */
-    public long rejectedAtTable() {
-        return rejectedAtTable;
+    public long rejectedAtLimit() {
+        return rejectedAtLimit;
     }
 
     /** Sub-requests for which the scheduler gave no result by their deadline; above 0 only if it has a defect. */
-    public long overdue() {
-        return overdue;
+    public long missedDeadlines() {
+        return missedDeadlines;
     }
 
     /** Number of times a sub-request has been rerouted because its extent had moved. */
-    public long rerouted() {
-        return subRequests.rerouted();
+    public long reroutes() {
+        return subRequests.reroutes();
     }
 
     // ---------------------------------------------------------------- protocol servers
@@ -121,7 +121,7 @@
                 new BlockOperation(volume, op, offset, length, data, sync, tag, callback, requestClass, deadline);
         if (operations >= settings.bounds().gatewayRequests()) {
             // Rejected before it reaches the scheduler; nothing has been sent, so a retry is safe.
-            rejectedAtTable++;
+            rejectedAtLimit++;
             reject(operation, "this head holds " + operations + " requests, its most");
             return operation;
         }
@@ -205,7 +205,9 @@
 
     // ---------------------------------------------------------------- scheduler actions
 
-    /** Starts an attempt. If it can't be started it ends at once, which is reported to the scheduler in its next turn. */
+    /**
+     * Starts an attempt. If it can't be started it ends at once, which is reported to the scheduler in its next turn.
+     */
     public void send(SendAttempt send) {
         SubRequest subRequest = subRequests.find(send.id());
         if (subRequest == null) {
@@ -290,7 +292,9 @@
                 answer == null ? Map.of() : answer.load()));
     }
 
-    /** Accepts the result of a sub-request; an answer that does not match the request counts as an error of the node. */
+    /**
+     * Accepts the result of a sub-request; an answer that does not match the request counts as an error of the node.
+     */
     private Outcome acceptResult(SubRequest subRequest, NodeMessage.Answer answer) {
         if (!NodeAnswerReader.read(subRequest, answer.data())) {
             return Outcome.ERROR;
@@ -321,11 +325,12 @@
     }
 
     /**
-     * Withdraws a sub-request whose extent has moved. The scheduler has been notified that its attempt was not executed;
-     * it is submitted again as a new request once the extent map has been updated.
+     * Withdraws a sub-request whose extent has moved. The scheduler has been notified that its attempt was not
+     * executed; it is submitted again as a new request once the extent map has been updated.
      *
      * <p>If the map service sends no update while an extent moves, the sub-request is resubmitted after
-     * {@link ReroutingQueue#REROUTE_AFTER_MICROS}, each time as a new request that counts against its volume's limit again.
+     * {@link ReroutingQueue#REROUTE_AFTER_MICROS}, each time as a new request that counts against its volume's limit
+     * again.
      */
     private void withdraw(SubRequest subRequest) {
         subRequests.withdrawWithSuccessors(subRequest, now);
@@ -336,10 +341,10 @@
 
     /** When {@link #expire()} must be called next; {@link Long#MAX_VALUE} for never. */
     public long nextDeadline() {
-        return Math.min(subRequests.nextReroute(), nextOverdue());
+        return Math.min(subRequests.nextReroute(), nextMissedDeadline());
     }
 
-    private long nextOverdue() {
+    private long nextMissedDeadline() {
         long deadline = subRequests.earliestDeadline();
         return deadline == Long.MAX_VALUE
                 ? Long.MAX_VALUE
@@ -348,20 +353,20 @@
 
     /**
      * Reroutes the sub-requests that are due, and ends those for which the scheduler gave no result by their deadline.
-     * The latter ensures that every request is answered despite a defect in the scheduler or a late turn; it is harmless,
-     * as the client has given up by then.
+     * The latter ensures that every request is answered despite a defect in the scheduler or a late turn; it is
+     * harmless, as the client has given up by then.
      */
     public void expire() {
         if (now >= subRequests.nextReroute()) {
             subRequests.reroute(router);
         }
-        while (now >= nextOverdue()) {
+        while (now >= nextMissedDeadline()) {
             SubRequest subRequest = subRequests.firstByDeadline();
             events.add(new RequestCancelled(subRequest.id));
             if (subRequest.awaitingRoute) {
                 reject(subRequest, settings.scheduling().maxRetryAfter());
             } else {
-                overdue++;
+                missedDeadlines++;
                 fail(subRequest, "no decision before the deadline");
             }
         }
--- a/core/src/main/java/garnetreel/core/request/RequestSplitter.java
+++ b/core/src/main/java/garnetreel/core/request/RequestSplitter.java
@@ -8,7 +8,9 @@
 final class RequestSplitter {
     /** Limit of extents that a block status reply covers; NBD allows it to cover less than was requested. */
     private static final int MAX_STATUS_EXTENTS = 32;
-    /** A key holds the volume in its upper and the block in its lower bits; the wire protocol requires keys below 2^53. */
+    /**
+     * A key holds the volume in its upper and the block in its lower bits; the wire protocol requires keys below 2^53.
+     */
     private static final int KEY_VOLUME_BITS = 16;
 
     private static final int KEY_BLOCK_BITS = 36;
--- a/core/src/main/java/garnetreel/core/request/SubRequestTable.java
+++ b/core/src/main/java/garnetreel/core/request/SubRequestTable.java
@@ -9,8 +9,8 @@
 import java.util.TreeSet;
 
 /**
- * The sub-requests of a gateway. A sub-request is either known to the scheduler or waits for a newer extent map; once it
- * is completed and no attempt is in flight it is removed.
+ * The sub-requests of a gateway. A sub-request is either known to the scheduler or waits for a newer extent map; once
+ * it is completed and no attempt is in flight it is removed.
  */
 final class SubRequestTable {
     private final PendingEvents events;
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Withdraws a sub-request whose extent has moved. If it is ordered, later ordered ones with the same key that have not
-     * been sent are withdrawn as well, so that they are resubmitted after it.
+     * Withdraws a sub-request whose extent has moved. If it is ordered, later ordered ones with the same key that have
+     * not been sent are withdrawn as well, so that they are resubmitted after it.
      */
     void withdrawWithSuccessors(SubRequest subRequest, long now) {
         withdraw(subRequest, now);
@@ -123,7 +123,7 @@
     }
 
     /** Number of reroutes so far, over all sub-requests. */
-    long rerouted() {
+    long reroutes() {
         return reroutes;
     }
 
--- a/core/src/test/java/garnetreel/core/request/SubRequestTableTest.java
+++ b/core/src/test/java/garnetreel/core/request/SubRequestTableTest.java
@@ -73,7 +73,7 @@
         table.reroute(RequestFixtures.fixedRouter());
         assertEquals(List.of(5L, 6L, 7L), drainedIds());
         assertEquals(List.of(5L, 6L, 7L), List.of(moved.id, follower.id, late.id));
-        assertEquals(3, table.rerouted());
+        assertEquals(3, table.reroutes());
         assertEquals(Long.MAX_VALUE, table.nextReroute());
         assertFalse(moved.attempted());
     }
