--- a/policy/src/main/java/garnetreel/policy/DecisionStep.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionStep.java
@@ -19,14 +19,17 @@
      * Subscribes to the endpoint list if that is due. After the events, which may have established or ended a
      * subscription.
      */
-    FOLLOW_ENDPOINT_LIST,
+    SUBSCRIBE_TO_ENDPOINTS,
     /**
      * Ends requests that are about to miss their deadline. Before dispatch, so that no attempt is sent whose response
      * would come too late.
      */
     EXPIRE_REQUESTS,
-    /** Lowers the admitted fraction of unresponsive endpoints. After the events, which may contain their responses. */
-    DETECT_SILENCE,
+    /**
+     * Detects endpoints that are slow to respond to attempts in flight, which lowers their admitted fraction. After the
+     * events, which may contain their responses.
+     */
+    DETECT_SLOW_ENDPOINTS,
     /** Sheds late requests, then sends attempts, shard by shard. After all steps that free tokens or end requests. */
     SHED_AND_DISPATCH,
     /** Evicts unused state. After dispatch, so that no state is evicted and created again in one call. */
--- a/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
+++ b/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
@@ -74,9 +74,9 @@
         switch (step) {
             case HANDLE_EVENTS -> handleAll(events);
             case READMIT_FOR_RESTARTS -> endpointUpdates.readmitForRestarts(now);
-            case FOLLOW_ENDPOINT_LIST -> endpointUpdates.subscribeIfDue(now);
+            case SUBSCRIBE_TO_ENDPOINTS -> endpointUpdates.subscribeIfDue(now);
             case EXPIRE_REQUESTS -> closer.expireRequests(now);
-            case DETECT_SILENCE -> outcomes.detectSilence(now);
+            case DETECT_SLOW_ENDPOINTS -> outcomes.detectSilence(now);
             case SHED_AND_DISPATCH -> shedAndDispatch();
             case FORGET_UNUSED -> housekeeping.forgetUnused(now);
             case SET_TIMER -> modules.timer.set(
--- a/policy/src/test/java/garnetreel/policy/DecisionStepTest.java
+++ b/policy/src/test/java/garnetreel/policy/DecisionStepTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The order of the steps of a call decides: with two of them swapped, decisions are others. */
+/** The order of the steps of a scheduler call affects its decisions: swapping two steps changes them. */
 class DecisionStepTest {
     private static final long NOW = 100 * TestSettings.SECOND;
 
-    private static List<DecisionStep> swapped(DecisionStep first, DecisionStep second) {
+    private static List<DecisionStep> orderWithSwapped(DecisionStep first, DecisionStep second) {
         List<DecisionStep> steps = new ArrayList<>(DecisionStep.ORDER);
         Collections.swap(steps, steps.indexOf(first), steps.indexOf(second));
         return steps;
     }
 
-    /** Gateway that holds a request for a shard without endpoint, so that the next list lets it be sent. */
-    private static FairQueueScheduler holdingOneRequest(List<DecisionStep> steps) {
+    /** A scheduler that holds one request for a shard without endpoints; the next endpoint list allows sending it. */
+    private static FairQueueScheduler schedulerHoldingRequest(List<DecisionStep> steps) {
         FairQueueScheduler scheduler = new FairQueueScheduler(TestSettings.settings(), 1, steps);
         scheduler.decide(NOW, List.of());
         scheduler.decide(NOW, List.of(request()));
@@ -40,74 +40,77 @@
         return new RequestReceived(1, "read", "free", -1, NOW + TestSettings.SECOND, 5, 1, 0, 1, false, false);
     }
 
-    private static EndpointUpdate list(long startedAt) {
+    private static EndpointUpdate endpointList(long startedAt) {
         return new EndpointUpdate(
                 EndpointUpdateKind.SNAPSHOT, List.of(TestSettings.entry("n0", 0, EndpointState.UP, startedAt)));
     }
 
-    private static long sends(List<SchedulerAction> actions) {
+    private static long countSends(List<SchedulerAction> actions) {
         return actions.stream().filter(action -> action instanceof SendAttempt).count();
     }
 
     @Test
-    void cancellationsComeBeforeSends() {
-        FairQueueScheduler scheduler = holdingOneRequest(DecisionStep.ORDER);
-        assertEquals(0, sends(scheduler.decide(NOW + 1, List.of(list(0), new RequestCancelled(1)))));
-        FairQueueScheduler sendsFirst =
-                holdingOneRequest(swapped(DecisionStep.HANDLE_EVENTS, DecisionStep.SHED_AND_DISPATCH));
-        sendsFirst.decide(NOW + 1, List.of(list(0)));
+    void cancellationsAreHandledBeforeDispatch() {
+        FairQueueScheduler scheduler = schedulerHoldingRequest(DecisionStep.ORDER);
+        assertEquals(0, countSends(scheduler.decide(NOW + 1, List.of(endpointList(0), new RequestCancelled(1)))));
+        FairQueueScheduler dispatchFirst =
+                schedulerHoldingRequest(orderWithSwapped(DecisionStep.HANDLE_EVENTS, DecisionStep.SHED_AND_DISPATCH));
+        dispatchFirst.decide(NOW + 1, List.of(endpointList(0)));
         assertEquals(
                 1,
-                sends(sendsFirst.decide(NOW + 2, List.of(new RequestCancelled(1)))),
-                "a request is sent whose client has left");
+                countSends(dispatchFirst.decide(NOW + 2, List.of(new RequestCancelled(1)))),
+                "with dispatch first, a cancelled request is sent");
     }
 
     @Test
-    void endpointUpdatesComeBeforeSends() {
-        assertEquals(1, sends(holdingOneRequest(DecisionStep.ORDER).decide(NOW + 1, List.of(list(0)))));
+    void endpointUpdatesAreHandledBeforeDispatch() {
+        assertEquals(
+                1, countSends(schedulerHoldingRequest(DecisionStep.ORDER).decide(NOW + 1, List.of(endpointList(0)))));
         assertEquals(
                 0,
-                sends(holdingOneRequest(swapped(DecisionStep.HANDLE_EVENTS, DecisionStep.SHED_AND_DISPATCH))
-                        .decide(NOW + 1, List.of(list(0)))),
-                "the list is not yet known");
+                countSends(schedulerHoldingRequest(
+                                orderWithSwapped(DecisionStep.HANDLE_EVENTS, DecisionStep.SHED_AND_DISPATCH))
+                        .decide(NOW + 1, List.of(endpointList(0)))),
+                "with dispatch first, the endpoint list is not yet known");
     }
 
     @Test
-    void readmissionForRestartsComesBeforeDispatch() {
+    void requestsAreReadmittedForRestartsBeforeDispatch() {
         assertEquals(
-                new Counted(0, 1),
-                heldWhileRestarted(DecisionStep.ORDER),
-                "a gateway that has just started admits to a cold endpoint next to nothing");
+                new ActionCounts(0, 1),
+                actionsAfterRestart(DecisionStep.ORDER),
+                "a gateway that has just started admits almost nothing to a cold endpoint");
         assertEquals(
-                new Counted(1, 0),
-                heldWhileRestarted(swapped(DecisionStep.READMIT_FOR_RESTARTS, DecisionStep.SHED_AND_DISPATCH)),
-                "what was held rushes to a cold endpoint");
+                new ActionCounts(1, 0),
+                actionsAfterRestart(
+                        orderWithSwapped(DecisionStep.READMIT_FOR_RESTARTS, DecisionStep.SHED_AND_DISPATCH)),
+                "with dispatch first, the held request is sent to a cold endpoint");
     }
 
-    private record Counted(long sends, long rejections) {}
+    private record ActionCounts(long sends, long rejections) {}
 
-    private static Counted heldWhileRestarted(List<DecisionStep> steps) {
-        List<SchedulerAction> actions = holdingOneRequest(steps).decide(NOW + 1, List.of(list(NOW)));
-        return new Counted(
-                sends(actions),
+    private static ActionCounts actionsAfterRestart(List<DecisionStep> steps) {
+        List<SchedulerAction> actions = schedulerHoldingRequest(steps).decide(NOW + 1, List.of(endpointList(NOW)));
+        return new ActionCounts(
+                countSends(actions),
                 actions.stream()
                         .filter(action -> action instanceof RejectRequest)
                         .count());
     }
 
-    /** Each of these pairs, swapped, changes the recorded stream of a scenario. */
+    /** Swapping the steps of any of these pairs changes the actions recorded for a scenario. */
     @ParameterizedTest
     @CsvSource({
         "HANDLE_EVENTS, READMIT_FOR_RESTARTS",
         "HANDLE_EVENTS, SHED_AND_DISPATCH",
         "READMIT_FOR_RESTARTS, SHED_AND_DISPATCH",
-        "FOLLOW_ENDPOINT_LIST, SET_TIMER",
+        "SUBSCRIBE_TO_ENDPOINTS, SET_TIMER",
         "EXPIRE_REQUESTS, SHED_AND_DISPATCH",
-        "DETECT_SILENCE, HANDLE_EVENTS",
+        "DETECT_SLOW_ENDPOINTS, HANDLE_EVENTS",
         "SHED_AND_DISPATCH, SET_TIMER"
     })
-    void swappedStepsChangeDecisions(DecisionStep first, DecisionStep second) {
+    void swappingStepsChangesDecisions(DecisionStep first, DecisionStep second) {
         GoldenScenario scenario = GoldenScenarios.all().get(0);
-        assertNotEquals(GoldenDriver.lines(scenario), GoldenDriver.lines(scenario, swapped(first, second)));
+        assertNotEquals(GoldenDriver.lines(scenario), GoldenDriver.lines(scenario, orderWithSwapped(first, second)));
     }
 }
--- a/policy/src/test/java/garnetreel/policy/GoldenActionLine.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenActionLine.java
@@ -14,19 +14,19 @@
 import java.util.Map;
 
 /**
- * The text form of an action in the golden streams: time, kind word, fields. The words are fixed here and do not follow
- * the names of the Java types, so that renaming a type leaves the golden file valid.
+ * Formats an action as a line of the golden streams: time, a word for the kind of action, fields. The words are fixed
+ * here and independent of the names of the Java types, so that renaming a type keeps the golden file valid.
  */
 final class GoldenActionLine {
-    /** Log messages by their present text, each with the text of the record. */
+    /** Maps the current text of log messages to the text in the recording. */
     private static final Map<String, String> RECORDED_MESSAGES = Map.of(
             "endpoint list: call rejected or subscription lost, retrying after backoff",
             "node list: call refused or subscription broken, asking again");
-    /** What begins a log message about an endpoint, and what did in the record. */
+    /** Prefix of log messages about an endpoint; the next constant is its form in the recording. */
     private static final String ENDPOINT_PREFIX = "endpoint ";
 
     private static final String RECORDED_ENDPOINT_PREFIX = "node ";
-    /** What follows the address in log messages about an endpoint, each with the text of the record. */
+    /** Maps the text after the address, in log messages about an endpoint, to the text in the recording. */
     private static final Map<String, String> RECORDED_ENDPOINT_MESSAGES =
             Map.of("unreachable", "broken off", "reachable again", "answers again");
 
@@ -35,10 +35,10 @@
     private GoldenActionLine() {}
 
     static String of(long time, SchedulerAction action) {
-        return time + " " + words(action);
+        return time + " " + format(action);
     }
 
-    private static String words(SchedulerAction action) {
+    private static String format(SchedulerAction action) {
         if (action instanceof SendAttempt send) {
             return "send " + send.id() + " " + send.endpoint() + " " + send.timeout() + " " + send.startWithin();
         } else if (action instanceof CancelAttempt cancel) {
@@ -58,13 +58,13 @@
         } else if (action instanceof PollEndpoints) {
             return "fetch";
         } else if (action instanceof LogMessage message) {
-            return "remark " + recorded(message.text());
+            return "remark " + recordedText(message.text());
         }
         throw new AssertionError("no text form for " + action);
     }
 
-    /** The recorded text of a log message; one that the tables do not have fails. */
-    private static String recorded(String text) {
+    /** The text of a log message in the recording; throws for a message that the tables do not contain. */
+    private static String recordedText(String text) {
         if (RECORDED_MESSAGES.containsKey(text)) {
             return RECORDED_MESSAGES.get(text);
         }
--- a/policy/src/test/java/garnetreel/policy/GoldenAttempts.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenAttempts.java
@@ -8,19 +8,19 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The attempts of a golden scenario: carries each to its endpoint, and its outcome back. */
+/** Simulates the attempts of a golden scenario: passes each to its endpoint and delivers its outcome. */
 final class GoldenAttempts {
-    private static final double ODD_SHARE = 0.01;
-    private static final double OK_NOT_COMPLETED_SHARE = 0.03;
-    private static final double ERROR_COMPLETED_SHARE = 0.5;
-    private static final double OTHER_COMPLETED_SHARE = 0.05;
-    private static final int MOST_FROM_OTHER_GATEWAYS = 12;
+    private static final double DUPLICATE_OUTCOME_PROBABILITY = 0.01;
+    private static final double OK_NOT_COMPLETED_PROBABILITY = 0.03;
+    private static final double ERROR_COMPLETED_PROBABILITY = 0.5;
+    private static final double OTHER_COMPLETED_PROBABILITY = 0.05;
+    private static final int OTHER_GATEWAYS_UNITS_BOUND = 12;
 
-    /** A request that was sent: how many attempts, and how many of them are in flight. */
+    /** A request that was sent, with its number of attempts and how many of them are in flight. */
     private static final class SentRequest {
         int attempts;
         int inFlight;
-        boolean over;
+        boolean ended;
     }
 
     private final GoldenSimulation simulation;
@@ -40,46 +40,55 @@
         GoldenEndpoint.Response response =
                 fleet.endpoint(send.endpoint()).respond(simulation.now(), units, simulation.random());
         if (request.className().equals("stream") && response.outcome() == Outcome.OK) {
-            simulation.after(
-                    response.after() / 2,
+            simulation.schedule(
+                    response.delay() / 2,
                     () -> simulation.deliver(new ResponseStreamStarted(send.id(), attempt, send.endpoint())));
         }
         long sentAt = simulation.now();
-        simulation.after(
-                response.after(), () -> complete(send, attempt, response.outcome(), simulation.now() - sentAt));
+        simulation.schedule(
+                response.delay(), () -> complete(send, attempt, response.outcome(), simulation.now() - sentAt));
     }
 
     private void complete(SendAttempt send, int attempt, Outcome outcome, long elapsed) {
         boolean completed = simulation.chance(
                 switch (outcome) {
-                    case OK -> 1 - OK_NOT_COMPLETED_SHARE;
-                    case ERROR -> ERROR_COMPLETED_SHARE;
-                    default -> OTHER_COMPLETED_SHARE;
+                    case OK -> 1 - OK_NOT_COMPLETED_PROBABILITY;
+                    case ERROR -> ERROR_COMPLETED_PROBABILITY;
+                    default -> OTHER_COMPLETED_PROBABILITY;
                 });
-        long others = simulation.chance(0.5) ? simulation.random().nextLong(MOST_FROM_OTHER_GATEWAYS) : 0;
+        long unitsFromOtherGateways =
+                simulation.chance(0.5) ? simulation.random().nextLong(OTHER_GATEWAYS_UNITS_BOUND) : 0;
         AttemptCompleted event = new AttemptCompleted(
-                send.id(), attempt, send.endpoint(), outcome, elapsed, completed, others, 0, Map.of("queue", 1.0));
+                send.id(),
+                attempt,
+                send.endpoint(),
+                outcome,
+                elapsed,
+                completed,
+                unitsFromOtherGateways,
+                0,
+                Map.of("queue", 1.0));
         simulation.deliver(event);
-        if (simulation.chance(ODD_SHARE)) {
+        if (simulation.chance(DUPLICATE_OUTCOME_PROBABILITY)) {
             simulation.deliver(event);
         }
         SentRequest sent = sentRequests.get(send.id());
         sent.inFlight--;
-        sent.over |= completed;
-        forgetIfOver(send.id(), sent);
+        sent.ended |= completed;
+        removeIfEnded(send.id(), sent);
     }
 
-    /** A request has its final response, or its client left. */
-    void requestOver(long id) {
+    /** Called when a request has got its final response or was cancelled by its client. */
+    void requestEnded(long id) {
         SentRequest sent = sentRequests.get(id);
         if (sent != null) {
-            sent.over = true;
-            forgetIfOver(id, sent);
+            sent.ended = true;
+            removeIfEnded(id, sent);
         }
     }
 
-    private void forgetIfOver(long id, SentRequest sent) {
-        if (sent.over && sent.inFlight == 0) {
+    private void removeIfEnded(long id, SentRequest sent) {
+        if (sent.ended && sent.inFlight == 0) {
             sentRequests.remove(id);
         }
     }
--- a/policy/src/test/java/garnetreel/policy/GoldenClients.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenClients.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The simulated clients of a golden scenario: new requests, retries of what was given up, and cancellations. */
+/** Simulates the clients of a golden scenario: new requests, retries of failed requests, and cancellations. */
 final class GoldenClients {
-    private static final double ODD_SHARE = 0.01;
-    /** Clients' deadlines over two attempts differ by up to this. */
+    private static final double ANOMALY_PROBABILITY = 0.01;
+    /** Maximum difference between the deadlines of a request and its retry by the client. */
     private static final long DEADLINE_JITTER = 6 * MILLISECOND;
 
     private static final long UNKNOWN_CLASS_DEADLINE = 1 * SECOND;
@@ -42,19 +42,19 @@
         return requests.get(id);
     }
 
-    /** The id of one of the latest requests. */
+    /** The id of a random one of the latest requests. */
     long recentId() {
-        return nextId - simulation.upTo(Math.min(nextId, 20));
+        return nextId - simulation.randomUpTo(Math.min(nextId, 20));
     }
 
-    /** A client got the final response of a request that was given up; it may retry. */
-    void givenUp(long id) {
-        attempts.requestOver(id);
+    /** Called when a request was rejected or failed; the client may retry it. */
+    void requestFailed(long id) {
+        attempts.requestEnded(id);
         RequestReceived first = requests.get(id);
-        long wait = simulation.upTo(scenario.retryWithin);
-        if (simulation.chance(scenario.retryShare) && simulation.now() + wait < first.deadline()) {
+        long delay = simulation.randomUpTo(scenario.maxRetryDelay);
+        if (simulation.chance(scenario.retryProbability) && simulation.now() + delay < first.deadline()) {
             long jitter = simulation.random().nextLong(2 * DEADLINE_JITTER) - DEADLINE_JITTER;
-            simulation.after(wait, () -> send(retry(first, nextId++, first.deadline() + jitter)));
+            simulation.schedule(delay, () -> send(retry(first, nextId++, first.deadline() + jitter)));
         }
     }
 
@@ -73,32 +73,32 @@
                 first.write());
     }
 
-    void newRequests() {
+    void generateRequests() {
         long elapsed = simulation.now() - GoldenSimulation.START;
-        boolean burst = elapsed % scenario.burstEvery < scenario.burstLasts;
+        boolean burst = elapsed % scenario.burstInterval < scenario.burstDuration;
         double rate = scenario.requestsPerSecond * (burst ? scenario.burstFactor : 1);
         if (elapsed >= scenario.idleFrom && elapsed < scenario.idleUntil) {
-            simulation.after(scenario.idleUntil - elapsed, this::newRequests);
+            simulation.schedule(scenario.idleUntil - elapsed, this::generateRequests);
             return;
         }
-        simulation.after(simulation.upTo((long) (2 * SECOND / rate)), this::newRequests);
+        simulation.schedule(simulation.randomUpTo((long) (2 * SECOND / rate)), this::generateRequests);
         send(newRequest());
     }
 
     private RequestReceived newRequest() {
-        long volume = simulation.chance(scenario.busiestVolumeShare)
+        long volume = simulation.chance(scenario.busiestVolumeProbability)
                 ? 0
                 : simulation.random().nextInt(scenario.volumes);
-        String name = classNames.isEmpty() || simulation.chance(ODD_SHARE)
+        String className = classNames.isEmpty() || simulation.chance(ANOMALY_PROBABILITY)
                 ? "no-such-class"
                 : classNames.get(simulation.random().nextInt(classNames.size()));
-        long deadline = classes.containsKey(name) ? classes.get(name).deadline() : UNKNOWN_CLASS_DEADLINE;
-        double units = simulation.chance(ODD_SHARE)
+        long deadline = classes.containsKey(className) ? classes.get(className).deadline() : UNKNOWN_CLASS_DEADLINE;
+        double units = simulation.chance(ANOMALY_PROBABILITY)
                 ? (simulation.chance(0.5) ? Double.NaN : -1)
                 : 0.25 * (1 + simulation.random().nextInt(16));
         return new RequestReceived(
                 nextId++,
-                name,
+                className,
                 PLANS.get((int) (volume % PLANS.size())),
                 simulation.random().nextInt(scenario.keysInUse + 1) - 1,
                 simulation.now() + deadline,
@@ -111,10 +111,10 @@
     }
 
     private int shard() {
-        if (simulation.chance(scenario.newObjectShare)) {
+        if (simulation.chance(scenario.newObjectProbability)) {
             return -1;
         }
-        return simulation.chance(ODD_SHARE) || scenario.unknownShards > scenario.shards
+        return simulation.chance(ANOMALY_PROBABILITY) || scenario.unknownShards > scenario.shards
                 ? simulation.random().nextInt(scenario.shards + scenario.unknownShards)
                 : simulation.random().nextInt(scenario.shards);
     }
@@ -122,16 +122,16 @@
     private void send(RequestReceived request) {
         requests.put(request.id(), request);
         simulation.deliver(request);
-        if (simulation.chance(ODD_SHARE)) {
-            simulation.after(simulation.upTo(100 * MILLISECOND), () -> simulation.deliver(request));
+        if (simulation.chance(ANOMALY_PROBABILITY)) {
+            simulation.schedule(simulation.randomUpTo(100 * MILLISECOND), () -> simulation.deliver(request));
         }
-        if (simulation.chance(scenario.cancelShare)) {
-            simulation.after(simulation.upTo(SECOND), () -> cancel(request.id()));
+        if (simulation.chance(scenario.cancelProbability)) {
+            simulation.schedule(simulation.randomUpTo(SECOND), () -> cancel(request.id()));
         }
     }
 
     private void cancel(long id) {
         simulation.deliver(new RequestCancelled(id));
-        attempts.requestOver(id);
+        attempts.requestEnded(id);
     }
 }
--- a/policy/src/test/java/garnetreel/policy/GoldenDriver.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenDriver.java
@@ -23,12 +23,12 @@
 import java.util.Map;
 
 /**
- * Runs one scenario of the golden streams in simulated time: clients, endpoints and discovery produce events, the scheduler under
- * test answers with actions, and each action becomes one line of text.
+ * Runs one scenario of the golden streams in simulated time. Clients, endpoints and discovery produce events, the
+ * scheduler under test returns actions, and each action becomes one line of text.
  */
 final class GoldenDriver {
     private static final long SCHEDULER_SEED = 1_000;
-    private static final long STRAY_EVERY = 700 * MILLISECOND;
+    private static final long STRAY_EVENT_INTERVAL = 700 * MILLISECOND;
 
     private final GoldenScenario scenario;
     private final GoldenSimulation simulation;
@@ -47,12 +47,12 @@
         scheduler = new FairQueueScheduler(scenario.settings(), SCHEDULER_SEED + scenario.seed, steps);
     }
 
-    /** The actions of a scenario, one a line, with times since its start. */
+    /** The actions of a scenario, one per line, with times relative to its start. */
     static List<String> lines(GoldenScenario scenario) {
         return lines(scenario, DecisionStep.ORDER);
     }
 
-    /** The same with another order of the scheduler's steps. */
+    /** The same, with the given order of the steps of a scheduler call. */
     static List<String> lines(GoldenScenario scenario, List<DecisionStep> steps) {
         GoldenDriver driver = new GoldenDriver(scenario, steps);
         driver.run();
@@ -60,23 +60,23 @@
     }
 
     private void run() {
-        firstList();
-        simulation.after(10 * MILLISECOND, clients::newRequests);
-        simulation.after(scenario.incidentEvery, fleet::incident);
-        simulation.after(STRAY_EVERY, this::strayEvents);
-        if (scenario.tracked) {
-            simulation.after(0, fleet::confirmList);
+        deliverInitialList();
+        simulation.schedule(10 * MILLISECOND, clients::generateRequests);
+        simulation.schedule(scenario.incidentInterval, fleet::startIncident);
+        simulation.schedule(STRAY_EVENT_INTERVAL, this::deliverStrayEvent);
+        if (scenario.confirmsList) {
+            simulation.schedule(0, fleet::confirmList);
         }
-        if (scenario.discoveryBreaksEvery != Long.MAX_VALUE) {
-            simulation.after(scenario.discoveryBreaksEvery, fleet::breakDiscovery);
+        if (scenario.discoveryOutageInterval != Long.MAX_VALUE) {
+            simulation.schedule(scenario.discoveryOutageInterval, fleet::startDiscoveryOutage);
         }
         while (simulation.runNextTasks(GoldenSimulation.START + scenario.duration)) {
             decide();
         }
     }
 
-    private void firstList() {
-        if (scenario.tracked) {
+    private void deliverInitialList() {
+        if (scenario.confirmsList) {
             simulation.deliver(new EndpointListConfirmed(simulation.now()));
             decide();
         }
@@ -95,27 +95,27 @@
         }
         for (SchedulerAction action : scheduler.decide(simulation.now(), events)) {
             lines.add(GoldenActionLine.of(simulation.now() - GoldenSimulation.START, action));
-            carryOut(action);
+            perform(action);
         }
     }
 
-    private void carryOut(SchedulerAction action) {
+    private void perform(SchedulerAction action) {
         if (action instanceof SendAttempt send) {
             attempts.send(send, clients.request(send.id()));
         } else if (action instanceof SetTimer timer) {
-            simulation.after(timer.after(), () -> simulation.deliver(new TimerExpired(timer.name())));
+            simulation.schedule(timer.after(), () -> simulation.deliver(new TimerExpired(timer.name())));
         } else if (action instanceof RejectRequest reject) {
-            clients.givenUp(reject.id());
+            clients.requestFailed(reject.id());
         } else if (action instanceof FailRequest fail) {
-            clients.givenUp(fail.id());
+            clients.requestFailed(fail.id());
         } else if (action instanceof SubscribeEndpoints) {
-            fleet.subscriptionCalled();
+            fleet.subscribe();
         }
     }
 
-    /** Events that concern nothing known, or that change nothing. */
-    private void strayEvents() {
-        simulation.after(simulation.upTo(2 * STRAY_EVERY), this::strayEvents);
+    /** Delivers an event that refers to nothing known or that must change nothing. */
+    private void deliverStrayEvent() {
+        simulation.schedule(simulation.randomUpTo(2 * STRAY_EVENT_INTERVAL), this::deliverStrayEvent);
         long id = clients.recentId();
         String endpoint = fleet.firstAddress();
         switch (simulation.random().nextInt(6)) {
--- a/policy/src/test/java/garnetreel/policy/GoldenEndpoint.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenEndpoint.java
@@ -9,34 +9,34 @@
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
-/** A simulated endpoint of the golden streams: a few servers with one queue, and a condition that spoils its responses for a while. */
+/** A simulated endpoint of the golden streams: a few servers with a common queue, and a temporary fault condition. */
 final class GoldenEndpoint {
-    /** What an endpoint does with the attempts that reach it. */
+    /** How an endpoint treats the attempts that it receives. */
     enum Condition {
         HEALTHY,
         SLOW,
-        SILENT,
+        UNRESPONSIVE,
         LOSSY,
         UNREACHABLE,
         OVERLOADED_QUEUE,
         RESETTING,
         FAILING,
-        NEVER_STARTING,
+        NOT_STARTING,
         CANCELLING,
         UNKNOWN_OUTCOME
     }
 
-    /** How an attempt ends, and how long after its send. */
-    record Response(Outcome outcome, long after) {}
+    /** The outcome of an attempt and its delay after the attempt was sent. */
+    record Response(Outcome outcome, long delay) {}
 
     private static final long MIN_TIMEOUT = 100 * MILLISECOND;
     private static final long TIMEOUT_SPREAD = 4 * SECOND;
     private static final long MIN_FAULT_DELAY = 10 * MILLISECOND;
     private static final long FAULT_DELAY_SPREAD = 300 * MILLISECOND;
-    private static final long REJECTED_AFTER = 2 * MILLISECOND;
+    private static final long REJECTION_DELAY = 2 * MILLISECOND;
     private static final int SLOW_FACTOR = 12;
-    private static final double LOST_SHARE = 0.4;
-    private static final double FAULT_SHARE = 0.7;
+    private static final double LOSS_PROBABILITY = 0.4;
+    private static final double FAULT_PROBABILITY = 0.7;
     private static final long QUEUE_LIMIT = 2 * SECOND;
 
     final String address;
@@ -45,7 +45,7 @@
     EndpointState state = EndpointState.UP;
     long startedAt;
     Condition condition = Condition.HEALTHY;
-    long conditionEnds;
+    long conditionUntil;
     private final long unitTime;
     private final long[] freeAt;
 
@@ -61,30 +61,30 @@
         return new EndpointEntry(address, zone, shard, state, 1, startedAt);
     }
 
-    /** Puts the endpoint into a condition that ends by itself. */
+    /** Puts the endpoint into a condition until the given time. */
     void setCondition(Condition newCondition, long until) {
         condition = newCondition;
-        conditionEnds = until;
+        conditionUntil = until;
     }
 
-    /** A new process: idle, healthy after the time it takes to start. */
+    /** Starts a new process, which is unreachable during its start time and then idle and healthy. */
     void restart(long now, long startTime) {
         Arrays.fill(freeAt, now + startTime);
         setCondition(Condition.UNREACHABLE, now + startTime);
     }
 
     Response respond(long now, double units, SplittableRandom random) {
-        if (now >= conditionEnds) {
+        if (now >= conditionUntil) {
             condition = Condition.HEALTHY;
         }
         if (state == EndpointState.REMOVED) {
-            return new Response(Outcome.CONNECT_FAILED, REJECTED_AFTER);
+            return new Response(Outcome.CONNECT_FAILED, REJECTION_DELAY);
         }
-        boolean faulty = random.nextDouble() < FAULT_SHARE;
+        boolean faulty = random.nextDouble() < FAULT_PROBABILITY;
         return switch (condition) {
-            case UNREACHABLE -> new Response(Outcome.CONNECT_FAILED, REJECTED_AFTER);
-            case SILENT -> timeout(random);
-            case LOSSY -> random.nextDouble() < LOST_SHARE ? timeout(random) : served(now, units, 1, random);
+            case UNREACHABLE -> new Response(Outcome.CONNECT_FAILED, REJECTION_DELAY);
+            case UNRESPONSIVE -> timeout(random);
+            case LOSSY -> random.nextDouble() < LOSS_PROBABILITY ? timeout(random) : served(now, units, 1, random);
             case SLOW -> served(now, units, SLOW_FACTOR, random);
             default -> faulty ? faultResponse(now, units, random) : served(now, units, 1, random);
         };
@@ -92,10 +92,10 @@
 
     private Response faultResponse(long now, double units, SplittableRandom random) {
         return switch (condition) {
-            case OVERLOADED_QUEUE -> new Response(Outcome.OVERLOADED, REJECTED_AFTER);
+            case OVERLOADED_QUEUE -> new Response(Outcome.OVERLOADED, REJECTION_DELAY);
             case RESETTING -> delayed(Outcome.RESET, random);
             case FAILING -> delayed(Outcome.ERROR, random);
-            case NEVER_STARTING -> new Response(Outcome.NOT_STARTED, REJECTED_AFTER);
+            case NOT_STARTING -> new Response(Outcome.NOT_STARTED, REJECTION_DELAY);
             case CANCELLING -> delayed(Outcome.CANCELLED, random);
             case UNKNOWN_OUTCOME -> delayed(Outcome.UNKNOWN, random);
             default -> served(now, units, 1, random);
@@ -115,12 +115,12 @@
         for (int i = 1; i < freeAt.length; i++) {
             server = freeAt[i] < freeAt[server] ? i : server;
         }
-        long begin = Math.max(now, freeAt[server]);
-        if (begin - now > QUEUE_LIMIT || state == EndpointState.DRAINING && begin > now) {
-            return new Response(Outcome.OVERLOADED, REJECTED_AFTER);
+        long start = Math.max(now, freeAt[server]);
+        if (start - now > QUEUE_LIMIT || state == EndpointState.DRAINING && start > now) {
+            return new Response(Outcome.OVERLOADED, REJECTION_DELAY);
         }
-        long work = (long) (unitTime * units * factor * (0.5 + random.nextDouble()));
-        freeAt[server] = begin + work;
-        return new Response(Outcome.OK, begin + work - now);
+        long serviceTime = (long) (unitTime * units * factor * (0.5 + random.nextDouble()));
+        freeAt[server] = start + serviceTime;
+        return new Response(Outcome.OK, start + serviceTime - now);
     }
 }
--- a/policy/src/test/java/garnetreel/policy/GoldenFleet.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenFleet.java
@@ -17,10 +17,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The simulated endpoints of a golden scenario, what happens to them, and the discovery that lists them. */
+/** Simulates the endpoints of a golden scenario, their incidents, and the discovery that lists them. */
 final class GoldenFleet {
-    private static final long CONFIRM_EVERY = 1 * SECOND;
-    private static final double FAILURE_SHOWS_DISCOVERY_SHARE = 0.3;
+    private static final long CONFIRMATION_INTERVAL = 1 * SECOND;
+    private static final double REJECTION_OBSERVED_PROBABILITY = 0.3;
 
     private final GoldenSimulation simulation;
     private final GoldenScenario scenario;
@@ -63,11 +63,12 @@
 
     // ---------------------------------------------------------------- incidents
 
-    void incident() {
-        simulation.after(scenario.incidentEvery / 2 + simulation.upTo(scenario.incidentEvery), this::incident);
+    void startIncident() {
+        simulation.schedule(
+                scenario.incidentInterval / 2 + simulation.randomUpTo(scenario.incidentInterval), this::startIncident);
         int index = simulation.random().nextInt(endpoints.size());
         GoldenEndpoint endpoint = endpoints.get(index);
-        long duration = simulation.upTo(scenario.incidentLasts);
+        long duration = simulation.randomUpTo(scenario.maxIncidentDuration);
         Incident incident = scenario.incidents.get(simulation.random().nextInt(scenario.incidents.size()));
         switch (incident) {
             case RESTART -> restart(endpoint, duration, true);
@@ -82,83 +83,83 @@
     private void restart(GoldenEndpoint endpoint, long startTime, boolean listed) {
         endpoint.restart(simulation.now(), startTime);
         if (listed) {
-            simulation.after(startTime, () -> {
+            simulation.schedule(startTime, () -> {
                 endpoint.startedAt = simulation.now();
-                listChange(endpoint.entry());
+                deliverDelta(endpoint.entry());
             });
         }
     }
 
     private void drain(GoldenEndpoint endpoint, long duration) {
         endpoint.state = EndpointState.DRAINING;
-        listChange(endpoint.entry());
-        simulation.after(duration, () -> {
+        deliverDelta(endpoint.entry());
+        simulation.schedule(duration, () -> {
             if (endpoint.state == EndpointState.DRAINING) {
                 endpoint.state = EndpointState.UP;
-                listChange(endpoint.entry());
+                deliverDelta(endpoint.entry());
             }
         });
     }
 
-    private void replace(int index, GoldenEndpoint former) {
-        former.state = EndpointState.REMOVED;
-        listChange(former.entry());
+    private void replace(int index, GoldenEndpoint replaced) {
+        replaced.state = EndpointState.REMOVED;
+        deliverDelta(replaced.entry());
         endpoints.remove(index);
-        GoldenEndpoint successor = add(former.shard, former.zone);
-        successor.startedAt = simulation.now();
-        listChange(successor.entry());
+        GoldenEndpoint replacement = add(replaced.shard, replaced.zone);
+        replacement.startedAt = simulation.now();
+        deliverDelta(replacement.entry());
     }
 
     private void move(GoldenEndpoint endpoint) {
         endpoint.shard = simulation.random().nextInt(scenario.shards);
-        listChange(endpoint.entry());
+        deliverDelta(endpoint.entry());
     }
 
     // ---------------------------------------------------------------- discovery
 
-    private void listChange(EndpointEntry entry) {
+    private void deliverDelta(EndpointEntry entry) {
         if (subscribed && discoveryUp) {
             simulation.deliver(new EndpointUpdate(EndpointUpdateKind.DELTA, List.of(entry)));
         }
     }
 
-    void subscriptionCalled() {
-        simulation.after(simulation.upTo(40 * MILLISECOND), this::answerSubscription);
+    void subscribe() {
+        simulation.schedule(simulation.randomUpTo(40 * MILLISECOND), this::answerSubscription);
     }
 
-    /** Answers a subscription call, or leaves it without a response. */
+    /** Accepts or rejects a subscription call, or leaves it without a response. */
     private void answerSubscription() {
-        if (simulation.chance(scenario.subscriptionUnansweredShare)) {
+        if (simulation.chance(scenario.subscriptionUnansweredProbability)) {
             return;
         }
-        if (!discoveryUp || simulation.chance(scenario.subscriptionRejectedShare)) {
+        if (!discoveryUp || simulation.chance(scenario.subscriptionRejectedProbability)) {
             simulation.deliver(new EndpointUpdate(EndpointUpdateKind.UNAVAILABLE, List.of()));
-            if (simulation.chance(FAILURE_SHOWS_DISCOVERY_SHARE)) {
+            if (simulation.chance(REJECTION_OBSERVED_PROBABILITY)) {
                 simulation.deliver(new DiscoveryObserved(true));
             }
             return;
         }
         subscribed = true;
         simulation.deliver(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, entries()));
-        if (scenario.tracked) {
+        if (scenario.confirmsList) {
             simulation.deliver(new EndpointListConfirmed(simulation.now()));
         }
     }
 
     void confirmList() {
-        simulation.after(CONFIRM_EVERY, this::confirmList);
+        simulation.schedule(CONFIRMATION_INTERVAL, this::confirmList);
         if (subscribed && discoveryUp) {
-            simulation.deliver(new EndpointListConfirmed(simulation.now() - simulation.upTo(20 * MILLISECOND)));
+            simulation.deliver(new EndpointListConfirmed(simulation.now() - simulation.randomUpTo(20 * MILLISECOND)));
         }
     }
 
-    void breakDiscovery() {
-        simulation.after(
-                scenario.discoveryBreaksEvery / 2 + simulation.upTo(scenario.discoveryBreaksEvery),
-                this::breakDiscovery);
+    void startDiscoveryOutage() {
+        simulation.schedule(
+                scenario.discoveryOutageInterval / 2 + simulation.randomUpTo(scenario.discoveryOutageInterval),
+                this::startDiscoveryOutage);
         discoveryUp = false;
         subscribed = !scenario.subscribe;
-        simulation.after(simulation.upTo(scenario.discoveryDownFor), () -> discoveryUp = true);
+        simulation.schedule(simulation.randomUpTo(scenario.maxDiscoveryOutageDuration), () -> discoveryUp = true);
         switch (simulation.random().nextInt(3)) {
             case 0 -> simulation.deliver(new DiscoveryObserved(false));
             case 1 -> simulation.deliver(new DiscoveryAddressChanged());
--- a/policy/src/test/java/garnetreel/policy/GoldenScenario.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenScenario.java
@@ -14,30 +14,30 @@
 import java.util.function.Consumer;
 
 /**
- * One scenario of the golden streams: the settings of the scheduler under test, and the figures of the simulated clients,
- * endpoints and discovery. Everything random in it follows from its seed. The figures are those of no deployment; changing
- * any of them changes the recorded stream.
+ * One scenario of the golden streams: the settings of the scheduler under test, and the parameters of the simulated
+ * clients, endpoints and discovery. All randomness is derived from its seed. The parameters are those of no deployment;
+ * changing any of them changes the recorded stream.
  */
 final class GoldenScenario {
-    /** What can happen to the endpoints besides requests. */
+    /** Events and temporary conditions that affect an endpoint. */
     enum Incident {
         SLOW,
-        SILENT,
+        UNRESPONSIVE,
         LOSSY,
         UNREACHABLE,
         OVERLOADED_QUEUE,
         RESETTING,
         FAILING,
-        NEVER_STARTING,
+        NOT_STARTING,
         CANCELLING,
         UNKNOWN_OUTCOME,
-        /** Restarts, and the list says so. */
+        /** Restarts, and the endpoint list reports the restart. */
         RESTART,
-        /** Restarts, and the list never says so: only its behaviour does. */
+        /** Restarts, but the endpoint list does not report it; it shows only in the outcomes of attempts. */
         UNLISTED_RESTART,
         DRAIN,
         REPLACE,
-        /** Holds another shard from now on. */
+        /** Is assigned to a randomly chosen shard. */
         MOVE
     }
 
@@ -52,34 +52,34 @@
 
     double requestsPerSecond = 150;
     int volumes = 12;
-    double busiestVolumeShare = 0.2;
-    double newObjectShare = 0.1;
-    double retryShare = 0.4;
-    long retryWithin = 500 * MILLISECOND;
-    double cancelShare = 0.02;
+    double busiestVolumeProbability = 0.2;
+    double newObjectProbability = 0.1;
+    double retryProbability = 0.4;
+    long maxRetryDelay = 500 * MILLISECOND;
+    double cancelProbability = 0.02;
     int keysInUse = 6;
-    /** Shards are drawn from so many more than there are. */
+    /** Number of shards that do not exist but may be named by requests. */
     int unknownShards = 1;
 
-    long burstEvery = 10 * SECOND;
-    long burstLasts = 0;
+    long burstInterval = 10 * SECOND;
+    long burstDuration = 0;
     double burstFactor = 5;
     long idleFrom = Long.MAX_VALUE;
     long idleUntil = Long.MAX_VALUE;
 
-    long incidentEvery = 2 * SECOND;
-    long incidentLasts = 2 * SECOND;
+    long incidentInterval = 2 * SECOND;
+    long maxIncidentDuration = 2 * SECOND;
     List<Incident> incidents = List.of(Incident.values());
 
-    boolean tracked = false;
+    boolean confirmsList = false;
     boolean hasCachedList = true;
-    double subscriptionRejectedShare = 0;
-    double subscriptionUnansweredShare = 0;
-    long discoveryBreaksEvery = Long.MAX_VALUE;
-    long discoveryDownFor = 2 * SECOND;
+    double subscriptionRejectedProbability = 0;
+    double subscriptionUnansweredProbability = 0;
+    long discoveryOutageInterval = Long.MAX_VALUE;
+    long maxDiscoveryOutageDuration = 2 * SECOND;
 
-    List<RequestClass> classes = usualClasses();
-    SafetyRules rules = usualRules(5 * SECOND, 2 * SECOND, 10 * SECOND);
+    List<RequestClass> classes = defaultClasses();
+    SafetyRules rules = safetyRules(5 * SECOND, 2 * SECOND, 10 * SECOND);
     int gateways = 2;
     boolean subscribe = true;
     double coldEndpointCapacity = 20;
@@ -87,10 +87,10 @@
     int maxAttempts = 3;
     long timerResolution = 2 * MILLISECOND;
 
-    GoldenScenario(String name, long seed, Consumer<GoldenScenario> figures) {
+    GoldenScenario(String name, long seed, Consumer<GoldenScenario> customizer) {
         this.name = name;
         this.seed = seed;
-        figures.accept(this);
+        customizer.accept(this);
     }
 
     @Override
@@ -123,7 +123,7 @@
                 timerResolution);
     }
 
-    static List<RequestClass> usualClasses() {
+    static List<RequestClass> defaultClasses() {
         return List.of(
                 requestClass("read", 2 * SECOND, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false, false),
                 requestClass("once", 2 * SECOND, Idempotency.NON_IDEMPOTENT, DeduplicationScope.SHARD, 0, false, false),
@@ -155,8 +155,8 @@
                 requestClass("patient", 20 * SECOND, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false, false));
     }
 
-    static List<RequestClass> withAClassWithoutObjective() {
-        List<RequestClass> classes = new ArrayList<>(usualClasses());
+    static List<RequestClass> classesWithOneWithoutObjective() {
+        List<RequestClass> classes = new ArrayList<>(defaultClasses());
         classes.add(new RequestClass(
                 "no-objective",
                 0,
@@ -193,7 +193,7 @@
                 new Plan("slowly", 0.5, 60, 4, 1, 0.5, 0.1, 0));
     }
 
-    static SafetyRules usualRules(long retryWindow, long overloadWindow, long pollInterval) {
+    static SafetyRules safetyRules(long retryWindow, long overloadWindow, long pollInterval) {
         return new SafetyRules(
                 10 * MILLISECOND,
                 pollInterval,
--- a/policy/src/test/java/garnetreel/policy/GoldenSimulation.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenSimulation.java
@@ -10,15 +10,17 @@
 import java.util.SplittableRandom;
 
 /**
- * Simulated time of the golden streams: tasks that come due, the events that they produce, and the one sequence of random numbers
- * that all parts draw from. The order of draws is part of the recorded streams.
+ * Discrete-event simulation for the golden streams: scheduled tasks, the events that they produce, and the random
+ * generator shared by all parts. The recorded streams depend on the order in which random numbers are drawn.
  */
 final class GoldenSimulation {
     static final long START = 100 * SECOND;
-    /** Events less apart than this are handed over in one call, where the chance below says so. */
-    private static final long GATHERED = 3 * MILLISECOND;
+    /**
+     * Events within this time of each other are delivered in one call, with the probability {@link #BATCH_PROBABILITY}.
+     */
+    private static final long BATCH_WINDOW = 3 * MILLISECOND;
 
-    private static final double GATHER_SHARE = 0.4;
+    private static final double BATCH_PROBABILITY = 0.4;
 
     private record Task(long dueAt, long sequence, Runnable action) {}
 
@@ -42,37 +44,37 @@
         return random;
     }
 
-    /** A time between one microsecond and the given one. */
-    long upTo(long time) {
-        return 1 + random.nextLong(time);
+    /** A random number from 1 to the given limit. */
+    long randomUpTo(long limit) {
+        return 1 + random.nextLong(limit);
     }
 
-    boolean chance(double share) {
-        return random.nextDouble() < share;
+    boolean chance(double probability) {
+        return random.nextDouble() < probability;
     }
 
-    void after(long time, Runnable action) {
-        tasks.add(new Task(now + time, nextSequence++, action));
+    void schedule(long delay, Runnable action) {
+        tasks.add(new Task(now + delay, nextSequence++, action));
     }
 
-    /** Adds an event to those of the next call of the scheduler. */
+    /** Adds an event to those of the next scheduler call. */
     void deliver(SchedulerEvent event) {
         batch.add(event);
     }
 
-    /** Runs the next tasks that are due together; false where none is due by the given time. */
+    /** Advances to the next task and runs all tasks then due; returns false if none is due by the given time. */
     boolean runNextTasks(long end) {
         if (tasks.isEmpty() || tasks.peek().dueAt > end) {
             return false;
         }
-        now = tasks.peek().dueAt + (random.nextDouble() < GATHER_SHARE ? GATHERED : 0);
+        now = tasks.peek().dueAt + (random.nextDouble() < BATCH_PROBABILITY ? BATCH_WINDOW : 0);
         while (!tasks.isEmpty() && tasks.peek().dueAt <= now) {
             tasks.poll().action.run();
         }
         return true;
     }
 
-    /** Takes the events for one call of the scheduler, sometimes in another order. */
+    /** Removes and returns the events for one scheduler call, in half of the calls shuffled. */
     List<SchedulerEvent> takeBatch() {
         if (batch.isEmpty()) {
             return List.of();
