--- a/cli/src/main/java/garnetreel/cli/FilesCommand.java
+++ b/cli/src/main/java/garnetreel/cli/FilesCommand.java
@@ -67,7 +67,7 @@
     @Override
     public Integer call() throws SettingsException, IOException {
         Settings settings = Settings.read(file);
-        List<Catalogue.Place> modules = modules(settings);
+        List<Catalogue.ModuleVolume> modules = modules(settings);
         // Recovery fails, with the reason, on damage, a gap in the records and space that is in use twice.
         Catalogue catalogue = recover(settings, modules);
         int slash = target.indexOf('/');
@@ -78,7 +78,7 @@
                     spec.commandLine(), "head " + number + " has no module \"" + module + "\"");
         }
         boolean found = true;
-        for (Catalogue.Place each : modules) {
+        for (Catalogue.ModuleVolume each : modules) {
             if (module.isEmpty() || each.module().equals(module)) {
                 found &= print(catalogue, each, path);
             }
@@ -87,16 +87,16 @@
         return found ? ExitCode.OK : ExitCode.FAILED;
     }
 
-    private List<Catalogue.Place> modules(Settings settings) {
-        List<Catalogue.Place> modules = new ArrayList<>();
+    private List<Catalogue.ModuleVolume> modules(Settings settings) {
+        List<Catalogue.ModuleVolume> modules = new ArrayList<>();
         for (Module module : settings.gateway(number, 0, "", "", "").files().modules()) {
             Volume volume = settings.volumes().get(module.volume());
-            modules.add(new Catalogue.Place(module.name(), volume.id(), volume.size()));
+            modules.add(new Catalogue.ModuleVolume(module.name(), volume.id(), volume.size()));
         }
         return modules;
     }
 
-    private Catalogue recover(Settings settings, List<Catalogue.Place> modules) throws IOException {
+    private Catalogue recover(Settings settings, List<Catalogue.ModuleVolume> modules) throws IOException {
         String directory = settings.state(number);
         Path journalFile = Path.of(directory, GatewayState.FILES_JOURNAL);
         if (directory.isEmpty() || !Files.isRegularFile(journalFile)) {
@@ -109,9 +109,9 @@
     }
 
     /** Prints a module, or a path in it; false where the path is not there. */
-    private boolean print(Catalogue catalogue, Catalogue.Place module, String path) {
+    private boolean print(Catalogue catalogue, Catalogue.ModuleVolume module, String path) {
         switch (action) {
-            case LS -> catalogue.below(module.module(), path).forEach(this::printLine);
+            case LS -> catalogue.entriesBelow(module.module(), path).forEach(this::printLine);
             case CHECK -> printUsage(catalogue, module, path);
             case STAT -> {
                 FileEntry entry = catalogue.get(module.module(), path);
@@ -137,8 +137,8 @@
                         entry.path());
     }
 
-    private void printUsage(Catalogue catalogue, Catalogue.Place module, String path) {
-        List<FileEntry> entries = catalogue.below(module.module(), path);
+    private void printUsage(Catalogue catalogue, Catalogue.ModuleVolume module, String path) {
+        List<FileEntry> entries = catalogue.entriesBelow(module.module(), path);
         spec.commandLine()
                 .getOut()
                 .printf(
@@ -161,7 +161,7 @@
                 entry.mode(),
                 entry.size(),
                 Instant.ofEpochSecond(entry.modified()),
-                HexFormat.of().formatHex(entry.sum()));
+                HexFormat.of().formatHex(entry.md5()));
         entry.pieces().forEach(piece -> out.printf("bytes: %d at %d%n", piece.length(), piece.offset()));
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/DevCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/DevCommand.java
@@ -62,7 +62,7 @@
         LocalService service = LocalService.start(process, NODES, exports, FILES);
         GatewaySettings head = service.head(listen);
         head = head.withFiles(new GatewaySettings.Files(
-                rsyncListen, head.files().modules(), head.files().secret()));
+                rsyncListen, head.files().modules(), head.files().challengeSecret()));
         EventLoop driver = process.startGateway(head, null);
         String address = ServiceProcess.bound(driver, Gateway.NBD);
         process.drainOnShutdown(driver, service.longestDeadline());
--- a/cli/src/main/java/garnetreel/cli/testing/bench/InMemoryGateway.java
+++ b/cli/src/main/java/garnetreel/cli/testing/bench/InMemoryGateway.java
@@ -39,7 +39,7 @@
         front.beginTurn(now, actions);
         if (!begun) {
             begun = true;
-            actions.add(new NetAction.Listen(Gateway.NBD, settings.listen()));
+            actions.add(new NetAction.Listen(Gateway.NBD, settings.nbdAddress()));
         }
         for (NetEvent event : events) {
             if (event instanceof NetEvent.Received got && front.owns(got.connectionId())) {
@@ -75,7 +75,7 @@
         if (op == Op.READ) {
             byte[] read = new byte[(int) length];
             System.arraycopy(memory, (int) offset, read, 0, read.length);
-            caller.completed(new BlockBackend.Reply(Verdict.SERVED, 0, -1, "", ByteBuffer.wrap(read), List.of()));
+            caller.completed(new BlockBackend.Reply(ReplyStatus.SERVED, 0, -1, "", ByteBuffer.wrap(read), List.of()));
         } else {
             if (op == Op.WRITE) {
                 System.arraycopy(data, 0, memory, (int) offset, data.length);
--- a/cli/src/main/java/garnetreel/cli/testing/lab/MapSizes.java
+++ b/cli/src/main/java/garnetreel/cli/testing/lab/MapSizes.java
@@ -124,7 +124,7 @@
             long bytes = Files.size(file) >> 10;
             double plain = recover(file, begin, state);
             try (Journal journal = new Journal(file)) {
-                journal.snapshot(state.seq(), state.snapshot(), MapState.HISTORY);
+                journal.snapshot(state.seq(), state.snapshot(), MapState.HISTORY_LIMIT);
             }
             long snapshotBytes = Files.size(file) >> 10;
             double snapshot = recover(file, begin, state);
@@ -152,7 +152,7 @@
         Migration move = state.newMigration(1, extent, to);
         for (Migration.State next : List.of(
                 Migration.State.COPYING, Migration.State.FENCING, Migration.State.SWITCHED, Migration.State.DONE)) {
-            Transaction t = state.next(
+            Transaction t = state.migrationTransaction(
                     new Migration(
                             move.id(),
                             move.volume(),
--- a/cli/src/main/java/garnetreel/cli/testing/lab/MovesLab.java
+++ b/cli/src/main/java/garnetreel/cli/testing/lab/MovesLab.java
@@ -149,20 +149,20 @@
         return new GatewaySettings(
                 s.gatewayNumber(),
                 s.incarnation(),
-                s.listen(),
-                s.list(),
-                s.map(),
+                s.nbdAddress(),
+                s.nodeListAddress(),
+                s.mapServiceAddress(),
                 s.scheduling(),
                 s.volumes(),
-                s.margin(),
+                s.replyMargin(),
                 s.bounds(),
                 new GatewaySettings.ConnectionSettings(
                         l.maxPerNode(),
                         l.maxAttempts(),
-                        l.idle(),
+                        l.idleTimeout(),
                         l.connectTimeout(),
-                        l.listCall(),
-                        l.listSilence(),
+                        l.nodeListCallTimeout(),
+                        l.silenceTimeout(),
                         follow),
                 s.files());
     }
--- a/cli/src/test/java/garnetreel/cli/StoredStateTest.java
+++ b/cli/src/test/java/garnetreel/cli/StoredStateTest.java
@@ -196,7 +196,7 @@
 
     private MapServiceClient cachedMap(List<NetAction> notes) throws Exception {
         MapServiceClient link = new MapServiceClient(gateway(), new ConnectionIdAllocator());
-        link.locate(0, notes);
+        link.beginTurn(0, notes);
         link.start(cached(MapServiceClient.CACHE_NAME));
         return link;
     }
--- a/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
+++ b/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
@@ -210,13 +210,13 @@
 
     /** Waits until the head holds so many connections of clients. */
     void awaitConnections(int count) {
-        while (heads.get(0).figures().connections() != count) {
+        while (heads.get(0).statistics().connections() != count) {
             Thread.onSpinWait();
         }
     }
 
     long bytesHeld() {
-        return heads.get(0).figures().reservedBytes();
+        return heads.get(0).statistics().reservedBytes();
     }
 
     void drain() {
--- a/cli/src/test/java/garnetreel/cli/testing/MapScenariosTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/MapScenariosTest.java
@@ -215,13 +215,13 @@
         // The last 160 are the lives after all gateways died at once; the service answers 50 subscribes a second.
         List<StateMachine> last = heads.subList(heads.size() - 160, heads.size());
         long version = last.stream()
-                .mapToLong(h -> ((Gateway) h).figures().mapVersion())
+                .mapToLong(h -> ((Gateway) h).statistics().mapVersion())
                 .max()
                 .orElseThrow();
         assertEquals(
                 160,
                 last.stream()
-                        .filter(h -> ((Gateway) h).figures().mapVersion() == version)
+                        .filter(h -> ((Gateway) h).statistics().mapVersion() == version)
                         .count());
     }
 }
--- a/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
@@ -151,9 +151,9 @@
             return new GatewaySettings(
                     s.gatewayNumber(),
                     s.incarnation(),
-                    s.listen(),
-                    s.list(),
-                    s.map(),
+                    s.nbdAddress(),
+                    s.nodeListAddress(),
+                    s.mapServiceAddress(),
                     s.scheduling(),
                     s.volumes(),
                     -500_000,
--- a/core/src/main/java/garnetreel/core/Gateway.java
+++ b/core/src/main/java/garnetreel/core/Gateway.java
@@ -131,7 +131,7 @@
         long receivedAt = pauseDetector.beginTurn(now, hasClients(), actions);
         nodes.beginTurn(now, actions);
         nodeList.beginTurn(now, actions);
-        mapService.locate(now, actions);
+        mapService.beginTurn(now, actions);
         requests.beginTurn(now, receivedAt);
         nbd.beginTurn(now, actions);
         fileCatalogue.beginTurn(now, actions);
@@ -141,14 +141,14 @@
     private void start(List<NetAction> actions) {
         nodeList.start(cachedNodeList);
         mapService.start(cachedMap);
-        actions.add(new NetAction.Listen(NBD, settings.listen()));
+        actions.add(new NetAction.Listen(NBD, settings.nbdAddress()));
         if (servesFiles()) {
-            actions.add(new NetAction.Listen(RSYNC, settings.files().listen()));
+            actions.add(new NetAction.Listen(RSYNC, settings.files().rsyncAddress()));
         }
     }
 
     private boolean servesFiles() {
-        return !settings.files().listen().isEmpty();
+        return !settings.files().rsyncAddress().isEmpty();
     }
 
     // ---------------------------------------------------------------- network events
@@ -172,7 +172,7 @@
     }
 
     private String describe(NetEvent.ListenFailed failed) {
-        String address = failed.listener().equals(RSYNC) ? settings.files().listen() : settings.listen();
+        String address = failed.listener().equals(RSYNC) ? settings.files().rsyncAddress() : settings.nbdAddress();
         return "can't listen for " + failed.listener() + " clients on " + address + ": " + failed.reason();
     }
 
@@ -319,7 +319,7 @@
     }
 
     /** The statistics as of the end of the last turn. May be called on any thread. */
-    public Statistics figures() {
+    public Statistics statistics() {
         return statistics;
     }
 
--- a/core/src/main/java/garnetreel/core/GatewaySettings.java
+++ b/core/src/main/java/garnetreel/core/GatewaySettings.java
@@ -9,12 +9,12 @@
  *
  * @param gatewayNumber number of this gateway within the deployment
  * @param incarnation number that is different at each start of the gateway
- * @param listen address for NBD clients, host:port
- * @param list address of the node list service, host:port
- * @param map address of the map service, host:port; empty if extents never move from their initial layout
+ * @param nbdAddress address for NBD clients, host:port
+ * @param nodeListAddress address of the node list service, host:port
+ * @param mapServiceAddress address of the map service, host:port; empty if extents never move from their initial layout
  * @param scheduling settings of the scheduler
  * @param volumes all volumes; NBD clients see those of {@link #exports()}
- * @param margin microseconds by which the gateway's deadline for a reply precedes that of the request class, to allow
+ * @param replyMargin microseconds by which the gateway's deadline for a reply precedes that of the request class, to allow
  *     for the transfer to the client
  * @param bounds limits of the resources that the gateway uses
  * @param connections settings of the connections to nodes, node list and map service
@@ -23,12 +23,12 @@
 public record GatewaySettings(
         int gatewayNumber,
         long incarnation,
-        String listen,
-        String list,
-        String map,
+        String nbdAddress,
+        String nodeListAddress,
+        String mapServiceAddress,
         SchedulerSettings scheduling,
         List<Volume> volumes,
-        long margin,
+        long replyMargin,
         Bounds bounds,
         ConnectionSettings connections,
         Files files) {
@@ -43,17 +43,27 @@
     /** A copy of these settings with other settings of the rsync service. */
     public GatewaySettings withFiles(Files other) {
         return new GatewaySettings(
-                gatewayNumber, incarnation, listen, list, map, scheduling, volumes, margin, bounds, connections, other);
+                gatewayNumber,
+                incarnation,
+                nbdAddress,
+                nodeListAddress,
+                mapServiceAddress,
+                scheduling,
+                volumes,
+                replyMargin,
+                bounds,
+                connections,
+                other);
     }
 
     /**
      * Settings of the rsync service.
      *
-     * @param listen address for rsync clients, host:port; empty if rsync is not served
+     * @param nbdAddress address for rsync clients, host:port; empty if rsync is not served
      * @param modules the modules that clients can choose from
      * @param secret random secret from which authentication challenges are derived
      */
-    public record Files(String listen, List<Module> modules, byte[] secret) {
+    public record Files(String rsyncAddress, List<Module> modules, byte[] challengeSecret) {
         /** The rsync service is disabled. */
         public static final Files NONE = new Files("", List.of(), new byte[0]);
     }
@@ -91,7 +101,7 @@
             int maxPayload,
             int unitBytes,
             int keyBytes,
-            long handshake) {}
+            long handshakeTimeout) {}
 
     /**
      * Settings of the connections to nodes, node list and map service; times are in microseconds.
@@ -109,9 +119,9 @@
     public record ConnectionSettings(
             int maxPerNode,
             int maxAttempts,
-            long idle,
+            long idleTimeout,
             long connectTimeout,
-            long listCall,
-            long listSilence,
-            boolean followMap) {}
+            long nodeListCallTimeout,
+            long silenceTimeout,
+            boolean subscribeToMap) {}
 }
--- a/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
+++ b/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
@@ -75,7 +75,7 @@
     }
 
     /** Begins a turn at this time, whose actions are added to {@code turnActions}. */
-    public void locate(long time, List<NetAction> turnActions) {
+    public void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
     }
@@ -85,7 +85,7 @@
         if (persisted != null) {
             loadPersisted(persisted);
         }
-        if (!settings.map().isEmpty()) {
+        if (!settings.mapServiceAddress().isEmpty()) {
             nextCallAt = now;
         }
     }
@@ -120,10 +120,10 @@
      */
     @Override
     public void reportStale() {
-        if (connectionId != 0 || settings.map().isEmpty()) {
+        if (connectionId != 0 || settings.mapServiceAddress().isEmpty()) {
             return;
         }
-        long callAt = settings.connections().followMap()
+        long callAt = settings.connections().subscribeToMap()
                 ? now + jitter(INITIAL_BACKOFF_MICROS)
                 : Math.max(now, lastCallAt + jitter(INITIAL_BACKOFF_MICROS));
         nextCallAt = Math.min(nextCallAt, callAt);
@@ -147,7 +147,7 @@
             open = false;
             receivedBytes = new ByteQueue();
             lastReceivedAt = now;
-            actions.add(new NetAction.Connect(connectionId, settings.map()));
+            actions.add(new NetAction.Connect(connectionId, settings.mapServiceAddress()));
         } else if (open) {
             subscribe();
         }
@@ -192,7 +192,7 @@
     }
 
     private void connectionEnded() {
-        boolean callAgain = callInFlight || !open || settings.connections().followMap();
+        boolean callAgain = callInFlight || !open || settings.connections().subscribeToMap();
         connectionId = 0;
         open = false;
         callInFlight = false;
@@ -234,7 +234,7 @@
         return connectionId != 0
                 && !callInFlight
                 && nextCallAt == Long.MAX_VALUE
-                && !settings.connections().followMap();
+                && !settings.connections().subscribeToMap();
     }
 
     /** Handles a message; returns true if the map has changed. */
@@ -285,7 +285,7 @@
     private long silentAt() {
         return connectionId == 0
                 ? Long.MAX_VALUE
-                : lastReceivedAt + settings.connections().listSilence();
+                : lastReceivedAt + settings.connections().silenceTimeout();
     }
 
     /** Closes a connection on which the service is silent, and makes a call or persists the map if due. */
--- a/core/src/main/java/garnetreel/core/connection/NodeConnection.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnection.java
@@ -67,6 +67,6 @@
         if (!ready) {
             return openedAt + settings.connectTimeout();
         }
-        return sent.isEmpty() ? lastUsedAt + settings.idle() : Long.MAX_VALUE;
+        return sent.isEmpty() ? lastUsedAt + settings.idleTimeout() : Long.MAX_VALUE;
     }
 }
--- a/core/src/main/java/garnetreel/core/connection/NodeListClient.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeListClient.java
@@ -112,13 +112,13 @@
 
     private void call(NodeListMessage message, boolean expectsAnswer) {
         if (expectsAnswer) {
-            callDeadline = now + settings.connections().listCall();
+            callDeadline = now + settings.connections().nodeListCallTimeout();
         }
         if (connectionId == 0) {
             connectionId = connectionIds.next();
             open = false;
             receivedBytes = new ByteQueue();
-            actions.add(new NetAction.Connect(connectionId, settings.list()));
+            actions.add(new NetAction.Connect(connectionId, settings.nodeListAddress()));
         }
         if (open) {
             write(message);
@@ -277,7 +277,7 @@
     /** When the call in flight times out, or the subscription counts as broken; {@link Long#MAX_VALUE} for never. */
     public long nextDeadline() {
         long silentAt =
-                subscribed && open ? lastReceivedAt + settings.connections().listSilence() : Long.MAX_VALUE;
+                subscribed && open ? lastReceivedAt + settings.connections().silenceTimeout() : Long.MAX_VALUE;
         return Math.min(callDeadline, silentAt);
     }
 
--- a/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
@@ -214,7 +214,7 @@
             stopAcceptingAt = NEVER;
             draining = true;
             actions.add(new NetAction.StopListening(CLIENT_LISTENER));
-            actions.add(new NetAction.Log(Level.INFO, "draining, rejecting new requests: " + openResources()));
+            actions.add(new NetAction.Log(Level.INFO, "draining, no new requests accepted: " + openResources()));
             clients.startDraining();
         }
         if (draining && !stopped && clients.isEmpty()) {
--- a/core/src/main/java/garnetreel/core/request/BlockBackend.java
+++ b/core/src/main/java/garnetreel/core/request/BlockBackend.java
@@ -32,7 +32,7 @@
     }
 
     /** How an operation ended. */
-    enum Verdict {
+    enum ReplyStatus {
         /** Completed in full. */
         SERVED,
         /** Not completed, without an effect that a retry could repeat: the client may safely retry. */
@@ -54,13 +54,13 @@
      * @param extents the result of a block status request; empty for other operations
      */
     record Reply(
-            Verdict verdict,
+            ReplyStatus status,
             long retryAfter,
             long errorOffset,
             String message,
             ByteBuffer data,
             List<ExtentStatus> extents) {
-        private static final Reply DONE = new Reply(Verdict.SERVED, 0, -1, "", null, List.of());
+        private static final Reply DONE = new Reply(ReplyStatus.SERVED, 0, -1, "", null, List.of());
 
         /** A successful reply without data. */
         public static Reply done() {
@@ -69,12 +69,12 @@
 
         /** A reply to an operation that was not served and can be retried safely. */
         public static Reply rejected(long retryAfter, long errorOffset, String message) {
-            return new Reply(Verdict.REJECTED, retryAfter, errorOffset, message, null, List.of());
+            return new Reply(ReplyStatus.REJECTED, retryAfter, errorOffset, message, null, List.of());
         }
 
         /** A reply to an operation that was not served and whose effect is unknown. */
         public static Reply failed(long errorOffset, String message) {
-            return new Reply(Verdict.FAILED, 0, errorOffset, message, null, List.of());
+            return new Reply(ReplyStatus.FAILED, 0, errorOffset, message, null, List.of());
         }
     }
 }
--- a/core/src/main/java/garnetreel/core/request/ReplyComposer.java
+++ b/core/src/main/java/garnetreel/core/request/ReplyComposer.java
@@ -3,7 +3,7 @@
 import garnetreel.codec.node.NodeMessage.Op;
 import garnetreel.core.request.BlockBackend.ExtentStatus;
 import garnetreel.core.request.BlockBackend.Reply;
-import garnetreel.core.request.BlockBackend.Verdict;
+import garnetreel.core.request.BlockBackend.ReplyStatus;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -78,7 +78,7 @@
     Reply compose() {
         if (rejected + failed == 0) {
             ByteBuffer data = readData == null ? null : ByteBuffer.wrap(readData);
-            return new Reply(Verdict.SERVED, 0, -1, "", data, mergedExtents());
+            return new Reply(ReplyStatus.SERVED, 0, -1, "", data, mergedExtents());
         }
         boolean safeToRetry = failed == 0 && (served == 0 || !op.changes());
         if (safeToRetry) {
--- a/core/src/main/java/garnetreel/core/server/NbdRequest.java
+++ b/core/src/main/java/garnetreel/core/server/NbdRequest.java
@@ -5,7 +5,7 @@
 import garnetreel.codec.nbd.NbdWriter;
 import garnetreel.codec.node.NodeMessage.Op;
 import garnetreel.core.request.BlockBackend;
-import garnetreel.core.request.BlockBackend.Verdict;
+import garnetreel.core.request.BlockBackend.ReplyStatus;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.List;
@@ -47,7 +47,7 @@
 
     @Override
     public void completed(BlockBackend.Reply reply) {
-        if (reply.verdict() != Verdict.SERVED) {
+        if (reply.status() != ReplyStatus.SERVED) {
             writeError(reply);
         } else if (op() == Op.READ) {
             writeData(reply.data());
@@ -62,7 +62,7 @@
 
     private void writeError(BlockBackend.Reply reply) {
         // ENOMEM: a shortage that may pass; EIO: nothing is promised. docs/gateway.md has the alternatives weighed.
-        int code = reply.verdict() == Verdict.REJECTED ? Nbd.ENOMEM : Nbd.EIO;
+        int code = reply.status() == ReplyStatus.REJECTED ? Nbd.ENOMEM : Nbd.EIO;
         long offset = op() == Op.FLUSH ? NbdSession.NO_OFFSET : reply.errorOffset();
         session.error(header.cookie(), code, reply.message(), offset);
     }
--- a/core/src/main/java/garnetreel/core/server/ProtocolServer.java
+++ b/core/src/main/java/garnetreel/core/server/ProtocolServer.java
@@ -139,7 +139,7 @@
             emit(new NetAction.Log(
                     NetAction.Level.WARN, "connection table full at " + maxConnections + "; " + peer + " is rejected"));
         }
-        S session = open(conn, full, now + settings.bounds().handshake());
+        S session = open(conn, full, now + settings.bounds().handshakeTimeout());
         sessions.put(conn, session);
         handshaking.add(session);
         session.greet();
--- a/core/src/main/java/garnetreel/core/server/rsync/BasisChecksums.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/BasisChecksums.java
@@ -62,7 +62,7 @@
     boolean step() {
         boolean moved = false;
         while (asked < basis.size() && reads.size() < READS_OUT) {
-            Piece piece = basis.at(asked, READ);
+            Piece piece = basis.locate(asked, READ);
             Object[] slot = {null, (int) piece.length()};
             reads.add(slot);
             asked += piece.length();
--- a/core/src/main/java/garnetreel/core/server/rsync/BlockReader.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/BlockReader.java
@@ -3,7 +3,7 @@
 import garnetreel.codec.node.NodeMessage.Op;
 import garnetreel.core.Volume;
 import garnetreel.core.request.BlockBackend;
-import garnetreel.core.request.BlockBackend.Verdict;
+import garnetreel.core.request.BlockBackend.ReplyStatus;
 import java.nio.ByteBuffer;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -62,12 +62,12 @@
             answered = true;
             ticket = null;
             asks.remove(this);
-            if (answer.verdict() == Verdict.SERVED) {
+            if (answer.status() == ReplyStatus.SERVED) {
                 done.accept(new Done(answer.data() == null ? ByteBuffer.allocate(0) : answer.data(), null));
                 return;
             }
-            unsettled |= op == Op.WRITE && answer.verdict() == Verdict.FAILED;
-            long rest = Math.max(REST, answer.verdict() == Verdict.REJECTED ? answer.retryAfter() : REST);
+            unsettled |= op == Op.WRITE && answer.status() == ReplyStatus.FAILED;
+            long rest = Math.max(REST, answer.status() == ReplyStatus.REJECTED ? answer.retryAfter() : REST);
             if (front.time() + rest >= until) {
                 done.accept(new Done(null, answer.message()));
                 return;
--- a/core/src/main/java/garnetreel/core/server/rsync/FileCatalogueStore.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileCatalogueStore.java
@@ -41,7 +41,7 @@
     private long snapshotAt;
 
     public FileCatalogueStore(GatewaySettings settings, StoredCatalogue kept) {
-        List<Catalogue.Place> places = new ArrayList<>();
+        List<Catalogue.ModuleVolume> places = new ArrayList<>();
         for (GatewaySettings.Module module : settings.files().modules()) {
             Volume volume = settings.volumes().stream()
                     .filter(v -> v.name().equals(module.volume()))
@@ -49,7 +49,7 @@
                     .orElseThrow(() -> new IllegalArgumentException(
                             "module " + module.name() + " names a volume that this head does not have"));
             volumes.put(module.name(), volume);
-            places.add(new Catalogue.Place(module.name(), volume.id(), volume.size()));
+            places.add(new Catalogue.ModuleVolume(module.name(), volume.id(), volume.size()));
         }
         catalogue = new Catalogue(places, kept.snapshot(), kept.records());
         lastSeq = catalogue.seq();
--- a/core/src/main/java/garnetreel/core/server/rsync/FileReceiver.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileReceiver.java
@@ -173,13 +173,13 @@
         sorted.clear();
         FileEntry destination = directory.isEmpty() ? null : catalogue.get(module.name(), directory);
         boolean one = items.size() == 1 && !items.get(0).directory();
-        if (destination != null && !destination.directory() && !one) {
+        if (destination != null && !destination.isDirectory() && !one) {
             throw new ProtocolException("the destination \"" + FileNames.printable(directory) + "\" is no directory");
         }
         if (one
                 && !directory.isEmpty()
                 && !options.paths.get(0).endsWith("/")
-                && (destination == null || !destination.directory())) {
+                && (destination == null || !destination.isDirectory())) {
             single = directory; // one file under another name
         }
         makeDirectories();
@@ -237,7 +237,7 @@
             return;
         }
         FileEntry old = catalogue.get(module.name(), at);
-        if (old == null || !old.directory()) {
+        if (old == null || !old.isDirectory()) {
             parents(put, made, FileNames.parent(at), false);
             made.add(at);
             put.add(FileEntry.directory(module.name(), at, 0755, session.front.time() / 1_000_000));
@@ -272,7 +272,7 @@
         List<FileChange.Name> gone = new ArrayList<>();
         Set<String> goneDirectories = new HashSet<>();
         Set<String> kept = new HashSet<>();
-        List<FileEntry> all = catalogue.below(module.name(), directory);
+        List<FileEntry> all = catalogue.entriesBelow(module.name(), directory);
         for (FileEntry entry : all) {
             String parent = FileNames.parent(entry.path());
             boolean candidate =
@@ -281,13 +281,13 @@
                 continue;
             }
             String name = directory.isEmpty() ? entry.path() : entry.path().substring(directory.length() + 1);
-            if (!options.deleteExcluded && filters.protects(name, entry.directory())) {
+            if (!options.deleteExcluded && filters.protects(name, entry.isDirectory())) {
                 for (String up = parent; goneDirectories.contains(up); up = FileNames.parent(up)) {
                     kept.add(up); // a directory that holds something protected stays
                 }
                 continue;
             }
-            if (entry.directory()) {
+            if (entry.isDirectory()) {
                 goneDirectories.add(entry.path());
             }
             gone.add(new FileChange.Name(module.name(), entry.path()));
@@ -345,7 +345,7 @@
 
     private void consider(int index, FileItem item) {
         FileEntry old = catalogue.get(module.name(), path(item));
-        FileEntry same = old != null && old.regular() ? old : null;
+        FileEntry same = old != null && old.isRegularFile() ? old : null;
         if (options.existing && old == null
                 || options.ignoreExisting && old != null
                 || options.update && same != null && same.modified() > item.modified()) {
@@ -355,7 +355,7 @@
             int mode = mode(item, same, 0);
             long time = options.times ? item.modified() : same.modified();
             if (!options.dryRun && (mode != same.mode() || time != same.modified())) {
-                commit(List.of(), List.of(same.with(mode, time)));
+                commit(List.of(), List.of(same.withAttributes(mode, time)));
             }
             return;
         }
@@ -364,7 +364,7 @@
 
     private boolean unchanged(FileEntry old, FileItem item) {
         return options.checksum
-                ? Arrays.equals(old.sum(), item.sum())
+                ? Arrays.equals(old.md5(), item.sum())
                 : options.sizeOnly || !options.ignoreTimes && old.modified() == item.modified();
     }
 
@@ -511,11 +511,13 @@
 
     /** A directory that a file takes the place of goes with all it holds. */
     private List<FileChange.Name> replaced(FileEntry old) {
-        if (old == null || !old.directory()) {
+        if (old == null || !old.isDirectory()) {
             return List.of();
         }
         List<FileChange.Name> gone = new ArrayList<>();
-        catalogue.below(module.name(), old.path()).forEach(e -> gone.add(new FileChange.Name(module.name(), e.path())));
+        catalogue
+                .entriesBelow(module.name(), old.path())
+                .forEach(e -> gone.add(new FileChange.Name(module.name(), e.path())));
         return gone;
     }
 
--- a/core/src/main/java/garnetreel/core/server/rsync/FileSender.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileSender.java
@@ -136,7 +136,7 @@
             }
             boolean contents = path.isEmpty() || word.endsWith("/") || word.endsWith("/.");
             String root = contents ? path : FileNames.parent(path);
-            if (!entry.directory()) {
+            if (!entry.isDirectory()) {
                 add(entry, FileNames.last(path));
                 continue;
             }
@@ -148,7 +148,10 @@
             add(entry, contents ? "." : FileNames.last(path));
             if (options.recursive || contents) {
                 walks.add(new Walk(
-                        path, root, catalogue().below(module.name(), path).iterator(), new HashSet<>()));
+                        path,
+                        root,
+                        catalogue().entriesBelow(module.name(), path).iterator(),
+                        new HashSet<>()));
             }
         }
     }
@@ -189,8 +192,8 @@
             return;
         }
         // What a hidden directory holds is hidden with it; the catalogue gives a directory before what it holds.
-        if (walk.hidden().contains(FileNames.parent(name)) || filters.hides(name, entry.directory())) {
-            if (entry.directory()) {
+        if (walk.hidden().contains(FileNames.parent(name)) || filters.hides(name, entry.isDirectory())) {
+            if (entry.isDirectory()) {
                 walk.hidden().add(name);
             }
             return;
@@ -203,18 +206,18 @@
     }
 
     private void add(FileEntry entry, String name) {
-        boolean link = !entry.directory() && !entry.regular();
+        boolean link = !entry.isDirectory() && !entry.isRegularFile();
         if (link && !options.links || !names.add(name)) {
             return;
         }
-        total += entry.regular() ? entry.size() : 0;
+        total += entry.isRegularFile() ? entry.size() : 0;
         found.add(new FileItem(
                 name,
                 entry.mode(),
                 entry.size(),
                 entry.modified(),
                 entry.target(),
-                entry.regular() ? entry.sum() : null));
+                entry.isRegularFile() ? entry.md5() : null));
         from.add(entry);
     }
 
@@ -309,7 +312,7 @@
         // now. What is there at this moment is sent, as by a sender whose files change under it.
         FileEntry listedAs = entries.get(index);
         FileEntry current = session.front.files.catalogue().get(module.name(), listedAs.path());
-        if (current == null || !current.regular()) {
+        if (current == null || !current.isRegularFile()) {
             session.tell(
                     Rsync.WARNING,
                     "file has vanished: \"/" + FileNames.printable(listedAs.path()) + "\" (in " + module.name()
@@ -333,7 +336,7 @@
     private boolean send() {
         boolean moved = false;
         while (error == null && asked < sending.size() && reads.size() < READS_OUT && session.mayWrite()) {
-            Piece piece = sending.at(asked, READ);
+            Piece piece = sending.locate(asked, READ);
             BlockReader.Done[] slot = new BlockReader.Done[1];
             reads.add(slot);
             asked += piece.length();
@@ -366,7 +369,7 @@
     /** Ends a file. One that can't be read whole ends with a checksum that it does not have, so nobody keeps it. */
     private void finish() {
         byte[] sum = delta.end();
-        boolean damaged = error == null && !Arrays.equals(sum, sending.sum());
+        boolean damaged = error == null && !Arrays.equals(sum, sending.md5());
         session.front.files.catalogue().close(sending);
         if (error != null || damaged) {
             String why = damaged ? "its contents do not match their checksum" : error;
--- a/core/src/main/java/garnetreel/core/server/rsync/IncomingFile.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/IncomingFile.java
@@ -108,7 +108,7 @@
         if (error != null) {
             return;
         }
-        Piece piece = basis.at(offset, length);
+        Piece piece = basis.locate(offset, length);
         reading = true;
         session.blocks.read(volume, piece.offset(), (int) piece.length(), done -> {
             reading = false;
--- a/core/src/main/java/garnetreel/core/server/rsync/RsyncServer.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/RsyncServer.java
@@ -62,7 +62,7 @@
     /** Bytes that nobody can foretell and that never come again. */
     byte[] nonce() {
         MessageDigest md5 = Checksums.md5();
-        md5.update(settings.files().secret());
+        md5.update(settings.files().challengeSecret());
         return md5.digest(ByteBuffer.allocate(24)
                 .putLong(settings.incarnation())
                 .putLong(++challenges)
--- a/core/src/test/java/garnetreel/core/request/ReplyComposerTest.java
+++ b/core/src/test/java/garnetreel/core/request/ReplyComposerTest.java
@@ -8,7 +8,7 @@
 import garnetreel.codec.node.NodeMessage.Op;
 import garnetreel.core.request.BlockBackend.ExtentStatus;
 import garnetreel.core.request.BlockBackend.Reply;
-import garnetreel.core.request.BlockBackend.Verdict;
+import garnetreel.core.request.BlockBackend.ReplyStatus;
 import java.nio.ByteBuffer;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -27,7 +27,7 @@
         read.served(second, ByteBuffer.wrap(new byte[] {5, 6, 7, 8}));
         read.served(first, ByteBuffer.wrap(new byte[] {1, 2, 3, 4}));
         Reply reply = read.compose();
-        assertEquals(Verdict.SERVED, reply.verdict());
+        assertEquals(ReplyStatus.SERVED, reply.status());
         assertArrayEquals(new byte[] {1, 2, 3, 4, 5, 6, 7, 8}, reply.data().array());
     }
 
@@ -36,7 +36,7 @@
         composer.rejected(second, 3000);
         composer.rejected(first, 7000);
         Reply reply = composer.compose();
-        assertEquals(Verdict.REJECTED, reply.verdict());
+        assertEquals(ReplyStatus.REJECTED, reply.status());
         assertEquals(7000, reply.retryAfter());
         assertEquals(100, reply.errorOffset());
         assertEquals("refused, trying again is harmless; stay away for 7 ms", reply.message());
@@ -47,7 +47,7 @@
         composer.served(first, NO_DATA);
         composer.rejected(second, 3000);
         Reply reply = composer.compose();
-        assertEquals(Verdict.FAILED, reply.verdict());
+        assertEquals(ReplyStatus.FAILED, reply.status());
         assertEquals(104, reply.errorOffset());
         assertEquals("part of the write was done and part refused; its effect is not whole", reply.message());
     }
@@ -57,7 +57,7 @@
         ReplyComposer read = new ReplyComposer(Op.READ, 100, 8);
         read.served(first, ByteBuffer.wrap(new byte[4]));
         read.rejected(second, 3000);
-        assertEquals(Verdict.REJECTED, read.compose().verdict());
+        assertEquals(ReplyStatus.REJECTED, read.compose().status());
     }
 
     @Test
@@ -65,7 +65,7 @@
         composer.rejected(second, 3000);
         composer.failed(first, "lost");
         Reply reply = composer.compose();
-        assertEquals(Verdict.FAILED, reply.verdict());
+        assertEquals(ReplyStatus.FAILED, reply.status());
         assertEquals("lost", reply.message());
         assertEquals(100, reply.errorOffset());
     }
--- a/files/src/main/java/garnetreel/files/Catalogue.java
+++ b/files/src/main/java/garnetreel/files/Catalogue.java
@@ -24,7 +24,7 @@
      * @param volume id of the volume
      * @param size size of the volume in bytes
      */
-    public record Place(String module, long volume, long size) {}
+    public record ModuleVolume(String module, long volume, long size) {}
 
     private final TreeMap<Name, FileEntry> entries = new TreeMap<>();
     private final Map<String, FreeSpace> freeSpace = new HashMap<>();
@@ -46,7 +46,7 @@
      * @throws IllegalStateException if the snapshot or a record is damaged, a change is missing, or two entries occupy
      *     the same space; the message says which
      */
-    public Catalogue(List<Place> modules, byte[] snapshot, List<byte[]> records) {
+    public Catalogue(List<ModuleVolume> modules, byte[] snapshot, List<byte[]> records) {
         if (snapshot != null) {
             CatalogueSnapshot decoded = CatalogueSnapshot.decode(snapshot);
             seq = decoded.seq();
@@ -69,7 +69,7 @@
             throw new IllegalStateException("change " + change.seq() + " of the file catalogue does not follow " + seq);
         }
         if (change.seq() == seq + 1) {
-            change.gone().forEach(entries::remove);
+            change.removed().forEach(entries::remove);
             change.put().forEach(entry -> entries.put(entry.name(), entry));
             seq = change.seq();
         }
@@ -81,7 +81,7 @@
     }
 
     /** All entries of a module below a path, without the entry at the path itself; "" is the module's root. */
-    public List<FileEntry> below(String module, String path) {
+    public List<FileEntry> entriesBelow(String module, String path) {
         String prefix = path.isEmpty() ? "" : path + "/";
         List<FileEntry> found = new ArrayList<>();
         for (FileEntry entry : entries.tailMap(new Name(module, prefix), true).values()) {
@@ -126,7 +126,7 @@
             throw new IllegalStateException("change " + change.seq() + " of the file catalogue does not follow " + seq);
         }
         seq = change.seq();
-        for (Name name : change.gone()) {
+        for (Name name : change.removed()) {
             FileEntry old = entries.remove(name);
             if (old != null) {
                 unlink(old);
--- a/files/src/main/java/garnetreel/files/FileChange.java
+++ b/files/src/main/java/garnetreel/files/FileChange.java
@@ -14,10 +14,10 @@
  * journal record.
  *
  * @param seq sequence number, from 1
- * @param gone names that are removed, before any entry is put
+ * @param removed names that are removed, before any entry is put
  * @param put entries that are added, or that replace the entry with the same name
  */
-public record FileChange(long seq, List<Name> gone, List<FileEntry> put) {
+public record FileChange(long seq, List<Name> removed, List<FileEntry> put) {
 
     /** Module and path of a file; ordered by module, then by path. */
     public record Name(String module, String path) implements Comparable<Name> {
@@ -33,8 +33,8 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeLong(seq);
-            out.writeInt(gone.size());
-            for (Name name : gone) {
+            out.writeInt(removed.size());
+            for (Name name : removed) {
                 out.writeUTF(name.module());
                 out.writeUTF(name.path());
             }
--- a/files/src/main/java/garnetreel/files/FileEntry.java
+++ b/files/src/main/java/garnetreel/files/FileEntry.java
@@ -15,7 +15,7 @@
  * @param version number of the version, unique across all modules; a replacement has a higher one
  * @param mode file type and permissions, as in POSIX
  * @param modified modification time, in seconds since 1970
- * @param sum MD5 of the contents; empty unless it is a regular file
+ * @param md5 MD5 of the contents; empty unless it is a regular file
  * @param pieces location of the contents on the volume, in order
  * @param target target of a symbolic link; empty for other types
  */
@@ -26,7 +26,7 @@
         int mode,
         long size,
         long modified,
-        byte[] sum,
+        byte[] md5,
         List<Piece> pieces,
         String target) {
 
@@ -48,12 +48,12 @@
     }
 
     /** Whether it is a directory. */
-    public boolean directory() {
+    public boolean isDirectory() {
         return (mode & TYPE_MASK) == DIRECTORY;
     }
 
     /** Whether it is a regular file. */
-    public boolean regular() {
+    public boolean isRegularFile() {
         return (mode & TYPE_MASK) == REGULAR;
     }
 
@@ -62,12 +62,12 @@
     }
 
     FileEntry withVersion(long newVersion) {
-        return new FileEntry(module, path, newVersion, mode, size, modified, sum, pieces, target);
+        return new FileEntry(module, path, newVersion, mode, size, modified, md5, pieces, target);
     }
 
     /** A copy with other attributes and the same contents. */
-    public FileEntry with(int newMode, long newModified) {
-        return new FileEntry(module, path, version, newMode, size, newModified, sum, pieces, target);
+    public FileEntry withAttributes(int newMode, long newModified) {
+        return new FileEntry(module, path, version, newMode, size, newModified, md5, pieces, target);
     }
 
     /**
@@ -76,7 +76,7 @@
      * @return the first part of the range that is contiguous on the volume, {@code maxLength} bytes at most
      * @throws IllegalArgumentException if the contents end before {@code offset}
      */
-    public Piece at(long offset, long maxLength) {
+    public Piece locate(long offset, long maxLength) {
         long before = 0;
         for (Piece piece : pieces) {
             if (offset < before + piece.length()) {
@@ -95,8 +95,8 @@
         out.writeInt(mode);
         out.writeLong(size);
         out.writeLong(modified);
-        out.writeByte(sum.length);
-        out.write(sum);
+        out.writeByte(md5.length);
+        out.write(md5);
         out.writeInt(pieces.size());
         for (Piece piece : pieces) {
             out.writeLong(piece.offset());
@@ -130,7 +130,7 @@
                 && mode == e.mode
                 && size == e.size
                 && modified == e.modified
-                && Arrays.equals(sum, e.sum)
+                && Arrays.equals(md5, e.md5)
                 && pieces.equals(e.pieces)
                 && target.equals(e.target);
     }
--- a/files/src/test/java/garnetreel/files/CatalogueTest.java
+++ b/files/src/test/java/garnetreel/files/CatalogueTest.java
@@ -15,7 +15,7 @@
 /** Recovery of the catalogue, allocation of space, and versions that are replaced while they are read. */
 class CatalogueTest {
     private static final long SIZE = 1 << 20;
-    private static final List<Catalogue.Place> MODULES = List.of(new Catalogue.Place("pages", 9, SIZE));
+    private static final List<Catalogue.ModuleVolume> MODULES = List.of(new Catalogue.ModuleVolume("pages", 9, SIZE));
 
     private final Catalogue files = new Catalogue(MODULES, null, List.of());
     private final List<byte[]> journal = new ArrayList<>();
@@ -42,7 +42,7 @@
         List<Long> free = new ArrayList<>();
         List<byte[]> snapshots = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
-            states.add(files.below("pages", ""));
+            states.add(files.entriesBelow("pages", ""));
             free.add(files.free("pages"));
             snapshots.add(files.snapshot());
             String path = "f" + random.nextInt(20);
@@ -58,8 +58,8 @@
             for (int snapshot = 0; snapshot <= crash; snapshot += 17) {
                 Catalogue recovered = new Catalogue(
                         MODULES, snapshots.get(snapshot), journal.subList(Math.max(0, snapshot - 3), crash));
-                assertEquals(states.get(crash), recovered.below("pages", ""), "crash after change " + crash);
-                long used = recovered.below("pages", "").stream()
+                assertEquals(states.get(crash), recovered.entriesBelow("pages", ""), "crash after change " + crash);
+                long used = recovered.entriesBelow("pages", "").stream()
                         .mapToLong(e -> (e.size() + 4095) / 4096 * 4096)
                         .sum();
                 assertEquals(SIZE - used, recovered.free("pages"), "space leaked by a crash after change " + crash);
@@ -85,7 +85,7 @@
     void changedAttributesKeepTheContentsWhileTheyAreRead() {
         FileEntry old = put(file("a", 10_000));
         files.open(old);
-        FileEntry touched = put(old.with(0100600, 99));
+        FileEntry touched = put(old.withAttributes(0100600, 99));
         assertEquals(old.pieces(), touched.pieces());
         commit(List.of(new Name("pages", "a")), List.of());
         assertEquals(SIZE - 12_288, files.free("pages"), "the contents are still being read");
@@ -103,8 +103,8 @@
         assertNull(files.reserve("pages", 8193));
         FileEntry both = put(file("both", 8000));
         assertEquals(2, both.pieces().size());
-        assertEquals(new Piece(both.pieces().get(1).offset() + 904, 3000), both.at(5000, 3000));
-        assertThrows(IllegalArgumentException.class, () -> both.at(8000, 1));
+        assertEquals(new Piece(both.pieces().get(1).offset() + 904, 3000), both.locate(5000, 3000));
+        assertThrows(IllegalArgumentException.class, () -> both.locate(8000, 1));
     }
 
     @Test
@@ -119,7 +119,7 @@
         snapshot[20] ^= 1;
         assertThrows(IllegalStateException.class, () -> new Catalogue(MODULES, snapshot, List.of()));
         FileEntry a = files.get("pages", "a");
-        FileEntry twice = new FileEntry("pages", "z", 9, a.mode(), a.size(), 1, a.sum(), a.pieces(), "");
+        FileEntry twice = new FileEntry("pages", "z", 9, a.mode(), a.size(), 1, a.md5(), a.pieces(), "");
         assertThrows(
                 IllegalStateException.class,
                 () -> new Catalogue(
@@ -134,7 +134,7 @@
         put(file("e", 1));
         assertEquals(
                 List.of("d/x"),
-                files.below("pages", "d").stream().map(FileEntry::path).toList());
-        assertEquals(4, files.below("pages", "").size());
+                files.entriesBelow("pages", "d").stream().map(FileEntry::path).toList());
+        assertEquals(4, files.entriesBelow("pages", "").size());
     }
 }
--- a/map/src/main/java/garnetreel/map/Adoption.java
+++ b/map/src/main/java/garnetreel/map/Adoption.java
@@ -54,7 +54,7 @@
     }
 
     /** A node's entry for an extent. */
-    public record Held(long volume, long extent, int shard, State state, long version) {}
+    public record ReportedExtent(long volume, long extent, int shard, State state, long version) {}
 
     /**
      * Result of comparing the nodes' entries with the maps.
@@ -66,10 +66,14 @@
      * @param conflicts entries of nodes that claim an extent beside a node with a newer version, which becomes the
      *     holder; a correct system has none
      */
-    public record Found(
-            List<Change> changes, long highestVersion, List<Migration> lost, List<Held> missing, List<Held> conflicts) {
+    public record Reconciliation(
+            List<Change> changes,
+            long highestVersion,
+            List<Migration> lostMigrations,
+            List<ReportedExtent> missing,
+            List<ReportedExtent> conflicts) {
 
-        private Found(long highestVersion) {
+        private Reconciliation(long highestVersion) {
             this(new ArrayList<>(), highestVersion, new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         }
     }
@@ -81,10 +85,10 @@
      *
      * @param state the maps to correct; entries of volumes or extents that it does not have are ignored
      */
-    public static Found of(MapState state, List<Held> entries) {
-        Map<ExtentId, List<Held>> byExtent = new TreeMap<>();
+    public static Reconciliation of(MapState state, List<ReportedExtent> entries) {
+        Map<ExtentId, List<ReportedExtent>> byExtent = new TreeMap<>();
         long highestVersion = 0;
-        for (Held held : entries) {
+        for (ReportedExtent held : entries) {
             ExtentMap map = state.map(held.volume());
             if (map != null && map.contains(held.extent())) {
                 byExtent.computeIfAbsent(new ExtentId(held.volume(), held.extent()), unused -> new ArrayList<>())
@@ -92,16 +96,16 @@
                 highestVersion = Math.max(highestVersion, held.version());
             }
         }
-        Found found = new Found(highestVersion);
+        Reconciliation found = new Reconciliation(highestVersion);
         byExtent.forEach((id, held) -> examineExtent(state.map(id.volume()), id, held, found));
         return found;
     }
 
-    private static void examineExtent(ExtentMap map, ExtentId id, List<Held> entries, Found found) {
-        Held holder = null;
-        Held receiver = null;
-        Held newestGone = null;
-        for (Held held : entries) {
+    private static void examineExtent(ExtentMap map, ExtentId id, List<ReportedExtent> entries, Reconciliation found) {
+        ReportedExtent holder = null;
+        ReportedExtent receiver = null;
+        ReportedExtent newestGone = null;
+        for (ReportedExtent held : entries) {
             switch (held.state()) {
                 case SERVING, FENCED -> {
                     if (holder != null) {
@@ -115,7 +119,7 @@
         }
         if (holder == null || newestGone != null && newestGone.version() > holder.version()) {
             // The extent was dropped only once its new holder served it; that node has not answered.
-            Held newest = newestGone == null ? receiver : newestGone;
+            ReportedExtent newest = newestGone == null ? receiver : newestGone;
             boolean neverMigrated = newest.version() == 0 && map.version(id.extent()) == ExtentMap.INITIAL_VERSION;
             if (!neverMigrated) {
                 found.missing().add(newest);
@@ -126,16 +130,16 @@
             found.changes().add(new Change(id.volume(), id.extent(), holder.shard(), holder.version()));
         }
         if (holder.state() == State.FENCED || receiver != null) {
-            found.lost().add(rollback(id, holder, receiver));
+            found.lostMigrations().add(rollback(id, holder, receiver));
         }
     }
 
-    private static Held newer(Held current, Held other) {
+    private static ReportedExtent newer(ReportedExtent current, ReportedExtent other) {
         return current == null || other.version() > current.version() ? other : current;
     }
 
     /** The lost migration in state ABORTING: its holder serves again, and its receiver, if any, drops the pages. */
-    private static Migration rollback(ExtentId id, Held holder, Held receiver) {
+    private static Migration rollback(ExtentId id, ReportedExtent holder, ReportedExtent receiver) {
         int to = receiver == null ? holder.shard() : receiver.shard();
         return new Migration(
                 0, id.volume(), id.extent(), holder.shard(), to, holder.version(), 0, Migration.State.ABORTING);
--- a/map/src/main/java/garnetreel/map/MapState.java
+++ b/map/src/main/java/garnetreel/map/MapState.java
@@ -22,12 +22,12 @@
  * <p>Methods that return a {@link Transaction} only build it; it takes effect through {@link #apply}, once it is
  * durable.
  *
- * <p>The last {@link #HISTORY} transactions are retained for deltas and for the history shown to operators; a gateway
+ * <p>The last {@link #HISTORY_LIMIT} transactions are retained for deltas and for the history shown to operators; a gateway
  * whose version is older than these is sent a snapshot.
  */
 public final class MapState {
     /** Number of transactions retained. */
-    public static final int HISTORY = 10_000;
+    public static final int HISTORY_LIMIT = 10_000;
 
     private final MapCache maps = new MapCache();
     private final TreeMap<Long, Migration> migrations = new TreeMap<>();
@@ -131,7 +131,7 @@
 
     private void applyMigration(Migration migration) {
         lastMigration = Math.max(lastMigration, migration.id());
-        if (migration.state().over()) {
+        if (migration.state().isFinal()) {
             migrations.remove(migration.id());
         } else {
             migrations.put(migration.id(), migration);
@@ -157,7 +157,7 @@
     }
 
     private void trimHistory() {
-        if (history.size() > HISTORY) {
+        if (history.size() > HISTORY_LIMIT) {
             horizon = Math.max(horizon, history.poll().version());
         }
     }
@@ -169,7 +169,7 @@
      * @throws ExtentChangedException if it is a switch and the extent's shard or version has changed since the
      *     migration began
      */
-    public Transaction next(Migration migration, String who, long when, String why) {
+    public Transaction migrationTransaction(Migration migration, String who, long when, String why) {
         Migration current = migrations.get(migration.id());
         boolean switches = migration.state() == Migration.State.SWITCHED
                 && (current == null || current.state() != Migration.State.SWITCHED);
@@ -221,7 +221,7 @@
     /**
      * A new migration that begins as ABORTING: it rolls back what a migration missing from the journal left on nodes.
      */
-    public Migration lostMigration(Migration lost) {
+    public Migration newRollbackMigration(Migration lost) {
         return new Migration(
                 lastMigration + 1,
                 lost.volume(),
@@ -234,7 +234,7 @@
     }
 
     /**
-     * A new migration, which is not yet durable: see {@link #next}.
+     * A new migration, which is not yet durable: see {@link #migrationTransaction}.
      *
      * @throws MigrationRejectedException if the extent does not exist, is at the target or is migrating already
      */
--- a/map/src/main/java/garnetreel/map/Migration.java
+++ b/map/src/main/java/garnetreel/map/Migration.java
@@ -57,7 +57,7 @@
         }
 
         /** Whether the state is final. */
-        public boolean over() {
+        public boolean isFinal() {
             return this == DONE || this == ABORTED;
         }
 
--- a/map/src/main/java/garnetreel/map/MigrationStateMachine.java
+++ b/map/src/main/java/garnetreel/map/MigrationStateMachine.java
@@ -23,7 +23,7 @@
  */
 public final class MigrationStateMachine {
     /** Maximum bytes of pages that one TAKE returns. */
-    public static final int BATCH = 256 << 10;
+    public static final int BATCH_BYTES = 256 << 10;
     /** Failed steps before the switch after which the migration is aborted. */
     private static final int MAX_FAILURES = 40;
     /**
@@ -110,7 +110,7 @@
 
     /** The next step; the same one until {@link #reported}, {@link #failed} or {@link #durable} is called. */
     public NextStep next() {
-        if (migration.state().over()) {
+        if (migration.state().isFinal()) {
             return new Finished();
         }
         if (beforeSwitch() && phase != Phase.COMPLETE) {
@@ -125,7 +125,7 @@
             case TRACK -> toOldHolder(Step.TRACK);
             case RECEIVE -> toNewHolder(Step.RECEIVE);
             case TAKE, LAST_TAKE -> new SendCommand(
-                    migration.from(), Step.TAKE, migration.oldVersion(), BATCH, NodeMessage.none());
+                    migration.from(), Step.TAKE, migration.oldVersion(), BATCH_BYTES, NodeMessage.none());
             case PUT, LAST_PUT -> new SendCommand(
                     migration.to(), Step.PUT, migration.oldVersion(), 0, pages.duplicate());
             case FENCE -> migration.state() == Migration.State.COPYING
--- a/map/src/test/java/garnetreel/map/AdoptionTest.java
+++ b/map/src/test/java/garnetreel/map/AdoptionTest.java
@@ -6,8 +6,8 @@
 import garnetreel.codec.map.MapMessage.Change;
 import garnetreel.codec.map.MapMessage.VolumeMap;
 import garnetreel.codec.map.MapMessage.Whole;
-import garnetreel.map.Adoption.Found;
-import garnetreel.map.Adoption.Held;
+import garnetreel.map.Adoption.Reconciliation;
+import garnetreel.map.Adoption.ReportedExtent;
 import garnetreel.map.Adoption.State;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -17,20 +17,20 @@
 class AdoptionTest {
     private static final Whole INITIAL = new Whole(1, 1, List.of(new VolumeMap(7, 20, 4096, List.of(0, 1), List.of())));
 
-    private static Found found(Held... held) {
+    private static Reconciliation found(ReportedExtent... held) {
         return Adoption.of(new MapState(INITIAL), List.of(held));
     }
 
-    private static Held held(int extent, int shard, State state, long version) {
-        return new Held(7, extent, shard, state, version);
+    private static ReportedExtent held(int extent, int shard, State state, long version) {
+        return new ReportedExtent(7, extent, shard, state, version);
     }
 
     @Test
     void nodeServingUnderTheHighestVersionIsTheHolder() {
-        Found found = found(held(4, 0, State.GONE, 9), held(4, 1, State.SERVING, 9));
+        Reconciliation found = found(held(4, 0, State.GONE, 9), held(4, 1, State.SERVING, 9));
         assertEquals(List.of(new Change(7, 4, 1, 9)), found.changes());
         assertEquals(9, found.highestVersion());
-        assertTrue(found.lost().isEmpty()
+        assertTrue(found.lostMigrations().isEmpty()
                 && found.missing().isEmpty()
                 && found.conflicts().isEmpty());
     }
@@ -44,27 +44,28 @@
 
     @Test
     void migrationLostAfterItsFenceIsRolledBack() {
-        Found found = found(held(4, 0, State.FENCED, 6), held(4, 1, State.RECEIVING, 0));
+        Reconciliation found = found(held(4, 0, State.FENCED, 6), held(4, 1, State.RECEIVING, 0));
         assertEquals(List.of(new Change(7, 4, 0, 6)), found.changes());
-        assertEquals(List.of(new Migration(0, 7, 4, 0, 1, 6, 0, Migration.State.ABORTING)), found.lost());
+        assertEquals(List.of(new Migration(0, 7, 4, 0, 1, 6, 0, Migration.State.ABORTING)), found.lostMigrations());
     }
 
     @Test
     void migrationLostDuringItsCopyIsRolledBack() {
-        Found found = found(held(4, 0, State.SERVING, 1), held(4, 1, State.RECEIVING, 0));
-        assertEquals(List.of(new Migration(0, 7, 4, 0, 1, 1, 0, Migration.State.ABORTING)), found.lost());
+        Reconciliation found = found(held(4, 0, State.SERVING, 1), held(4, 1, State.RECEIVING, 0));
+        assertEquals(List.of(new Migration(0, 7, 4, 0, 1, 1, 0, Migration.State.ABORTING)), found.lostMigrations());
     }
 
     @Test
     void extentHeldByANodeThatDidNotAnswerIsMissingAndKeepsItsMapEntry() {
-        Found found = found(held(4, 0, State.GONE, 9), held(6, 1, State.SERVING, 3), held(6, 0, State.GONE, 5));
+        Reconciliation found =
+                found(held(4, 0, State.GONE, 9), held(6, 1, State.SERVING, 3), held(6, 0, State.GONE, 5));
         assertEquals(List.of(), found.changes());
         assertEquals(List.of(held(4, 0, State.GONE, 9), held(6, 0, State.GONE, 5)), found.missing());
     }
 
     @Test
     void twoServingNodesAreReportedAsAConflict() {
-        Found found = found(held(4, 0, State.SERVING, 3), held(4, 1, State.SERVING, 5));
+        Reconciliation found = found(held(4, 0, State.SERVING, 3), held(4, 1, State.SERVING, 5));
         assertEquals(List.of(new Change(7, 4, 1, 5)), found.changes());
         assertEquals(List.of(held(4, 0, State.SERVING, 3)), found.conflicts());
     }
@@ -73,7 +74,7 @@
     void entriesOfUnknownVolumesAndExtentsAreIgnored() {
         assertEquals(
                 0,
-                found(new Held(8, 1, 0, State.SERVING, 5), held(20, 0, State.SERVING, 5))
+                found(new ReportedExtent(8, 1, 0, State.SERVING, 5), held(20, 0, State.SERVING, 5))
                         .highestVersion());
     }
 
@@ -85,14 +86,14 @@
     void adoptionRestoresTheMapWhateverPartOfTheJournalWasLost() {
         List<Transaction> journal = new ArrayList<>();
         MapState complete = new MapState(INITIAL);
-        List<Held> nodes = new ArrayList<>();
+        List<ReportedExtent> nodes = new ArrayList<>();
         for (int extent = 0; extent < 6; extent++) {
             migrate(complete, journal, nodes, extent, 2 + extent % 2, extent % 4);
         }
         for (int retained = 0; retained <= journal.size(); retained++) {
             MapState restored = new MapState(INITIAL);
             journal.subList(0, retained).forEach(restored::apply);
-            Found found = Adoption.of(restored, nodes);
+            Reconciliation found = Adoption.of(restored, nodes);
             restored.apply(
                     restored.adopt(found.changes(), complete.epoch(), found.highestVersion(), "test", 0, "adopted"));
             assertEquals(placements(complete), placements(restored), "journal lost after record " + retained);
@@ -105,13 +106,13 @@
      * nodes.
      */
     private static void migrate(
-            MapState state, List<Transaction> journal, List<Held> nodes, int extent, int to, int lastStep) {
+            MapState state, List<Transaction> journal, List<ReportedExtent> nodes, int extent, int to, int lastStep) {
         Migration migration = state.newMigration(7, extent, to);
         Migration.State[] states = {
             Migration.State.COPYING, Migration.State.FENCING, Migration.State.SWITCHED, Migration.State.DONE
         };
         for (int step = 0; step <= lastStep; step++) {
-            Transaction t = state.next(migration.withState(states[step]), "test", step, "");
+            Transaction t = state.migrationTransaction(migration.withState(states[step]), "test", step, "");
             journal.add(t);
             state.apply(t);
             migration = t.migration();
--- a/map/src/test/java/garnetreel/map/ExtentMapTest.java
+++ b/map/src/test/java/garnetreel/map/ExtentMapTest.java
@@ -59,21 +59,23 @@
     void transactionsRoundTripThroughTheJournalAndAreAppliedOnce() {
         MapState state = new MapState(INITIAL);
         Migration migration = state.newMigration(7, 5, 1);
-        Transaction begin = state.next(migration, "somebody", 3, "why");
+        Transaction begin = state.migrationTransaction(migration, "somebody", 3, "why");
         assertEquals(begin, Transaction.of(begin.bytes()));
         state.apply(begin);
         state.apply(begin); // a transaction that has been applied is ignored
         assertThrows(MigrationRejectedException.class, () -> state.newMigration(7, 5, 0));
-        Transaction switched = state.next(migration.withState(Migration.State.SWITCHED), "mapd", 4, "copied");
+        Transaction switched =
+                state.migrationTransaction(migration.withState(Migration.State.SWITCHED), "mapd", 4, "copied");
         state.apply(switched);
         assertEquals(1, state.map(7).shard(5));
         assertEquals(2, state.map(7).version(5));
-        state.apply(state.next(switched.migration().withState(Migration.State.DONE), "mapd", 5, "released"));
+        state.apply(state.migrationTransaction(
+                switched.migration().withState(Migration.State.DONE), "mapd", 5, "released"));
         assertEquals(List.of(), state.migrations());
         assertEquals(changes(1, 1, 2, new Change(7, 5, 1, 2)), state.updateSince(1, 1));
         assertEquals(state.mapSnapshot(), state.updateSince(0, 0));
         assertThrows(
                 ExtentChangedException.class,
-                () -> state.next(migration.withState(Migration.State.SWITCHED), "late", 6, ""));
+                () -> state.migrationTransaction(migration.withState(Migration.State.SWITCHED), "late", 6, ""));
     }
 }
--- a/map/src/test/java/garnetreel/map/MapStateTest.java
+++ b/map/src/test/java/garnetreel/map/MapStateTest.java
@@ -25,7 +25,7 @@
     }
 
     private Migration step(Migration migration, Migration.State to) {
-        Transaction t = state.next(migration.withState(to), "test", 0, "");
+        Transaction t = state.migrationTransaction(migration.withState(to), "test", 0, "");
         commit(t);
         return t.migration();
     }
@@ -88,14 +88,14 @@
 
     @Test
     void historyIsBoundedAndOlderVersionsAreUpdatedByASnapshot() {
-        migrate(MapState.HISTORY / 3);
+        migrate(MapState.HISTORY_LIMIT / 3);
         List<Transaction> retained = new ArrayList<>();
         state.history().forEach(retained::add);
-        assertEquals(MapState.HISTORY, retained.size());
+        assertEquals(MapState.HISTORY_LIMIT, retained.size());
         assertInstanceOf(Whole.class, state.updateSince(1, 1));
         Changes since = assertInstanceOf(Changes.class, state.updateSince(1, state.horizon()));
         MapCache cache = new MapCache();
-        cache.apply(MapState.recover(INITIAL, null, journal.subList(0, journal.size() - MapState.HISTORY))
+        cache.apply(MapState.recover(INITIAL, null, journal.subList(0, journal.size() - MapState.HISTORY_LIMIT))
                 .mapSnapshot());
         assertEquals(MapCache.Outcome.APPLIED, cache.apply(since));
         assertEquals(state.mapSnapshot(), cache.toSnapshot());
--- a/mapservice/src/main/java/garnetreel/mapservice/AdoptionCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/AdoptionCoordinator.java
@@ -35,7 +35,7 @@
     private final MigrationCoordinator migrations;
     private final Set<Integer> pendingShards = new HashSet<>();
     private final TreeSet<Integer> unresponsive = new TreeSet<>();
-    private List<Adoption.Held> entries = new ArrayList<>();
+    private List<Adoption.ReportedExtent> entries = new ArrayList<>();
     /** Null while no adoption is in progress. */
     private Completion completion;
 
@@ -99,7 +99,7 @@
         if (report == null || !report.ok()) {
             unresponsive.add(shard);
         } else {
-            Adoption.Held last = readEntries(shard, report.data().duplicate());
+            Adoption.ReportedExtent last = readEntries(shard, report.data().duplicate());
             if (report.more() && last != null) {
                 poll(node, last.volume(), last.extent());
                 return;
@@ -112,14 +112,14 @@
     }
 
     /** Adds all entries of a report and returns the last one, or null if there are none. */
-    private Adoption.Held readEntries(int shard, ByteBuffer data) {
-        Adoption.Held last = null;
+    private Adoption.ReportedExtent readEntries(int shard, ByteBuffer data) {
+        Adoption.ReportedExtent last = null;
         while (data.remaining() >= ENTRY_BYTES) {
             long volume = data.getLong();
             long extent = data.getLong();
             data.getInt(); // size of the extent; already known from the map
             Adoption.State held = Adoption.State.ofCode(data.get() & 0xff);
-            last = new Adoption.Held(volume, extent, shard, held, data.getLong());
+            last = new Adoption.ReportedExtent(volume, extent, shard, held, data.getLong());
             entries.add(last);
         }
         return last;
@@ -135,7 +135,7 @@
                             "the nodes of shards " + unresponsive + " do not answer; bring them back, or adopt force"));
             return;
         }
-        Adoption.Found found = Adoption.of(state, entries);
+        Adoption.Reconciliation found = Adoption.of(state, entries);
         log.submit(
                 () -> state.adopt(
                         found.changes(),
@@ -153,7 +153,7 @@
                         return;
                     }
                     nodes.startNumbering(state.epoch(), state.seq());
-                    migrations.adopted(found.lost());
+                    migrations.adopted(found.lostMigrations());
                     callback.completed(true, OperatorReports.adopted(state, found));
                 });
     }
--- a/mapservice/src/main/java/garnetreel/mapservice/MigrationCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MigrationCoordinator.java
@@ -65,7 +65,7 @@
         this.log = log;
         this.rollbacks = rollbacks;
         this.switchListener = switchListener;
-        this.copyBudget = new RateBudget(copyBytesPerSecond, 2 * MigrationStateMachine.BATCH);
+        this.copyBudget = new RateBudget(copyBytesPerSecond, 2 * MigrationStateMachine.BATCH_BYTES);
     }
 
     void start() {
@@ -100,7 +100,8 @@
                                 "the service's state was rolled back; migrations are blocked until"
                                         + " \"map adopt\" is run");
                     }
-                    return state.next(state.newMigration(volume, extent, targetShard), initiator, turn.now(), reason);
+                    return state.migrationTransaction(
+                            state.newMigration(volume, extent, targetShard), initiator, turn.now(), reason);
                 },
                 t -> {
                     if (t != null) {
@@ -139,8 +140,8 @@
         }
         for (Migration migration : lost) {
             log.submit(
-                    () -> state.next(
-                            state.lostMigration(migration),
+                    () -> state.migrationTransaction(
+                            state.newRollbackMigration(migration),
                             SERVICE_INITIATOR,
                             turn.now(),
                             "left behind by a lost move"),
@@ -149,13 +150,13 @@
     }
 
     private void commit(Migration next, String reason, Consumer<Transaction> completion) {
-        log.submit(() -> state.next(next, SERVICE_INITIATOR, turn.now(), reason), completion);
+        log.submit(() -> state.migrationTransaction(next, SERVICE_INITIATOR, turn.now(), reason), completion);
     }
 
     /** Advances every migration as far as currently possible and removes the finished ones. */
     void advance() {
         inProgress.values().forEach(this::advance);
-        inProgress.values().removeIf(active -> active.migration().state().over());
+        inProgress.values().removeIf(active -> active.migration().state().isFinal());
     }
 
     private void advance(ActiveMigration active) {
--- a/mapservice/src/main/java/garnetreel/mapservice/OperatorReports.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/OperatorReports.java
@@ -114,12 +114,12 @@
                 .put("crc32c", Integer.toUnsignedLong(crc32c));
     }
 
-    static ObjectNode adopted(MapState state, Adoption.Found found) {
+    static ObjectNode adopted(MapState state, Adoption.Reconciliation found) {
         ObjectNode json = JSON.objectNode()
                 .put("epoch", state.epoch())
                 .put("version", state.version())
                 .put("changes", found.changes().size())
-                .put("put_back", found.lost().size());
+                .put("put_back", found.lostMigrations().size());
         found.missing().forEach(held -> json.withArray("missing")
                 .addObject()
                 .put("volume", held.volume())
--- a/mapservice/src/main/java/garnetreel/mapservice/TransactionLog.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/TransactionLog.java
@@ -98,6 +98,6 @@
         byte[] snapshot = state.snapshot();
         int minTransactions = snapshot.length / BYTES_PER_MIGRATED_EXTENT / EXTENTS_PER_TRANSACTION;
         nextSnapshotSeq = state.seq() + Math.max(snapshotInterval, minTransactions);
-        turn.add(new NetAction.Snapshot(state.seq(), snapshot, MapState.HISTORY));
+        turn.add(new NetAction.Snapshot(state.seq(), snapshot, MapState.HISTORY_LIMIT));
     }
 }
--- a/mapservice/src/test/java/garnetreel/mapservice/MigrationCoordinatorTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/MigrationCoordinatorTest.java
@@ -173,14 +173,14 @@
         fixture.report(advance().get(0), true, false, 0, NO_DATA);
         Sent<NodeMessage> take = advance().get(0);
         assertEquals("TAKE@0", step(take));
-        assertEquals(MigrationStateMachine.BATCH, ((Order) take.message()).room());
-        fixture.report(take, true, true, 0, ByteBuffer.allocate(MigrationStateMachine.BATCH / 2));
-        assertEquals(MigrationStateMachine.BATCH / 2, migrations.copiedBytes());
+        assertEquals(MigrationStateMachine.BATCH_BYTES, ((Order) take.message()).room());
+        fixture.report(take, true, true, 0, ByteBuffer.allocate(MigrationStateMachine.BATCH_BYTES / 2));
+        assertEquals(MigrationStateMachine.BATCH_BYTES / 2, migrations.copiedBytes());
         Sent<NodeMessage> put = advance().get(0);
         assertEquals("PUT@1", step(put));
         fixture.report(put, true, false, 0, NO_DATA);
         assertEquals(List.of(), advance(), "half a batch is overdrawn and no time has passed");
-        long balanced = MigrationStateMachine.BATCH / 2 * 1_000_000L / COPY_RATE;
+        long balanced = MigrationStateMachine.BATCH_BYTES / 2 * 1_000_000L / COPY_RATE;
         assertEquals(balanced + 1, migrations.nextDeadline());
         fixture.beginTurnAt(balanced + 1);
         migrations.refill();
@@ -207,7 +207,7 @@
     @Test
     void restartResumesUnfinishedMigrations() {
         Migration migration = fixture.state.newMigration(ServiceFixture.VOLUME, 4, 1);
-        fixture.state.apply(fixture.state.next(migration, "test", 0, "asked for"));
+        fixture.state.apply(fixture.state.migrationTransaction(migration, "test", 0, "asked for"));
         fixture.connectNodes();
         migrations.resume();
         assertEquals(1, migrations.inProgress());
--- a/mapservice/src/test/java/garnetreel/mapservice/SubscriberRegistryTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/SubscriberRegistryTest.java
@@ -55,8 +55,9 @@
 
     private void switchExtent(long extent, int to) {
         Migration migration = fixture.state.newMigration(ServiceFixture.VOLUME, extent, to);
-        fixture.state.apply(fixture.state.next(migration, "test", 0, ""));
-        fixture.state.apply(fixture.state.next(migration.withState(Migration.State.SWITCHED), "test", 0, ""));
+        fixture.state.apply(fixture.state.migrationTransaction(migration, "test", 0, ""));
+        fixture.state.apply(
+                fixture.state.migrationTransaction(migration.withState(Migration.State.SWITCHED), "test", 0, ""));
     }
 
     @Test
--- a/mapservice/src/test/java/garnetreel/mapservice/TransactionLogTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/TransactionLogTest.java
@@ -84,7 +84,7 @@
     void failedCompareAndSetIsLogged() {
         Migration stale = new Migration(1, ServiceFixture.VOLUME, 4, 0, 1, 9, 0, Migration.State.SWITCHED);
         List<Transaction> completed = new ArrayList<>();
-        log.submit(() -> fixture.state.next(stale, "test", 5, ""), completed::add);
+        log.submit(() -> fixture.state.migrationTransaction(stale, "test", 5, ""), completed::add);
         log.write();
         assertEquals(
                 List.of("transaction not committed: extent 4 of volume 7 is held under version 1 and not 9"),
@@ -104,7 +104,7 @@
         fixture.commitAll(log);
         NetAction.Snapshot snapshot = fixture.actions(NetAction.Snapshot.class).get(0);
         assertEquals(SNAPSHOT_INTERVAL, snapshot.sequence());
-        assertEquals(MapState.HISTORY, snapshot.retainedRecords());
+        assertEquals(MapState.HISTORY_LIMIT, snapshot.retainedRecords());
         MapState recovered = MapState.recover(ServiceFixture.INITIAL, snapshot.data(), List.of());
         assertEquals(fixture.state.seq(), recovered.seq());
         assertEquals(fixture.state.mapSnapshot(), recovered.mapSnapshot());
--- a/policy/src/main/java/garnetreel/policy/DecisionStep.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionStep.java
@@ -33,7 +33,7 @@
     /** Sheds late requests, then sends attempts, shard by shard. After all steps that free tokens or end requests. */
     SHED_AND_DISPATCH,
     /** Evicts unused state. After dispatch, so that no state is evicted and created again in one call. */
-    FORGET_UNUSED,
+    EVICT_UNUSED,
     /** Sets the timer. Last, as the time of the next call depends on the requests now held and in flight. */
     SET_TIMER;
 
--- a/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
+++ b/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
@@ -76,9 +76,9 @@
             case READMIT_FOR_RESTARTS -> endpointUpdates.readmitForRestarts(now);
             case SUBSCRIBE_TO_ENDPOINTS -> endpointUpdates.subscribeIfDue(now);
             case EXPIRE_REQUESTS -> closer.expireRequests(now);
-            case DETECT_SLOW_ENDPOINTS -> outcomes.detectSilence(now);
+            case DETECT_SLOW_ENDPOINTS -> outcomes.detectSlowEndpoints(now);
             case SHED_AND_DISPATCH -> shedAndDispatch();
-            case FORGET_UNUSED -> housekeeping.forgetUnused(now);
+            case EVICT_UNUSED -> housekeeping.evictUnused(now);
             case SET_TIMER -> modules.timer.set(
                     modules.requests, modules.subscription, modules.loadShedder, modules.actions, now);
         }
--- a/policy/src/main/java/garnetreel/policy/Housekeeping.java
+++ b/policy/src/main/java/garnetreel/policy/Housekeeping.java
@@ -16,7 +16,7 @@
         lastPassAt = now;
     }
 
-    void forgetUnused(long now) {
+    void evictUnused(long now) {
         if (now - lastPassAt < PERIOD) {
             return;
         }
--- a/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
+++ b/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
@@ -135,7 +135,7 @@
      * Detects a slow endpoint before its attempts end, by the age of the oldest attempt in flight that was not
      * overtaken.
      */
-    void detectSilence(long now) {
+    void detectSlowEndpoints(long now) {
         for (Endpoint endpoint : modules.endpoints.withAttemptsInFlight()) {
             for (InFlightAttempt attempt : endpoint.limiter().inFlight()) {
                 if (!endpoint.limiter().isOvertaken(attempt.sentAt())) {
--- a/testbed/src/main/java/garnetreel/testbed/scenario/Deployment.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/Deployment.java
@@ -101,7 +101,8 @@
             GatewaySettings.Files files = settings.files();
             boolean servesFiles = !files.modules().isEmpty();
             if (servesFiles) {
-                settings = settings.withFiles(new GatewaySettings.Files(rsyncAddress, files.modules(), files.secret()));
+                settings = settings.withFiles(
+                        new GatewaySettings.Files(rsyncAddress, files.modules(), files.challengeSecret()));
             }
             MemoryStore.Journal catalogue = store.journal();
             StateMachine gateway = wrapper.apply(new Gateway(
--- a/testbed/src/test/java/garnetreel/testbed/node/MoveKillsTest.java
+++ b/testbed/src/test/java/garnetreel/testbed/node/MoveKillsTest.java
@@ -86,7 +86,7 @@
         }
 
         void play(Map<Integer, Kill> kills) throws DamagedPageException {
-            while (!migration.migration().state().over()) {
+            while (!migration.migration().state().isFinal()) {
                 assertTrue(++steps < MAX_STEPS, "stuck in " + migration.migration() + " with " + kills);
                 Kill kill = kills.get(steps);
                 if (kill == Kill.SERVICE) {
@@ -180,7 +180,7 @@
         int steps = length();
         for (int at = 0; at < steps; at++) {
             Run run = new Run();
-            while (run.steps < at && !run.durable.state().over()) {
+            while (run.steps < at && !run.durable.state().isFinal()) {
                 run.steps++;
                 run.step(null);
                 run.write(run.steps % 8);
