--- a/core/src/test/java/garnetreel/core/platform/EndpointIncarnationsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/EndpointIncarnationsTest.java
@@ -7,16 +7,16 @@
 import garnetreel.policy.event.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** How the start of an incarnation is estimated. */
+/** Estimation of the start time of an incarnation, which is one run of an endpoint's process. */
 class EndpointIncarnationsTest {
     private static final long NOW = 1_000_000_000;
-    private static final long NO_LIST = -1;
+    private static final long NO_PREVIOUS_LIST = -1;
     private static final long MAX_REPORT_DELAY = 2_000_000;
 
     private final EndpointIncarnations incarnations = new EndpointIncarnations();
 
-    private long startOf(String endpoint, long reportedAs, long now, long listCurrentAt) {
-        ListUpdate update = changes(1, entry(endpoint, EndpointState.UP, reportedAs));
+    private long estimatedStart(String endpoint, long reportedStart, long now, long listCurrentAt) {
+        ListUpdate update = changes(1, entry(endpoint, EndpointState.UP, reportedStart));
         return incarnations
                 .resolve(update, now, listCurrentAt)
                 .entries()
@@ -26,35 +26,35 @@
     }
 
     @Test
-    void withoutACurrentListAStartIsAsReportedButNotInTheFuture() {
-        assertEquals(0, startOf("s-1", -5, NOW, NO_LIST), "long ago");
-        assertEquals(5, startOf("s-2", 5, NOW, NO_LIST));
-        assertEquals(NOW, startOf("s-3", NOW + 1, NOW, NO_LIST));
+    void withoutAPreviousListTheReportedStartIsUsedUnlessItIsInTheFuture() {
+        assertEquals(0, estimatedStart("s-1", -5, NOW, NO_PREVIOUS_LIST), "not stated: long ago");
+        assertEquals(5, estimatedStart("s-2", 5, NOW, NO_PREVIOUS_LIST));
+        assertEquals(NOW, estimatedStart("s-3", NOW + 1, NOW, NO_PREVIOUS_LIST));
     }
 
     @Test
-    void aNewStartIsNoEarlierThanTheCurrentListLessTheReportDelay() {
-        assertEquals(NOW - 100 - MAX_REPORT_DELAY, startOf("s-1", 5, NOW, NOW - 100));
-        assertEquals(NOW - 50, startOf("s-2", NOW - 50, NOW, NOW - 100));
-        assertEquals(0, startOf("s-3", 0, NOW, NOW - 100), "long ago");
+    void aNewStartIsNoEarlierThanThePreviousListLessTheReportDelay() {
+        assertEquals(NOW - 100 - MAX_REPORT_DELAY, estimatedStart("s-1", 5, NOW, NOW - 100));
+        assertEquals(NOW - 50, estimatedStart("s-2", NOW - 50, NOW, NOW - 100));
+        assertEquals(0, estimatedStart("s-3", 0, NOW, NOW - 100), "not stated: long ago");
     }
 
     @Test
-    void anIncarnationIsEstimatedOnceAndSurvivesARemoval() {
-        assertEquals(NOW, startOf("s-1", NOW + 1, NOW, NO_LIST));
-        assertEquals(NOW, startOf("s-1", NOW + 1, NOW + 500, NO_LIST));
+    void theStartOfAnIncarnationIsEstimatedOnceAndKeptAfterARemoval() {
+        assertEquals(NOW, estimatedStart("s-1", NOW + 1, NOW, NO_PREVIOUS_LIST));
+        assertEquals(NOW, estimatedStart("s-1", NOW + 1, NOW + 500, NO_PREVIOUS_LIST));
         ListUpdate removal = changes(2, entry("s-1", EndpointState.REMOVED, 0));
-        assertEquals(removal, incarnations.resolve(removal, NOW, NO_LIST));
-        assertEquals(NOW, startOf("s-1", NOW + 1, NOW + 700, NO_LIST));
-        assertEquals(NOW + 2, startOf("s-1", NOW + 2, NOW + 900, NO_LIST), "another incarnation");
+        assertEquals(removal, incarnations.resolve(removal, NOW, NO_PREVIOUS_LIST));
+        assertEquals(NOW, estimatedStart("s-1", NOW + 1, NOW + 700, NO_PREVIOUS_LIST));
+        assertEquals(NOW + 2, estimatedStart("s-1", NOW + 2, NOW + 900, NO_PREVIOUS_LIST), "a new incarnation");
     }
 
     @Test
-    void theLeastRecentlyReportedIsForgotten() {
-        assertEquals(NOW, startOf("s-1", NOW + 1, NOW, NO_LIST));
+    void theLeastRecentlyReportedEndpointIsEvicted() {
+        assertEquals(NOW, estimatedStart("s-1", NOW + 1, NOW, NO_PREVIOUS_LIST));
         for (int i = 0; i < 16_384; i++) {
-            startOf("t-" + i, 1, NOW, NO_LIST);
+            estimatedStart("t-" + i, 1, NOW, NO_PREVIOUS_LIST);
         }
-        assertEquals(NOW + 1, startOf("s-1", NOW + 1, NOW + 500, NO_LIST), "estimated anew");
+        assertEquals(NOW + 1, estimatedStart("s-1", NOW + 1, NOW + 500, NO_PREVIOUS_LIST), "estimated again");
     }
 }
--- a/core/src/test/java/garnetreel/core/platform/EventInterleavingTest.java
+++ b/core/src/test/java/garnetreel/core/platform/EventInterleavingTest.java
@@ -20,8 +20,9 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Each step of a request's life interleaved with each event that ends something, in one turn and in both orders, with the real
- * scheduler on a clock set by hand. One run for each pair; the remaining steps follow as far as the gateway allows.
+ * Interleaves each step of a request with each kind of interruption, in one turn and in both orders, with the real
+ * scheduler and a simulated clock. There is one run for each step, interruption and order; it continues with the
+ * remaining steps as far as the gateway allows.
  */
 class EventInterleavingTest {
     private static final long CLIENT = 1;
@@ -37,7 +38,7 @@
         TIMEOUT
     }
 
-    private enum Ending {
+    private enum Interruption {
         CLIENT_CLOSES,
         CLIENT_RESETS,
         UPSTREAM_DRAINS,
@@ -51,26 +52,26 @@
 
     @TestFactory
     Stream<DynamicTest> interleavings() {
-        return Stream.of(Ending.values())
-                .flatMap(ending -> Stream.of(Step.values()).flatMap(step -> Stream.of(true, false)
-                        .map(first -> DynamicTest.dynamicTest(
-                                ending + (first ? " just before " : " just after ") + step,
-                                () -> new Run(step, ending, first).run()))));
+        return Stream.of(Interruption.values())
+                .flatMap(interruption -> Stream.of(Step.values()).flatMap(step -> Stream.of(true, false)
+                        .map(interruptionFirst -> DynamicTest.dynamicTest(
+                                interruption + (interruptionFirst ? " just before " : " just after ") + step,
+                                () -> new Run(step, interruption, interruptionFirst).run()))));
     }
 
     private static final class Run {
         private final Step interleavedStep;
-        private final Ending ending;
-        private final boolean endingFirst;
+        private final Interruption interruption;
+        private final boolean interruptionFirst;
         private final PlatformGatewayHarness harness;
         private final long watch;
         private long upstream;
-        private int sentBeforeEnding;
+        private int sendsBeforeInterruption;
 
-        Run(Step interleavedStep, Ending ending, boolean endingFirst) throws JsonException {
+        Run(Step interleavedStep, Interruption interruption, boolean interruptionFirst) throws JsonException {
             this.interleavedStep = interleavedStep;
-            this.ending = ending;
-            this.endingFirst = endingFirst;
+            this.interruption = interruption;
+            this.interruptionFirst = interruptionFirst;
             PlatformSettings settings = settings(config(512));
             harness = new PlatformGatewayHarness(512, new FairQueueScheduler(settings.scheduling(), 1));
             harness.advanceUntilDiscoveryCall();
@@ -82,20 +83,20 @@
             harness.stalledPeers.add(CLIENT);
         }
 
-        private NetEvent list(boolean whole, String health) {
+        private NetEvent list(boolean complete, String health) {
             String text =
-                    "{\"seq\":9,\"whole\":" + whole + ",\"hosts\":[" + endpointJson("s-1", 2001, health, 0) + "]}\n";
+                    "{\"seq\":9,\"whole\":" + complete + ",\"hosts\":[" + endpointJson("s-1", 2001, health, 0) + "]}\n";
             return received(watch, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
         }
 
-        private static NetEvent received(long conn, String text) {
-            return new NetEvent.Received(conn, ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
+        private static NetEvent received(long connection, String text) {
+            return new NetEvent.Received(connection, ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
         }
 
-        /** The events of a step; none where the gateway has closed the connection by then. */
+        /** The events of a step; none if the gateway has already closed the connection. */
         private List<NetEvent> events(Step step) {
-            long conn = step == Step.REQUEST_RECEIVED || step == Step.RESPONSE_READ ? CLIENT : upstream;
-            if (conn == 0 || harness.closed.contains(conn) && step != Step.RESPONSE_READ) {
+            long connection = step == Step.REQUEST_RECEIVED || step == Step.RESPONSE_READ ? CLIENT : upstream;
+            if (connection == 0 || harness.closed.contains(connection) && step != Step.RESPONSE_READ) {
                 return List.of();
             }
             return switch (step) {
@@ -116,8 +117,8 @@
             };
         }
 
-        private List<NetEvent> endingEvents() throws JsonException {
-            return switch (ending) {
+        private List<NetEvent> interruptionEvents() throws JsonException {
+            return switch (interruption) {
                 case CLIENT_CLOSES -> List.of(new NetEvent.Closed(CLIENT, true, true, "closed"));
                 case CLIENT_RESETS -> List.of(new NetEvent.Closed(CLIENT, true, "reset"));
                 case UPSTREAM_DRAINS -> List.of(list(false, "draining"));
@@ -133,8 +134,8 @@
                                 .getBytes(StandardCharsets.UTF_8)))));
                 case EVICTION -> {
                     List<NetEvent> accepted = new ArrayList<>();
-                    for (long conn = 2; conn <= 600; conn++) {
-                        accepted.add(new NetEvent.Accepted(conn, PlatformGateway.CLIENT_LISTENER, "peer"));
+                    for (long connection = 2; connection <= 600; connection++) {
+                        accepted.add(new NetEvent.Accepted(connection, PlatformGateway.CLIENT_LISTENER, "peer"));
                     }
                     yield accepted;
                 }
@@ -145,15 +146,15 @@
         void run() throws JsonException {
             for (Step step : Step.values()) {
                 List<NetEvent> events = new ArrayList<>();
-                if (step == interleavedStep && endingFirst) {
-                    events.addAll(endingEvents());
+                if (step == interleavedStep && interruptionFirst) {
+                    events.addAll(interruptionEvents());
                 }
                 events.addAll(events(step));
-                if (step == interleavedStep && !endingFirst) {
-                    events.addAll(endingEvents());
+                if (step == interleavedStep && !interruptionFirst) {
+                    events.addAll(interruptionEvents());
                 }
-                // In the turn of the interleaving an attempt may start if its step is first.
-                int sentBeforeTurn = sent();
+                // In the interleaved turn an attempt may still start if its step precedes the interruption.
+                int sendsBeforeTurn = sendCount();
                 harness.deliver(events.toArray(NetEvent[]::new));
                 if (step == Step.REQUEST_RECEIVED
                         && harness.lastOpenedConnection != watch
@@ -163,7 +164,7 @@
                     upstream = harness.lastOpenedConnection;
                 }
                 if (step == interleavedStep) {
-                    sentBeforeEnding = endingFirst ? sentBeforeTurn : sent();
+                    sendsBeforeInterruption = interruptionFirst ? sendsBeforeTurn : sendCount();
                 }
                 if (step == Step.TIMEOUT) {
                     harness.advance(10_000_000);
@@ -172,8 +173,8 @@
             check();
         }
 
-        /** How often the request was sent to the upstream. */
-        private int sent() {
+        /** How many times the request was sent to the upstream. */
+        private int sendCount() {
             return harness.written.entrySet().stream()
                     .filter(e -> e.getKey() < 0)
                     .mapToInt(e -> e.getValue().toString().split("PUT /", -1).length - 1)
@@ -183,14 +184,20 @@
         private void check() {
             String responses = harness.writtenTo(CLIENT);
             int responseCount = responses.split("HTTP/1.1 ", -1).length - 1;
-            boolean clientGone = ending == Ending.CLIENT_CLOSES || ending == Ending.CLIENT_RESETS;
-            boolean evictedBeforeRequest =
-                    ending == Ending.EVICTION && interleavedStep == Step.REQUEST_RECEIVED && endingFirst;
+            boolean clientDisconnected =
+                    interruption == Interruption.CLIENT_CLOSES || interruption == Interruption.CLIENT_RESETS;
+            boolean evictedBeforeRequest = interruption == Interruption.EVICTION
+                    && interleavedStep == Step.REQUEST_RECEIVED
+                    && interruptionFirst;
             assertTrue(responseCount <= 1, "more than one response: " + responses);
-            assertTrue(responseCount == 1 || clientGone || evictedBeforeRequest, "no response for a client that stays");
-            assertTrue(sent() <= 1, "an unsafe request was sent again");
-            if (clientGone || ending == Ending.UPSTREAM_DRAINS || ending == Ending.UPSTREAM_REMOVED) {
-                assertEquals(sentBeforeEnding, sent(), "an attempt started after what allowed it had ended");
+            assertTrue(
+                    responseCount == 1 || clientDisconnected || evictedBeforeRequest,
+                    "no response to a connected client");
+            assertTrue(sendCount() <= 1, "a request that must not be retried was sent again");
+            if (clientDisconnected
+                    || interruption == Interruption.UPSTREAM_DRAINS
+                    || interruption == Interruption.UPSTREAM_REMOVED) {
+                assertEquals(sendsBeforeInterruption, sendCount(), "an attempt started after it was no longer allowed");
             }
             assertEquals(
                     0,
@@ -199,7 +206,7 @@
             PlatformGateway.OpenResources open = harness.gateway.openResources();
             assertEquals(0, open.requests(), open.toString());
             assertEquals(0, open.attempts(), open.toString());
-            if (ending == Ending.SIGTERM) {
+            if (interruption == Interruption.SIGTERM) {
                 assertTrue(harness.stopped && open.clients() == 0, open.toString());
             }
         }
--- a/core/src/test/java/garnetreel/core/platform/GatewayCountersTest.java
+++ b/core/src/test/java/garnetreel/core/platform/GatewayCountersTest.java
@@ -6,7 +6,7 @@
 import garnetreel.core.platform.GatewayCounters.Invariant;
 import org.junit.jupiter.api.Test;
 
-/** The printed lines are read by operators and the fault soak, whatever the constants are called. */
+/** Operators and the fault soak read the printed lines, so the labels do not depend on the names of the constants. */
 class GatewayCountersTest {
     @Test
     void labelsArePrintedInAFixedOrder() {
--- a/core/src/test/java/garnetreel/core/platform/HealthChecksTest.java
+++ b/core/src/test/java/garnetreel/core/platform/HealthChecksTest.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a health check sends, how long it may take and what its result is. */
+/** The request, the timeout and the result of a health check. */
 class HealthChecksTest {
     @Test
-    void aGoodResponseIsHealthyAlsoWithoutABody() {
+    void status200IsHealthyEvenWithoutABody() {
         assertEquals(
                 new HealthCheckCompleted("s-1", Outcome.OK, 7, Map.of("util", 0.5)),
                 HealthChecks.result("s-1", Outcome.OK, 7, UpstreamTestData.response(200, "{\"util\":0.5}")));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void anyOtherEndIsNone() {
+    void anyOtherResultIsUnhealthy() {
         assertEquals(
                 new HealthCheckCompleted("s-1", Outcome.ERROR, 7, Map.of()),
                 HealthChecks.result("s-1", Outcome.ERROR, 7, UpstreamTestData.response(500, "{\"util\":0.5}")));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aCheckHasASecond() {
+    void aCheckTimesOutAfterOneSecond() {
         HealthChecks checks = new HealthChecks();
         UpstreamConnection connection = UpstreamTestData.connection(-1, "s-1", 0);
         checks.assign(connection);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void theLoadReportIsAskedFor() {
+    void aCheckRequestsTheLoadReport() {
         String request =
                 StandardCharsets.ISO_8859_1.decode(HealthChecks.request()).toString();
         assertTrue(request.startsWith("GET /stats HTTP/1.1\r\n"), request);
--- a/core/src/test/java/garnetreel/core/platform/IdleConnectionsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/IdleConnectionsTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Idle connections are found by endpoint and by age, and removed from both at once. */
+/** Idle connections are found by endpoint and by age, and are removed from both indexes at once. */
 class IdleConnectionsTest {
     private static final long TIMEOUT = 100;
 
@@ -16,7 +16,7 @@
     private final UpstreamConnection second = UpstreamTestData.connection(-3, "s-1", 30);
 
     @Test
-    void theOneIdleForLongestComesFirst() {
+    void theLongestIdleConnectionComesFirst() {
         idle.add(first);
         idle.add(other);
         idle.add(second);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aRemovedOneIsInNeitherOrder() {
+    void aRemovedConnectionIsInNeitherIndex() {
         idle.add(first);
         idle.add(other);
         idle.add(second);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void theOldestExpires() {
+    void theLongestIdleConnectionExpiresFirst() {
         idle.add(first);
         idle.add(other);
         assertEquals(10 + TIMEOUT, idle.nextDeadline());
--- a/core/src/test/java/garnetreel/core/platform/InFlightAttemptsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/InFlightAttemptsTest.java
@@ -17,7 +17,7 @@
     private final UpstreamConnection connection = UpstreamTestData.connection(-1, "s-1", 0);
 
     @Test
-    void theEarliestDeadlineExpiresFirstThenTheLowerNumber() {
+    void attemptsExpireInTheOrderOfTheirDeadlinesAndNumbers() {
         attempts.add(late, connection);
         attempts.add(earlyRetry, connection);
         attempts.add(early, connection);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void theAttemptsOfARequestCanBeRemovedWhileTheyAreVisited() {
+    void theAttemptsOfARequestCanBeRemovedWhileIterating() {
         attempts.add(late, connection);
         attempts.add(early, connection);
         attempts.add(earlyRetry, connection);
--- a/core/src/test/java/garnetreel/core/platform/JsonFrameSplitterTest.java
+++ b/core/src/test/java/garnetreel/core/platform/JsonFrameSplitterTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Objects are found by their braces, however the stream is cut. */
+/** JSON objects are found by their braces, regardless of how the stream is divided into pieces. */
 class JsonFrameSplitterTest {
     private static final int MAX_BYTES = 40;
     private static final String STREAM = " {\"a\":{\"b\":\"}\\\"{\"}}\r\n\t{}{\n\"c\":\n1}\n";
@@ -38,13 +38,13 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"x", "}", "[", "\"", "{}1"})
-    void betweenObjectsOnlyWhitespaceIsAllowed(String stream) {
+    void onlyWhitespaceIsAllowedBetweenObjects(String stream) {
         JsonFrameSplitter splitter = new JsonFrameSplitter(MAX_BYTES);
         assertThrows(ProtocolException.class, () -> split(splitter, stream));
     }
 
     @Test
-    void anObjectIsBounded() throws ProtocolException {
+    void theSizeOfAnObjectIsLimited() throws ProtocolException {
         JsonFrameSplitter splitter = new JsonFrameSplitter(MAX_BYTES);
         String longest = "{" + " ".repeat(MAX_BYTES - 2) + "}";
         assertEquals(List.of(longest, longest), split(splitter, longest + longest));
--- a/core/src/test/java/garnetreel/core/platform/ListUpdateTest.java
+++ b/core/src/test/java/garnetreel/core/platform/ListUpdateTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Decoding of discovery's messages. */
+/** Decoding of the messages from discovery. */
 class ListUpdateTest {
     private static ListUpdate read(String text) throws JsonException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void fieldsThatMayBeMissingHaveDefaults() throws JsonException {
+    void optionalFieldsHaveDefaultsAndRequiredOnesAreChecked() throws JsonException {
         EndpointEntry endpoint = new EndpointEntry("s-1", "", 0, EndpointState.UP, 1, 0);
         assertEquals(
                 new ListUpdate(9, false, List.of(new ListUpdate.Entry("", endpoint))),
@@ -45,7 +45,7 @@
 
     @ParameterizedTest
     @CsvSource({"up, UP", "removed, REMOVED", "draining, DRAINING", "anything else, DRAINING"})
-    void onlyAnEndpointThatIsSurelyUpIsTakenForUp(String health, EndpointState state) throws JsonException {
+    void healthMapsToAStateAndUnknownValuesToDraining(String health, EndpointState state) throws JsonException {
         ListUpdate update = read("{\"seq\":9,\"hosts\":[{\"host\":\"s-1\",\"health\":\"" + health + "\"}]}");
         assertEquals(state, update.entries().get(0).endpoint().state());
     }
--- a/core/src/test/java/garnetreel/core/platform/MalformedResponseLogTest.java
+++ b/core/src/test/java/garnetreel/core/platform/MalformedResponseLogTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Malformed responses are all counted and logged at a limited rate. */
+/** Every malformed response is counted; they are logged at a limited rate. */
 class MalformedResponseLogTest {
     @Test
-    void theFirstIsLoggedAtOnceAndTheNextAfterFiveSeconds() {
+    void theFirstResponseIsLoggedAtOnceAndTheNextAfterFiveSeconds() {
         MalformedResponseLog log = new MalformedResponseLog();
         List<NetAction> actions = new ArrayList<>();
         log.report("s-1", "garbage", 0, actions);
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayConnectionsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayConnectionsTest.java
@@ -17,10 +17,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Clients' connections: time limits, eviction, pipelining and unread responses. */
+/** Client connections: time limits, eviction, pipelining and unread responses. */
 class PlatformGatewayConnectionsTest {
     @Test
-    void clientsWithoutAWholeRequestAreTimedOut() throws JsonException {
+    void clientsWithoutACompleteRequestTimeOut() throws JsonException {
         PlatformGatewayHarness harness = new PlatformGatewayHarness(PlatformGatewayHarness::sendToUpstream)
                 .accept(1)
                 .accept(2)
@@ -30,34 +30,34 @@
         assertEquals(0, harness.gateway.openResources().clients());
     }
 
-    /** Hundreds of silent connections make room for one with a request, however few descriptors there are. */
+    /** Even with few descriptors, hundreds of silent connections do not displace one that has sent a request. */
     @Test
     void silentConnectionsAreEvictedForOneWithARequest() throws JsonException {
         PlatformGatewayHarness harness =
                 new PlatformGatewayHarness(256, scripted(PlatformGatewayHarness::sendToUpstream));
-        for (long conn = 1; conn <= 600; conn++) {
-            harness.accept(conn);
+        for (long connection = 1; connection <= 600; connection++) {
+            harness.accept(connection);
         }
-        // Until then the listener's own limit, which the harness does not have, bounds their number.
+        // New connections are evicted after 20 ms; until then the listener, absent in the harness, limits their number.
         harness.advance(20_000);
         assertTrue(harness.gateway.openResources().clients() <= 128, "limit on clients");
         harness.accept(601).receive(601, request(REQUEST_ID, ""));
-        for (long conn = 602; conn <= 900; conn++) {
-            harness.accept(conn);
+        for (long connection = 602; connection <= 900; connection++) {
+            harness.accept(connection);
         }
         assertFalse(harness.closed.contains(601L));
         assertEquals(1, harness.notified(RequestReceived.class).size());
     }
 
-    /** Silent connections are evicted first: the oldest of all may be one that writes its request slowly. */
+    /** Silent connections are evicted first, since the oldest connection may be one that sends its request slowly. */
     @Test
     void aPartialRequestIsEvictedAfterSilentConnections() throws JsonException {
         PlatformGatewayHarness harness =
                 new PlatformGatewayHarness(256, scripted(PlatformGatewayHarness::sendToUpstream));
         String request = request(REQUEST_ID, "");
         harness.accept(1).receive(1, request.substring(0, 60));
-        for (long conn = 2; conn <= 400; conn++) {
-            harness.accept(conn);
+        for (long connection = 2; connection <= 400; connection++) {
+            harness.accept(connection);
         }
         harness.advance(30_000);
         assertFalse(harness.closed.contains(1L));
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aClientThatReadsNothingHoldsOneResponse() throws JsonException {
+    void aClientThatReadsNothingGetsOneResponseAndIsDisconnected() throws JsonException {
         PlatformGatewayHarness harness = withAttemptInFlight("");
         harness.stalledPeers.add(1L);
         harness.receive(harness.lastOpenedConnection, response("result", ""));
@@ -79,7 +79,8 @@
     }
 
     /**
-     * Clients that read nothing hold responses up to a limit, beyond which the one reading for longest is disconnected.
+     * Responses that clients do not read are buffered up to a limit. Above it, the client whose response has been
+     * waiting for longest is disconnected.
      */
     @Test
     void unreadResponsesAreLimited() throws JsonException {
@@ -102,9 +103,9 @@
         assertEquals(1, harness.notified(RequestReceived.class).size());
     }
 
-    /** 60 MB are announced: the error is sent at the end of the header, and what follows is dropped. */
+    /** The header announces 60 MiB: the error is sent at the end of the header, and the data after it is discarded. */
     @Test
-    void aBodyOverTheLimitIsRejectedAtItsHeader() throws JsonException {
+    void aBodyOverTheLimitIsRejectedAfterTheHeader() throws JsonException {
         PlatformGatewayHarness harness = new PlatformGatewayHarness(PlatformGatewayHarness::sendToUpstream)
                 .accept(1)
                 .receive(1, request(REQUEST_ID, "").replace("Content-Length: 4", "Content-Length: 62914560"));
@@ -115,7 +116,7 @@
     }
 
     @Test
-    void aPipelinedRequestWaitsForTheFirst() throws JsonException {
+    void aPipelinedRequestWaitsForThePreviousOne() throws JsonException {
         PlatformGatewayHarness harness = new PlatformGatewayHarness(PlatformGatewayHarness::sendToUpstream)
                 .accept(1)
                 .receive(1, request(REQUEST_ID, "") + request("00000000000000aa", ""));
@@ -126,7 +127,8 @@
     }
 
     /**
-     * Its client's time passes while it waits behind another request; counted from its turn the deadline would be too late.
+     * The client's time limit also runs while the request waits behind another one. Counted from the end of that wait,
+     * the deadline would be too late.
      */
     @Test
     void aPipelinedRequestsDeadlineCountsFromItsLastByte() throws JsonException {
@@ -147,7 +149,8 @@
     }
 
     /**
-     * Over the limit on waiting input requests are only counted: each is rejected in order, and a partial one times out.
+     * Above the limit on buffered input, requests are only counted: each is rejected in order, and a partial one times
+     * out.
      */
     @Test
     void requestsOverTheInputLimitAreRejectedInOrder() throws JsonException {
@@ -156,24 +159,32 @@
                 .receive(1, request("00000000000000ab", "") + "more");
         harness.receive(harness.lastOpenedConnection, response("result", ""));
         assertEquals(2_002, harness.writtenTo(1).split("HTTP/1.1 503 ", -1).length, "2,001 rejections");
-        assertTrue(harness.writtenTo(1).startsWith("HTTP/1.1 200 "), "in order");
+        assertTrue(harness.writtenTo(1).startsWith("HTTP/1.1 200 "), "responses are in order");
         assertEquals(1, harness.notified(RequestReceived.class).size());
         assertFalse(harness.closed.contains(1L));
         harness.advance(2_100_000);
-        assertTrue(harness.writtenTo(1).contains("HTTP/1.1 408 ") && harness.closed.contains(1L), "a partial request");
+        assertTrue(
+                harness.writtenTo(1).contains("HTTP/1.1 408 ") && harness.closed.contains(1L),
+                "a partial request times out");
         assertEquals(new PlatformGateway.OpenResources(0, 0, 1, 0), harness.gateway.openResources());
     }
 
-    /** The limit on the sum is reached by whoever sends next, which may be a client with one request that waits. */
+    /**
+     * The limit on the total buffered input affects the client that sends next, which may be one with a single waiting
+     * request.
+     */
     @Test
-    void aWaitingRequestIsAnsweredThoughOthersUseUpTheLimit() throws JsonException {
+    void aWaitingRequestIsAnsweredEvenIfOtherClientsUseUpTheInputLimit() throws JsonException {
         PlatformGatewayHarness harness = withAttemptInFlight("");
         String large =
                 "PUT /write/a HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: %016x\r\nTier: gold\r\nX-Time-Left: 0.480\r\nIO-Info: "
                         + PlatformGatewayHarness.METADATA + "\r\nContent-Length: 60000\r\n\r\n" + "x".repeat(60_000);
-        for (long conn = 2; conn < 60; conn++) {
-            harness.accept(conn).receive(conn, request(String.format(Locale.ROOT, "%016x", conn), ""));
-            harness.receive(conn, String.format(Locale.ROOT, large, 1000 + conn).repeat(4));
+        for (long connection = 2; connection < 60; connection++) {
+            harness.accept(connection)
+                    .receive(connection, request(String.format(Locale.ROOT, "%016x", connection), ""));
+            harness.receive(
+                    connection,
+                    String.format(Locale.ROOT, large, 1000 + connection).repeat(4));
         }
         harness.receive(1, request("00000000000000aa", ""));
         harness.receive(harness.lastOpenedConnection, response("result", ""));
@@ -184,9 +195,9 @@
                 "two requests, two responses: " + harness.writtenTo(1));
     }
 
-    /** Malformed input behind requests that are only counted is answered after them, and ends the connection. */
+    /** Malformed input after counted requests is answered after them; then the connection is closed. */
     @Test
-    void malformedInputBehindCountedRequestsIsAnsweredLast() throws JsonException {
+    void malformedInputAfterCountedRequestsIsAnsweredLast() throws JsonException {
         PlatformGatewayHarness harness = withAttemptInFlight("");
         harness.receive(1, request("00000000000000aa", "").repeat(2_000))
                 .receive(1, "no request\r\n\r\n")
@@ -198,11 +209,11 @@
     }
 
     /**
-     * A client that stops within a request behind one in progress gets its error by 3 s after it stopped, not after the other's
-     * response.
+     * A client that stops sending within a request gets the error no later than 3 s after that, even if the request
+     * waits behind one in progress; the time does not count from the response to that one.
      */
     @Test
-    void aPartialRequestBehindAnotherTimesOutFromItsOwnBytes() throws JsonException {
+    void theTimeoutOfAPipelinedPartialRequestCountsFromItsOwnBytes() throws JsonException {
         PlatformGatewayHarness harness = withAttemptInFlight("");
         harness.receive(1, "GET /read HTT")
                 .advance(400_000)
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayDiscoveryTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayDiscoveryTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The list of endpoints: watch, versions, start times and a change of address. */
+/** The endpoint list: the watch, versions, start times and a change of the address of discovery. */
 class PlatformGatewayDiscoveryTest {
     @Test
-    void aCachedListMakesItReadyWithoutDiscovery() throws JsonException {
+    void aCachedListMakesTheGatewayReadyWithoutDiscovery() throws JsonException {
         String readinessCheck = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
-        PlatformGatewayHarness harness =
-                new PlatformGatewayHarness(e -> e instanceof EndpointUpdate n && n.kind() == EndpointUpdateKind.CACHED
+        PlatformGatewayHarness harness = new PlatformGatewayHarness(
+                e -> e instanceof EndpointUpdate update && update.kind() == EndpointUpdateKind.CACHED
                         ? List.of(new SubscribeEndpoints(true))
                         : List.of());
         harness.deliver(new NetEvent.Closed(harness.lastOpenedConnection, false, "refused"))
@@ -34,13 +34,13 @@
     }
 
     @Test
-    void theWatchReportsChangesAndItsEnd() throws JsonException {
+    void theWatchReportsChangesAndItsTimeout() throws JsonException {
         PlatformGatewayHarness harness = watching();
         assertEquals("127.0.0.1:8500", harness.dialedAddresses.get(0));
         assertTrue(
                 harness.writtenTo(harness.lastOpenedConnection)
                         .startsWith("GET /registry/instances?watch=1 HTTP/1.1\r\n"),
-                "the first list is complete");
+                "the watch requests a complete list");
         assertEquals(EndpointUpdateKind.SNAPSHOT, lastUpdateKind(harness));
         harness.receive(
                 harness.lastOpenedConnection,
@@ -51,11 +51,11 @@
                 .advance(2_600_000);
         assertEquals(EndpointUpdateKind.DELTA, lastUpdateKind(harness), "an empty line keeps the watch alive");
         harness.advance(600_000);
-        assertEquals(EndpointUpdateKind.UNAVAILABLE, lastUpdateKind(harness), "silence ends it");
+        assertEquals(EndpointUpdateKind.UNAVAILABLE, lastUpdateKind(harness), "a watch without data times out");
         assertTrue(harness.closed.contains(harness.lastOpenedConnection));
     }
 
-    /** An old list would bring back endpoints that are gone; one that is sent again after that is accepted. */
+    /** An older list would restore removed endpoints; if the next watch delivers it again, it is accepted. */
     @Test
     void anOlderVersionEndsTheWatch() throws JsonException {
         PlatformGatewayHarness harness = watching();
@@ -67,9 +67,9 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "garbage\r\n", "closed"})
-    void aFailedCallIsReported(String response) throws JsonException {
-        PlatformGatewayHarness harness =
-                new PlatformGatewayHarness(e -> e instanceof EndpointUpdate n && n.kind() == EndpointUpdateKind.CACHED
+    void aFailedWatchIsReported(String response) throws JsonException {
+        PlatformGatewayHarness harness = new PlatformGatewayHarness(
+                e -> e instanceof EndpointUpdate update && update.kind() == EndpointUpdateKind.CACHED
                         ? List.of(new SubscribeEndpoints(true))
                         : List.of());
         harness.deliver(new NetEvent.Connected(harness.lastOpenedConnection));
@@ -81,7 +81,7 @@
         assertEquals(EndpointUpdateKind.UNAVAILABLE, lastUpdateKind(harness));
     }
 
-    /** The largest fleet, its list indented and its names long. */
+    /** The list of the largest fleet, indented and with long names. */
     @Test
     void aListOfTheLargestFleetIsAccepted() throws JsonException {
         PlatformGatewayHarness harness = watching();
@@ -102,24 +102,27 @@
                         .size());
     }
 
-    /** The wall clock was stepped forward by an hour on all machines: what starts after it has started now, and ages. */
+    /**
+     * After the wall clock was stepped forward by an hour on all machines, new start times lie in the future. Such an
+     * endpoint counts as started when it is first reported, and ages from then on.
+     */
     @Test
     void aStartTimeInTheFutureCountsAsNow() throws JsonException {
         PlatformGatewayHarness harness = watching();
-        long first = harness.now;
+        long firstReportedAt = harness.now;
         reportStart(harness, "s-2", harness.now + 3_600_000_000L);
-        assertEquals(first, startedAt(harness, "s-2"));
+        assertEquals(firstReportedAt, startedAt(harness, "s-2"));
         harness.now += 5_000_000;
-        reportStart(harness, "s-2", first + 3_600_000_000L);
-        assertEquals(first, startedAt(harness, "s-2"), "reported again it is no new start");
+        reportStart(harness, "s-2", firstReportedAt + 3_600_000_000L);
+        assertEquals(firstReportedAt, startedAt(harness, "s-2"), "the same start reported again is not a new one");
     }
 
     /**
-     * The wall clock was stepped back, or this process started with one that was ahead: a new start is no older than the last
-     * confirmed list.
+     * A new start time is too early if the wall clock was stepped back, or was ahead when this process started. It
+     * counts as no earlier than the last confirmation of the list, less the time that discovery may take to report it.
      */
     @Test
-    void aNewStartIsNoOlderThanTheLastConfirmation() throws JsonException {
+    void aNewStartIsNoEarlierThanTheLastConfirmationLessTheReportDelay() throws JsonException {
         PlatformGatewayHarness harness = watching();
         harness.now += 1_500_000;
         harness.receive(harness.lastOpenedConnection, chunk(""));
@@ -130,16 +133,16 @@
                 startedAt(harness, "s-2") >= confirmedAt - 2_000_000,
                 (harness.now - startedAt(harness, "s-2")) + " us old");
         reportStart(harness, "s-1", 0);
-        assertEquals(0, startedAt(harness, "s-1"), "one that was listed before has not started");
+        assertEquals(0, startedAt(harness, "s-1"), "an endpoint that was listed before is not a new start");
     }
 
-    /** An endpoint that left the list and returns without a new start is as old as before. */
+    /** An endpoint that is removed and listed again with the same reported start keeps its estimated start. */
     @Test
     void anEndpointThatReturnsKeepsItsStartTime() throws JsonException {
         PlatformGatewayHarness harness = watching();
-        long born = harness.now - 500_000;
-        reportStart(harness, "s-2", born);
-        long started = startedAt(harness, "s-2");
+        long reportedStart = harness.now - 500_000;
+        reportStart(harness, "s-2", reportedStart);
+        long estimatedStart = startedAt(harness, "s-2");
         harness.receive(
                 harness.lastOpenedConnection,
                 chunk("{\"seq\":" + harness.now + ",\"whole\":false,\"hosts\":["
@@ -148,13 +151,13 @@
         harness.receive(harness.lastOpenedConnection, chunk(""));
         harness.now += 2_000_000;
         harness.receive(harness.lastOpenedConnection, chunk(""));
-        reportStart(harness, "s-2", born);
-        assertEquals(started, startedAt(harness, "s-2"));
+        reportStart(harness, "s-2", reportedStart);
+        assertEquals(estimatedStart, startedAt(harness, "s-2"));
     }
 
     /**
-     * Discovery at a new address may number its versions differently: asked for changes after a version that it never had, it
-     * would report none.
+     * Discovery at a new address may number its versions differently. If it were asked for the changes since a version
+     * that it never had, it would report none.
      */
     @Test
     void aLowerVersionIsAcceptedAfterAChangeOfAddress() throws JsonException {
@@ -184,23 +187,26 @@
         assertTrue(
                 harness.writtenTo(harness.lastOpenedConnection).startsWith("GET /registry/instances?watch=1 "),
                 harness.writtenTo(harness.lastOpenedConnection));
-        assertEquals(EndpointUpdateKind.SNAPSHOT, lastUpdateKind(harness), "the scheduler is not notified of a break");
+        assertEquals(
+                EndpointUpdateKind.SNAPSHOT,
+                lastUpdateKind(harness),
+                "the scheduler is not notified of an interruption");
     }
 
     /**
-     * A backoff was meant for the old address: the new one is called at once, and the scheduler's next request opens no second
-     * call.
+     * A backoff applies to the old address only: the new one is called at once, and the next request of the scheduler
+     * does not start a second call.
      */
     @Test
     void aNewAddressIsCalledDuringABackoff() throws JsonException {
         PlatformGatewayHarness harness = watching();
         harness.deliver(new NetEvent.Closed(harness.lastOpenedConnection, true, "reset"));
-        assertEquals(1, harness.dialedAddresses.size(), "the scheduler waits");
+        assertEquals(1, harness.dialedAddresses.size(), "the scheduler backs off");
         changeDiscoveryAddress(harness);
         assertEquals(List.of("127.0.0.1:8500", "127.0.0.1:8501"), harness.dialedAddresses);
     }
 
-    /** The start time of an endpoint of which the scheduler was last notified. */
+    /** The start time of an endpoint in the last update passed to the scheduler. */
     private static long startedAt(PlatformGatewayHarness harness, String endpoint) {
         return harness.notified(EndpointUpdate.class).stream()
                 .flatMap(update -> update.entries().stream())
@@ -219,8 +225,8 @@
     }
 
     private static void changeDiscoveryAddress(PlatformGatewayHarness harness) throws JsonException {
-        String moved = config(512).replace("127.0.0.1:8500", "127.0.0.1:8501");
-        harness.deliver(new NetEvent.CommandReceived(new PlatformGateway.Reconfigure(settings(moved))));
+        String newConfig = config(512).replace("127.0.0.1:8500", "127.0.0.1:8501");
+        harness.deliver(new NetEvent.CommandReceived(new PlatformGateway.Reconfigure(settings(newConfig))));
     }
 
     private static EndpointUpdateKind lastUpdateKind(PlatformGatewayHarness harness) {
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayHarness.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayHarness.java
@@ -25,9 +25,12 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** A gateway on the platform without sockets: time and bytes are set by hand. The scheduler is scripted, or the real one. */
+/**
+ * Runs a {@link PlatformGateway} without sockets, on a simulated clock and simulated connections. The scheduler is
+ * scripted or the real one.
+ */
 final class PlatformGatewayHarness {
-    /** A request's correlation id. */
+    /** The correlation id of most test requests. */
     static final String REQUEST_ID = "9b1f03aa5c7e2d41";
 
     static final String METADATA = "volume=00000003b4d60021,units=2,shard=0,hosts=3";
@@ -47,13 +50,13 @@
             """;
 
     final PlatformGateway gateway;
-    /** Events that the scheduler was notified of. */
+    /** All events passed to the scheduler. */
     final List<SchedulerEvent> schedulerEvents = new ArrayList<>();
 
     final List<String> dialedAddresses = new ArrayList<>();
     final Map<Long, StringBuilder> written = new HashMap<>();
     final Set<Long> closed = new LinkedHashSet<>();
-    /** Connections whose peers read nothing, so that what is written to them does not drain. */
+    /** Connections whose peers read nothing, so that the bytes written to them do not drain. */
     final Set<Long> stalledPeers = new LinkedHashSet<>();
 
     boolean listening;
@@ -62,7 +65,7 @@
     long lastOpenedConnection;
     private final List<NetEvent> pendingEvents = new ArrayList<>();
 
-    /** With a scheduler that answers each event by a script. */
+    /** Uses a scheduler that responds to each event with the actions that the script returns for it. */
     PlatformGatewayHarness(Function<SchedulerEvent, List<SchedulerAction>> script) throws JsonException {
         this(512, scripted(script));
     }
@@ -73,7 +76,7 @@
             schedulerEvents.addAll(events);
             return scheduler.decide(time, events);
         });
-        turn();
+        runTurn();
     }
 
     // ---------------------------------------------------------------- schedulers
@@ -83,14 +86,14 @@
                 events.stream().flatMap(e -> script.apply(e).stream()).toList();
     }
 
-    /** Script: sends every request to the one upstream. */
+    /** A script that sends every request to the only upstream, {@code s-1}. */
     static List<SchedulerAction> sendToUpstream(SchedulerEvent event) {
         return event instanceof RequestReceived request ? List.of(new SendAttempt(request.id(), "s-1", 0)) : List.of();
     }
 
-    // ---------------------------------------------------------------- states to start from
+    // ---------------------------------------------------------------- initial states
 
-    /** A gateway with a request of client 1 in flight to the one upstream, whose connection is established. */
+    /** A gateway with a request of client 1 in flight to the only upstream, whose connection is established. */
     static PlatformGatewayHarness withAttemptInFlight(String extraFields) throws JsonException {
         PlatformGatewayHarness harness = new PlatformGatewayHarness(PlatformGatewayHarness::sendToUpstream)
                 .accept(1)
@@ -98,7 +101,7 @@
         return harness.deliver(new NetEvent.Connected(harness.lastOpenedConnection));
     }
 
-    /** A gateway whose watch has reported a list with the one upstream. */
+    /** A gateway that has received a list with the only upstream on its watch. */
     static PlatformGatewayHarness watching() throws JsonException {
         PlatformGatewayHarness harness = new PlatformGatewayHarness(
                 e -> e instanceof EndpointUpdate update && update.kind() == EndpointUpdateKind.CACHED
@@ -111,7 +114,7 @@
                         chunk("{\"seq\":9,\"whole\":true,\"hosts\":[" + endpointJson("s-1", 2001, "up", 0) + "]}"));
     }
 
-    // ---------------------------------------------------------------- texts
+    // ---------------------------------------------------------------- configuration and messages
 
     /** A configuration without known endpoints. */
     static String config(int sockets) {
@@ -122,10 +125,10 @@
         return PlatformSettings.read(config.getBytes(StandardCharsets.UTF_8));
     }
 
-    static String endpointJson(String name, int port, String health, long born) {
+    static String endpointJson(String name, int port, String health, long bornMillis) {
         return "{\"host\":\"" + name + "\",\"dial\":\"127.0.0.1:" + port
                 + "\",\"site\":\"a\",\"class\":\"c\",\"block\":0,\"health\":\"" + health
-                + "\",\"share\":1.0,\"born_ms\":" + born + "}";
+                + "\",\"share\":1.0,\"born_ms\":" + bornMillis + "}";
     }
 
     static String request(String id, String extraFields) {
@@ -138,15 +141,15 @@
         return "HTTP/1.1 200 OK\r\n" + extraFields + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A line as a chunk of a chunked body. */
+    /** A line, with its line feed, as one chunk of a chunked body. */
     static String chunk(String line) {
         return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
     }
 
-    // ---------------------------------------------------------------- turns
+    // ---------------------------------------------------------------- events and time
 
-    /** Gives the gateway a turn with the events since the last one. */
-    PlatformGatewayHarness turn() {
+    /** Runs one turn of the event loop with the pending events. */
+    PlatformGatewayHarness runTurn() {
         List<NetEvent> events = List.copyOf(pendingEvents);
         pendingEvents.clear();
         List<NetAction> actions = new ArrayList<>();
@@ -155,7 +158,7 @@
             apply(action);
         }
         if (pendingEvents.stream().anyMatch(e -> e instanceof NetEvent.Drained)) {
-            turn();
+            runTurn();
         }
         return this;
     }
@@ -163,7 +166,7 @@
     private void apply(NetAction action) {
         if (action instanceof NetAction.Write write) {
             int size = write.data().remaining();
-            written.computeIfAbsent(write.connectionId(), any -> new StringBuilder())
+            written.computeIfAbsent(write.connectionId(), id -> new StringBuilder())
                     .append(StandardCharsets.ISO_8859_1.decode(write.data()));
             if (!stalledPeers.contains(write.connectionId())) {
                 pendingEvents.add(new NetEvent.Drained(write.connectionId(), size));
@@ -186,29 +189,32 @@
 
     PlatformGatewayHarness deliver(NetEvent... events) {
         pendingEvents.addAll(List.of(events));
-        return turn();
+        return runTurn();
     }
 
-    PlatformGatewayHarness accept(long conn) {
-        return deliver(new NetEvent.Accepted(conn, PlatformGateway.CLIENT_LISTENER, "peer"));
+    PlatformGatewayHarness accept(long connection) {
+        return deliver(new NetEvent.Accepted(connection, PlatformGateway.CLIENT_LISTENER, "peer"));
     }
 
-    PlatformGatewayHarness receive(long conn, String text) {
-        return deliver(new NetEvent.Received(conn, ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1))));
+    PlatformGatewayHarness receive(long connection, String text) {
+        return deliver(new NetEvent.Received(connection, ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1))));
     }
 
-    /** Advances the clock, with the turns that the gateway asks for. */
+    /** Advances the clock and runs a turn at each deadline of the gateway on the way, and one at the end. */
     PlatformGatewayHarness advance(long micros) {
         long end = now + micros;
         while (gateway.nextDeadline() <= end) {
             now = Math.max(now, gateway.nextDeadline());
-            turn();
+            runTurn();
         }
         now = end;
-        return turn();
+        return runTurn();
     }
 
-    /** Advances the clock until discovery is called: gateways that start together spread their first calls. */
+    /**
+     * Advances the clock until discovery is called. The first call may be delayed at random, so that gateways that
+     * start together do not all call at once.
+     */
     PlatformGatewayHarness advanceUntilDiscoveryCall() {
         for (int i = 0; dialedAddresses.isEmpty() && i < 1_000; i++) {
             advance(10_000);
@@ -216,20 +222,20 @@
         return this;
     }
 
-    /** All that was written to a connection. */
-    String writtenTo(long conn) {
-        return written.getOrDefault(conn, new StringBuilder()).toString();
+    /** All bytes written to a connection, as text. */
+    String writtenTo(long connection) {
+        return written.getOrDefault(connection, new StringBuilder()).toString();
     }
 
-    /** Events of a type that the scheduler was notified of. */
+    /** The events of a type that were passed to the scheduler. */
     <T extends SchedulerEvent> List<T> notified(Class<T> type) {
         return schedulerEvents.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** The outcome of the one attempt that has ended. */
+    /** The outcome of the only completed attempt. */
     Outcome onlyOutcome() {
         List<AttemptCompleted> completed = notified(AttemptCompleted.class);
-        assertEquals(1, completed.size(), "an attempt ends once");
+        assertEquals(1, completed.size(), "number of completed attempts");
         return completed.get(0).outcome();
     }
 }
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayLifecycleTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayLifecycleTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Shutdown, and a long life. */
+/** Shutdown, and the use of resources over a long run. */
 class PlatformGatewayLifecycleTest {
     @Test
     void shutdownFinishesActiveRequests() throws JsonException {
@@ -37,9 +37,9 @@
                 harness.writtenTo(3));
     }
 
-    /** Clients and connections are always new, upstreams are replaced all day under new names: nothing may grow. */
+    /** Connections are always new and upstreams are continually replaced under new names: no table may grow. */
     @Test
-    void nothingGrowsOverALongLife() throws JsonException {
+    void resourceUseDoesNotGrowOverALongRun() throws JsonException {
         PlatformSettings settings = settings(config(512));
         PlatformGatewayHarness harness = new PlatformGatewayHarness(
                         512, new FairQueueScheduler(settings.scheduling(), 1))
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayRequestsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayRequestsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests: what is forwarded, what is rejected, deadlines and disconnecting clients. */
+/** Requests: forwarding, rejection, deadlines and clients that disconnect. */
 class PlatformGatewayRequestsTest {
     @Test
     void aRequestAndItsResponseAreForwarded() throws JsonException {
@@ -55,7 +55,8 @@
     }
 
     /**
-     * A field that the gateway does not know may matter to the upstream; those of the client's connection are not forwarded.
+     * A header field unknown to the gateway may matter to the upstream and is forwarded. Hop-by-hop fields concern the
+     * client's connection only and are not forwarded.
      */
     @Test
     void allButHopByHopFieldsAreForwarded() throws JsonException {
@@ -69,8 +70,8 @@
         assertFalse(
                 forwarded.contains("X-Hop") || forwarded.contains("Connection") || forwarded.contains("TE:"),
                 forwarded);
-        for (String once : List.of("Host: ", "X-Time-Left: ", "Content-Length: ", "X-Correlation-Id: ")) {
-            assertEquals(2, forwarded.split("\r\n" + once, -1).length, once);
+        for (String uniqueField : List.of("Host: ", "X-Time-Left: ", "Content-Length: ", "X-Correlation-Id: ")) {
+            assertEquals(2, forwarded.split("\r\n" + uniqueField, -1).length, uniqueField);
         }
     }
 
@@ -118,22 +119,25 @@
         assertEquals(0, harness.gateway.openResources().requests());
     }
 
-    /** The id of another's active request: forwarding it would be a duplicate. */
+    /** A request with the id of another client's active request is rejected: forwarded, it would be a duplicate. */
     @Test
-    void aCorrelationIdIsInUseOnce() throws JsonException {
+    void aCorrelationIdInUseIsRejected() throws JsonException {
         PlatformGatewayHarness harness =
                 withAttemptInFlight("").accept(2).receive(2, request(REQUEST_ID.toUpperCase(Locale.ROOT), ""));
         assertTrue(harness.writtenTo(2).startsWith("HTTP/1.1 409 "), harness.writtenTo(2));
         harness.deliver(new NetEvent.Closed(1, true, "left"));
         assertEquals(1, harness.notified(RequestCancelled.class).size());
         harness.receive(2, request(REQUEST_ID, ""));
-        assertEquals(2, harness.writtenTo(2).split("409", -1).length - 1, "its attempt is still in flight");
+        assertEquals(
+                2,
+                harness.writtenTo(2).split("409", -1).length - 1,
+                "the attempt of the disconnected client is still in flight");
         harness.receive(harness.lastOpenedConnection, response("result", "")).receive(2, request(REQUEST_ID, ""));
         assertEquals(2, harness.notified(RequestReceived.class).size());
     }
 
     @Test
-    void nothingRemainsOfADisconnectedClient() throws JsonException {
+    void aDisconnectedClientLeavesNoOpenResources() throws JsonException {
         PlatformGatewayHarness harness = withAttemptInFlight("");
         harness.deliver(new NetEvent.Closed(1, true, "left")).advance(500_000);
         assertEquals(Outcome.TIMEOUT, harness.onlyOutcome());
@@ -141,18 +145,20 @@
         assertEquals(new PlatformGateway.OpenResources(0, 0, 0, 0), harness.gateway.openResources());
     }
 
-    /** After a turn that comes late, as of a paused process, the scheduler still gives the answer itself. */
+    /** If a turn runs late, as after a pause of the process, the scheduler still answers the overdue request itself. */
     @Test
-    void aLateTurnIsNoDefectOfTheScheduler() throws JsonException {
+    void aRequestOverdueAtALateTurnIsNotASchedulerDefect() throws JsonException {
         PlatformSettings settings = settings(config(512));
         PlatformGatewayHarness harness = new PlatformGatewayHarness(
                         512, new FairQueueScheduler(settings.scheduling(), 1))
                 .accept(1)
                 .receive(1, request(REQUEST_ID, ""));
         harness.deliver(new NetEvent.Connected(harness.lastOpenedConnection));
-        harness.now += 600_000; // the request's time ended 120 ms ago
-        harness.turn();
-        assertTrue(harness.writtenTo(1).startsWith("HTTP/1.1 502 "), "it may have run: " + harness.writtenTo(1));
+        harness.now += 600_000; // the request's deadline passed 120 ms ago
+        harness.runTurn();
+        assertTrue(
+                harness.writtenTo(1).startsWith("HTTP/1.1 502 "),
+                "the request may have been executed: " + harness.writtenTo(1));
         assertEquals(
                 0,
                 harness.gateway.counters().violations(),
@@ -160,9 +166,10 @@
     }
 
     @Test
-    void aRejectionStatesRetryAfter() throws JsonException {
-        PlatformGatewayHarness harness = new PlatformGatewayHarness(
-                e -> e instanceof RequestReceived a ? List.of(new RejectRequest(a.id(), 1_500_000)) : List.of());
+    void aRejectionCarriesRetryAfter() throws JsonException {
+        PlatformGatewayHarness harness = new PlatformGatewayHarness(e -> e instanceof RequestReceived received
+                ? List.of(new RejectRequest(received.id(), 1_500_000))
+                : List.of());
         harness.accept(1).receive(1, request(REQUEST_ID, ""));
         assertTrue(
                 harness.writtenTo(1).startsWith("HTTP/1.1 503 ")
@@ -170,9 +177,9 @@
                 harness.writtenTo(1));
     }
 
-    /** A scheduler that never answers is a defect; the client still gets one response, and nothing remains. */
+    /** A scheduler that never answers is defective; the client still gets one response, and the request is removed. */
     @Test
-    void aRequestThatTheSchedulerForgetsIsFailed() throws JsonException {
+    void aRequestThatTheSchedulerNeverAnswersIsFailed() throws JsonException {
         PlatformGatewayHarness harness =
                 new PlatformGatewayHarness(e -> List.of()).accept(1).receive(1, request(REQUEST_ID, ""));
         harness.advance(600_000);
@@ -180,7 +187,7 @@
         assertEquals(0, harness.gateway.openResources().requests());
     }
 
-    /** A request waited in the socket while the process had no CPU: its client's time forwarded meanwhile. */
+    /** A request waited in the socket while the process had no CPU: its client's time limit was running meanwhile. */
     @Test
     void aPauseOfTheProcessCountsAgainstTheDeadline() throws JsonException {
         PlatformGatewayHarness harness = new PlatformGatewayHarness(PlatformGatewayHarness::sendToUpstream).accept(1);
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayUpstreamTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayUpstreamTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Attempts and their responses, and connections to upstreams. */
+/** Attempts, their responses, and connections to upstreams. */
 class PlatformGatewayUpstreamTest {
     @ParameterizedTest
     @CsvSource({
@@ -33,7 +33,8 @@
         "500 x,A: b,ERROR",
         "400 x,A: b,ERROR"
     })
-    void aStatusMapsToOneOutcome(String status, String field, Outcome expected) throws JsonException {
+    void theStatusAndTheUnprocessedFieldDetermineTheOutcome(String status, String field, Outcome expected)
+            throws JsonException {
         PlatformGatewayHarness harness = withAttemptInFlight("");
         harness.receive(
                 harness.lastOpenedConnection, "HTTP/1.1 " + status + "\r\n" + field + "\r\nContent-Length: 0\r\n\r\n");
@@ -41,39 +42,41 @@
     }
 
     @Test
-    void aBrokenConnectionMayHaveRunOnlyAfterTheLastByte() throws JsonException {
+    void aRequestOnABrokenConnectionMayHaveBeenExecutedOnlyIfItsLastByteWasSent() throws JsonException {
         PlatformGatewayHarness refused = new PlatformGatewayHarness(PlatformGatewayHarness::sendToUpstream)
                 .accept(1)
                 .receive(1, request(REQUEST_ID, ""));
         refused.deliver(new NetEvent.Closed(refused.lastOpenedConnection, false, "refused"));
         assertEquals(Outcome.CONNECT_FAILED, refused.onlyOutcome());
-        PlatformGatewayHarness unwritten = new PlatformGatewayHarness(PlatformGatewayHarness::sendToUpstream)
+        PlatformGatewayHarness partlyWritten = new PlatformGatewayHarness(PlatformGatewayHarness::sendToUpstream)
                 .accept(1)
                 .receive(1, request(REQUEST_ID, ""));
-        unwritten.stalledPeers.add(unwritten.lastOpenedConnection);
-        unwritten.deliver(new NetEvent.Connected(unwritten.lastOpenedConnection));
-        unwritten.deliver(
-                new NetEvent.Drained(unwritten.lastOpenedConnection, 20),
-                new NetEvent.Closed(unwritten.lastOpenedConnection, true, "reset"));
-        assertEquals(Outcome.CONNECT_FAILED, unwritten.onlyOutcome());
-        PlatformGatewayHarness written = withAttemptInFlight("");
-        written.deliver(new NetEvent.Closed(written.lastOpenedConnection, true, "reset"));
-        assertEquals(Outcome.RESET, written.onlyOutcome());
-        PlatformGatewayHarness silent = new PlatformGatewayHarness(PlatformGatewayHarness::sendToUpstream)
+        partlyWritten.stalledPeers.add(partlyWritten.lastOpenedConnection);
+        partlyWritten.deliver(new NetEvent.Connected(partlyWritten.lastOpenedConnection));
+        partlyWritten.deliver(
+                new NetEvent.Drained(partlyWritten.lastOpenedConnection, 20),
+                new NetEvent.Closed(partlyWritten.lastOpenedConnection, true, "reset"));
+        assertEquals(Outcome.CONNECT_FAILED, partlyWritten.onlyOutcome());
+        PlatformGatewayHarness fullyWritten = withAttemptInFlight("");
+        fullyWritten.deliver(new NetEvent.Closed(fullyWritten.lastOpenedConnection, true, "reset"));
+        assertEquals(Outcome.RESET, fullyWritten.onlyOutcome());
+        PlatformGatewayHarness notConnected = new PlatformGatewayHarness(PlatformGatewayHarness::sendToUpstream)
                 .accept(1)
                 .receive(1, request(REQUEST_ID, ""));
-        silent.advance(300_000);
-        assertEquals(Outcome.CONNECT_FAILED, silent.onlyOutcome());
-        assertTrue(silent.closed.contains(silent.lastOpenedConnection));
+        notConnected.advance(300_000);
+        assertEquals(Outcome.CONNECT_FAILED, notConnected.onlyOutcome());
+        assertTrue(notConnected.closed.contains(notConnected.lastOpenedConnection));
     }
 
     /**
-     * The window of a request with a key ends while the connection is opened: nothing is sent, so it is known not to have run.
+     * The start deadline of a request with a key passes while its connection is being established: nothing is sent, so
+     * the request is known not to have been executed.
      */
     @Test
     void noAttemptStartsAfterItsStartDeadline() throws JsonException {
-        PlatformGatewayHarness harness = new PlatformGatewayHarness(
-                e -> e instanceof RequestReceived a ? List.of(new SendAttempt(a.id(), "s-1", 0, 100_000)) : List.of());
+        PlatformGatewayHarness harness = new PlatformGatewayHarness(e -> e instanceof RequestReceived received
+                ? List.of(new SendAttempt(received.id(), "s-1", 0, 100_000))
+                : List.of());
         harness.accept(1).receive(1, request(REQUEST_ID, "")).advance(99_000);
         assertEquals(0, harness.notified(AttemptCompleted.class).size());
         harness.advance(1_000).deliver(new NetEvent.Connected(harness.lastOpenedConnection));
@@ -81,9 +84,9 @@
         assertEquals("", harness.writtenTo(harness.lastOpenedConnection));
     }
 
-    /** A vanished upstream sends nothing; the attempt ends with the client's time, and so does its connection. */
+    /** A vanished upstream sends nothing: at the client's deadline the attempt fails, and its connection is closed. */
     @Test
-    void aSilentUpstreamTimesOutWithTheClientsTime() throws JsonException {
+    void anAttemptOnASilentUpstreamTimesOutAtTheClientsDeadline() throws JsonException {
         PlatformGatewayHarness harness = withAttemptInFlight("");
         harness.advance(479_000);
         assertEquals(0, harness.notified(AttemptCompleted.class).size());
@@ -100,24 +103,24 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
                 "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
             })
-    void aMalformedResponseMayHaveRunAndIsNotServed(String response) throws JsonException {
+    void aMalformedResponseIsAnErrorAndIsNotForwarded(String response) throws JsonException {
         PlatformGatewayHarness harness = withAttemptInFlight("");
         harness.receive(harness.lastOpenedConnection, response.equals("noise") ? "\0\1\2" : response);
         assertEquals(Outcome.ERROR, harness.onlyOutcome());
         assertEquals("", harness.writtenTo(1));
     }
 
-    /** It is complete when the upstream closes the connection in order; after a reset it is not, and may have run. */
+    /** An orderly close by the upstream completes the response. After a reset, the request may have been executed. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aResponseWithoutALengthEndsWithItsConnection(boolean inOrder) throws JsonException {
+    void aResponseWithoutALengthIsCompletedByAnOrderlyClose(boolean orderly) throws JsonException {
         PlatformGatewayHarness harness = withAttemptInFlight("");
         harness.receive(harness.lastOpenedConnection, "HTTP/1.1 200 OK\r\n\r\nre")
                 .receive(harness.lastOpenedConnection, "sult");
         assertEquals(0, harness.notified(AttemptCompleted.class).size());
-        harness.deliver(new NetEvent.Closed(harness.lastOpenedConnection, true, inOrder, "closed"));
-        assertEquals(inOrder ? Outcome.OK : Outcome.RESET, harness.onlyOutcome());
-        assertEquals(inOrder, harness.writtenTo(1).endsWith("result"), harness.writtenTo(1));
+        harness.deliver(new NetEvent.Closed(harness.lastOpenedConnection, true, orderly, "closed"));
+        assertEquals(orderly ? Outcome.OK : Outcome.RESET, harness.onlyOutcome());
+        assertEquals(orderly, harness.writtenTo(1).endsWith("result"), harness.writtenTo(1));
     }
 
     @ParameterizedTest
@@ -138,8 +141,8 @@
     }
 
     /**
-     * The platform's page says that bodies have at most 64 KiB; its upstreams answered reads with 400. Guards against taking good
-     * responses for malformed: a quarter of the reads of a day was failed for it.
+     * The platform's documentation limits bodies to 64 KiB, but its upstreams answered reads with 400 KiB. Guards
+     * against classifying such responses as malformed, which once failed a quarter of the reads in a scenario.
      */
     @Test
     void largeResponsesAreForwarded() throws JsonException {
@@ -156,7 +159,8 @@
     }
 
     /**
-     * Responses being received are held up to a limit; beyond it the last counts as malformed, the others are unaffected.
+     * Responses being received are buffered up to a limit. The response that exceeds it counts as malformed; the others
+     * are unaffected.
      */
     @Test
     void responsesBeingReceivedAreLimited() throws JsonException {
@@ -176,30 +180,31 @@
     }
 
     /**
-     * A second copy of a response looks like the response to the next request. Guards against giving one client's response to
-     * another: the connection is not reused where bytes follow at once, nor while some may follow.
+     * A duplicate of a response looks like the response to the next request. Guards against forwarding one client's
+     * response to another: a connection is closed if bytes follow a response, and is not reused while a duplicate may
+     * still arrive.
      */
     @Test
-    void bytesBehindAResponseEndTheConnection() throws JsonException {
+    void bytesAfterAResponseCloseTheConnection() throws JsonException {
         PlatformGatewayHarness harness = withAttemptInFlight("");
-        long conn = harness.lastOpenedConnection;
-        harness.receive(conn, response("result", "") + response("result", ""));
-        assertTrue(harness.closed.contains(conn));
-        PlatformGatewayHarness later = withAttemptInFlight("");
-        long first = later.lastOpenedConnection;
-        later.receive(first, response("result", "")).receive(1, request("00000000000000aa", ""));
-        assertTrue(later.lastOpenedConnection != first, "the next request is not sent right behind a response");
-        later.receive(first, response("result", ""));
-        assertTrue(later.closed.contains(first));
-        assertEquals(1, later.writtenTo(1).split("HTTP/1.1 200", -1).length - 1);
-        PlatformGatewayHarness rested = withAttemptInFlight("");
-        rested.receive(rested.lastOpenedConnection, response("result", ""))
+        long connection = harness.lastOpenedConnection;
+        harness.receive(connection, response("result", "") + response("result", ""));
+        assertTrue(harness.closed.contains(connection));
+        PlatformGatewayHarness duplicateLater = withAttemptInFlight("");
+        long first = duplicateLater.lastOpenedConnection;
+        duplicateLater.receive(first, response("result", "")).receive(1, request("00000000000000aa", ""));
+        assertTrue(duplicateLater.lastOpenedConnection != first, "a connection is not reused right after a response");
+        duplicateLater.receive(first, response("result", ""));
+        assertTrue(duplicateLater.closed.contains(first));
+        assertEquals(1, duplicateLater.writtenTo(1).split("HTTP/1.1 200", -1).length - 1);
+        PlatformGatewayHarness reused = withAttemptInFlight("");
+        reused.receive(reused.lastOpenedConnection, response("result", ""))
                 .advance(10_000)
                 .receive(1, request("00000000000000aa", ""));
         assertEquals(
                 2,
-                rested.writtenTo(rested.lastOpenedConnection).split("PUT ", -1).length - 1,
-                "a connection is reused after its quiet period");
+                reused.writtenTo(reused.lastOpenedConnection).split("PUT ", -1).length - 1,
+                "a connection is reused after the reuse delay");
     }
 
     @Test
@@ -212,9 +217,9 @@
         assertEquals(0, harness.gateway.openResources().upstreamConnections());
     }
 
-    /** An upstream was replaced under its name: connections to the earlier one are of no use. */
+    /** If an upstream is replaced under the same name, connections to the previous process are useless. */
     @Test
-    void connectionsToAnUpstreamsEarlierIncarnationAreClosed() throws JsonException {
+    void connectionsToAPreviousIncarnationAreClosed() throws JsonException {
         PlatformGatewayHarness harness = watching();
         long watch = harness.lastOpenedConnection;
         harness.accept(1).receive(1, request(REQUEST_ID, ""));
--- a/core/src/test/java/garnetreel/core/platform/PlatformSettingsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformSettingsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Reading the platform's configuration. */
+/** Reading the configuration passed by the platform. */
 class PlatformSettingsTest {
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "{\"name\":\"n0\"}", "{\"listen\":7}"})
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void adapterAndChannelReadTheSameSettings() throws JsonException {
+    void schedulerSettingsEqualThoseReadBySettingsReader() throws JsonException {
         byte[] config = config(512).getBytes(StandardCharsets.UTF_8);
         Json json = Json.parse(config, 0, config.length, 1);
         assertEquals(
--- a/core/src/test/java/garnetreel/core/platform/RequestDecoderTest.java
+++ b/core/src/test/java/garnetreel/core/platform/RequestDecoderTest.java
@@ -14,23 +14,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The order of a request's checks, and the numbering of valid ones. */
+/** The order of the checks of a request, and the numbering of valid requests. */
 class RequestDecoderTest {
     private final RequestDecoder decoder =
             new RequestDecoder(settings(config(512)).scheduling());
 
     RequestDecoderTest() throws JsonException {}
 
-    private static HttpRequest request(String method, String path, String id, String plan) {
+    private static HttpRequest request(String method, String path, String id, String tier) {
         Fields fields = new Fields()
                 .add("X-Correlation-Id", id)
-                .add("Tier", plan)
+                .add("Tier", tier)
                 .add("X-Time-Left", "0.480")
                 .add("IO-Info", PlatformGatewayHarness.METADATA);
         return new HttpRequest(method, path, fields, new byte[0]);
     }
 
-    /** A request that is wrong in several things gets the status of the first check. */
+    /** A request with several errors gets the status of the first check that fails. */
     @ParameterizedTest
     @CsvSource({
         "POST,/erase/a,xyz,none,404",
@@ -39,11 +39,11 @@
         "PUT,/write/a,9B1F03AA5C7E2D41,none,409",
         "PUT,/write/a,9b1f03aa5c7e2d42,none,400"
     })
-    void theFirstFailedCheckDecidesTheStatus(String method, String path, String id, String plan, int status) {
-        HttpRequest request = request(method, path, id, plan);
-        InvalidRequestException e =
+    void theFirstFailedCheckDecidesTheStatus(String method, String path, String id, String tier, int status) {
+        HttpRequest request = request(method, path, id, tier);
+        InvalidRequestException thrown =
                 assertThrows(InvalidRequestException.class, () -> decoder.decode(request, 0, Set.of(REQUEST_ID)));
-        assertEquals(status, e.status(), e.getMessage());
+        assertEquals(status, thrown.status(), thrown.getMessage());
     }
 
     @Test
--- a/core/src/test/java/garnetreel/core/platform/ResponseClassifierTest.java
+++ b/core/src/test/java/garnetreel/core/platform/ResponseClassifierTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Outcome of an attempt by its response. */
+/** The outcome of an attempt as determined by its response. */
 class ResponseClassifierTest {
     @ParameterizedTest
     @CsvSource({
@@ -23,7 +23,7 @@
         "504, '', 1, NOT_STARTED",
         "504, '', '', ERROR",
     })
-    void onlyAResponseThatSaysSoWasNotExecuted(int status, String body, String unprocessed, Outcome outcome) {
+    void onlyAResponseMarkedUnprocessedMeansNotExecuted(int status, String body, String unprocessed, Outcome outcome) {
         Fields fields = new Fields();
         if (!unprocessed.isEmpty()) {
             fields.add("X-Unprocessed", unprocessed);
--- a/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTableTest.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTableTest.java
@@ -2,7 +2,7 @@
 
 import static garnetreel.core.platform.UpstreamTestData.address;
 import static garnetreel.core.platform.UpstreamTestData.changes;
-import static garnetreel.core.platform.UpstreamTestData.complete;
+import static garnetreel.core.platform.UpstreamTestData.completeList;
 import static garnetreel.core.platform.UpstreamTestData.entry;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which connection a request gets, and when connections are closed. */
+/** Which connection an attempt gets, and when connections are closed. */
 class UpstreamConnectionTableTest {
     private static final int MAX_CONNECTIONS = 2;
     private static final int MAX_BUFFERED_BYTES = 100;
@@ -34,11 +34,11 @@
     private UpstreamConnectionTable table;
 
     @BeforeEach
-    void threeEndpoints() throws JsonException {
+    void listThreeEndpoints() throws JsonException {
         ResourceBounds bounds = new ResourceBounds(8, MAX_CONNECTIONS, 8, MAX_BUFFERED_BYTES, 1_000);
         table = new UpstreamConnectionTable(
                 UpstreamTestData.settings(), bounds, new ConnectionIdAllocator(), endpoints);
-        endpoints.apply(complete(
+        endpoints.apply(completeList(
                 1,
                 entry("s-1", EndpointState.UP, 0),
                 entry("s-2", EndpointState.UP, 0),
@@ -46,7 +46,7 @@
         table.beginTurn(0, actions);
     }
 
-    private UpstreamConnection idle(String endpoint) {
+    private UpstreamConnection openIdle(String endpoint) {
         UpstreamConnection connection = table.acquire(endpoint);
         table.opened(connection);
         table.keepIdle(connection);
@@ -59,17 +59,17 @@
     }
 
     @Test
-    void aConnectionIsOpenedToWhereTheEndpointIs() {
+    void aConnectionIsOpenedToTheEndpointsAddress() {
         UpstreamConnection connection = table.acquire("s-1");
         assertEquals(List.of(new NetAction.Connect(connection.id, address("s-1"))), actions);
         assertSame(connection, table.get(connection.id));
         assertSame(connection, table.connecting().oldest());
-        assertNull(table.acquire("s-4"), "it is not listed");
+        assertNull(table.acquire("s-4"), "the endpoint is not listed");
         assertEquals(1, table.size());
     }
 
     @Test
-    void anUnassignedConnectionThatIsConnectingIsTaken() {
+    void anUnassignedConnectionBeingEstablishedIsUsed() {
         UpstreamConnection connection = table.acquire("s-1");
         assertSame(connection, table.acquire("s-1"));
         connection.assign(UpstreamTestData.attempt(1, 0, 100));
@@ -78,7 +78,7 @@
 
     @Test
     void anIdleConnectionIsReusedAfterTheDelay() {
-        UpstreamConnection connection = idle("s-1");
+        UpstreamConnection connection = openIdle("s-1");
         beginTurn(REUSE_DELAY - 1);
         UpstreamConnection second = table.acquire("s-1");
         assertNotSame(connection, second);
@@ -89,9 +89,9 @@
     }
 
     @Test
-    void atTheBoundTheOneIdleForLongestMakesRoom() {
-        UpstreamConnection first = idle("s-1");
-        UpstreamConnection second = idle("s-2");
+    void atTheConnectionLimitTheLongestIdleConnectionIsClosed() {
+        UpstreamConnection first = openIdle("s-1");
+        UpstreamConnection second = openIdle("s-2");
         actions.clear();
         UpstreamConnection third = table.acquire("s-3");
         assertEquals(
@@ -102,12 +102,12 @@
         assertNotNull(fourth);
         fourth.assign(UpstreamTestData.attempt(2, 0, 100));
         assertFalse(table.contains(second.id));
-        assertNull(table.acquire("s-1"), "none is idle");
+        assertNull(table.acquire("s-1"), "no connection is idle");
         assertEquals(MAX_CONNECTIONS, table.size());
     }
 
     @Test
-    void noConnectionIsKeptToAnEndpointThatDrains() {
+    void aConnectionToADrainingEndpointIsNotKept() {
         UpstreamConnection connection = table.acquire("s-1");
         table.opened(connection);
         assertEquals(Set.of("s-1"), endpoints.apply(changes(2, entry("s-1", EndpointState.DRAINING, 0))));
@@ -118,8 +118,8 @@
     }
 
     @Test
-    void onlyIdleConnectionsOfAnEndpointAreClosed() {
-        UpstreamConnection idle = idle("s-1");
+    void closeIdleClosesOnlyIdleConnections() {
+        UpstreamConnection idle = openIdle("s-1");
         UpstreamConnection connecting = table.acquire("s-2");
         actions.clear();
         table.closeIdle("s-1");
@@ -130,12 +130,12 @@
     }
 
     @Test
-    void connectingAndIdleTimeAreBounded() {
+    void connectingAndIdleTimeAreLimited() {
         table.acquire("s-1");
         assertEquals(UpstreamTestData.CONNECT_TIMEOUT, table.nextDeadline());
         table.abort(table.connecting().expired(UpstreamTestData.CONNECT_TIMEOUT));
         assertEquals(Long.MAX_VALUE, table.nextDeadline());
-        UpstreamConnection idle = idle("s-2");
+        UpstreamConnection idle = openIdle("s-2");
         assertEquals(UpstreamTestData.IDLE_TIMEOUT, table.nextDeadline());
         beginTurn(UpstreamTestData.IDLE_TIMEOUT - 1);
         table.closeExpiredIdle();
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void bytesOfIncompleteResponsesAreBoundedOverAllConnections() throws ProtocolException {
+    void bufferedBytesAreLimitedAcrossAllConnections() throws ProtocolException {
         UpstreamConnection first = table.acquire("s-1");
         UpstreamConnection second = table.acquire("s-2");
         String incomplete = "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n" + "x".repeat(MAX_BUFFERED_BYTES / 2);
--- a/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTest.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTest.java
@@ -15,8 +15,8 @@
     private final UpstreamConnection connection = UpstreamTestData.connection(-1, "s-1", 5);
 
     @Test
-    void aRequestIsSentOnceItsLastByteHasLeft() {
-        assertFalse(connection.isRequestSent(), "it is not open");
+    void aRequestIsSentOnceItsLastByteIsWritten() {
+        assertFalse(connection.isRequestSent(), "the connection is not open");
         connection.opened();
         connection.requestWriteStarted(100, 9);
         assertEquals(9, connection.stateSince());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void itCarriesAnAttemptOrAHealthCheckUntilItIsReleased() {
+    void anAttemptOrAHealthCheckIsAssignedUntilRelease() {
         UpstreamAttempt attempt = UpstreamTestData.attempt(1, 0, 100);
         assertFalse(connection.isAssigned());
         connection.assign(attempt);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aResponseThatIsCutShortIsNotCompletedByTheClose() throws ProtocolException {
+    void aTruncatedResponseIsNotCompletedByTheClose() throws ProtocolException {
         assertNull(connection.read(UpstreamTestData.bytes("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nresult")));
         assertNull(connection.responseCompletedByClose());
     }
--- a/core/src/test/java/garnetreel/core/platform/UpstreamEndpointsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamEndpointsTest.java
@@ -2,7 +2,7 @@
 
 import static garnetreel.core.platform.UpstreamTestData.address;
 import static garnetreel.core.platform.UpstreamTestData.changes;
-import static garnetreel.core.platform.UpstreamTestData.complete;
+import static garnetreel.core.platform.UpstreamTestData.completeList;
 import static garnetreel.core.platform.UpstreamTestData.entry;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,31 +16,31 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the table of endpoints holds after updates, and which of them it reports as changed. */
+/** The endpoints in the table after updates, and those that it reports as changed. */
 class UpstreamEndpointsTest {
     private final UpstreamEndpoints endpoints = new UpstreamEndpoints();
 
     @BeforeEach
-    void threeEndpoints() {
-        Set<String> changed = endpoints.apply(complete(
+    void listThreeEndpoints() {
+        Set<String> changed = endpoints.apply(completeList(
                 1,
                 entry("s-1", EndpointState.UP, 5),
                 entry("s-2", EndpointState.UP, 5),
                 entry("s-3", EndpointState.DRAINING, 5)));
-        assertEquals(Set.of(), changed, "a new endpoint is none that changed");
+        assertEquals(Set.of(), changed, "new endpoints are not reported as changed");
         assertEquals(3, endpoints.size());
     }
 
     @Test
-    void onlyOneThatIsUpAcceptsRequestsAndAtItsAddress() {
+    void onlyAnEndpointThatIsUpAcceptsRequestsAndOnlyAtItsAddress() {
         assertTrue(endpoints.acceptsRequests("s-1", address("s-1")));
         assertFalse(endpoints.acceptsRequests("s-1", address("s-2")));
-        assertFalse(endpoints.acceptsRequests("s-3", address("s-3")), "it drains");
-        assertFalse(endpoints.acceptsRequests("s-4", address("s-4")), "it is not listed");
+        assertFalse(endpoints.acceptsRequests("s-3", address("s-3")), "the endpoint is draining");
+        assertFalse(endpoints.acceptsRequests("s-4", address("s-4")), "the endpoint is not listed");
     }
 
     @Test
-    void changesLeaveTheOthersAsTheyAre() {
+    void changesDoNotAffectOtherEndpoints() {
         Set<String> changed = endpoints.apply(changes(
                 2,
                 entry("s-3", EndpointState.UP, 5),
@@ -54,17 +54,17 @@
     }
 
     @Test
-    void aCompleteListRemovesWhatItLacks() {
-        Set<String> changed = endpoints.apply(complete(2, entry("s-1", EndpointState.UP, 5)));
+    void aCompleteListRemovesEndpointsMissingFromIt() {
+        Set<String> changed = endpoints.apply(completeList(2, entry("s-1", EndpointState.UP, 5)));
         assertEquals(Set.of("s-2", "s-3"), changed);
         assertEquals(1, endpoints.size());
     }
 
     @Test
-    void aRestartAndAMoveAreChanges() {
+    void aRestartAndAChangeOfAddressAreReported() {
         assertEquals(Set.of("s-1"), endpoints.apply(changes(2, entry("s-1", EndpointState.UP, 6))));
-        EndpointEntry same = entry("s-2", EndpointState.UP, 5).endpoint();
-        assertEquals(Set.of("s-2"), endpoints.apply(changes(3, new ListUpdate.Entry("elsewhere", same))));
-        assertTrue(endpoints.acceptsRequests("s-2", "elsewhere"));
+        EndpointEntry unchanged = entry("s-2", EndpointState.UP, 5).endpoint();
+        assertEquals(Set.of("s-2"), endpoints.apply(changes(3, new ListUpdate.Entry("new address", unchanged))));
+        assertTrue(endpoints.acceptsRequests("s-2", "new address"));
     }
 }
--- a/core/src/test/java/garnetreel/core/platform/UpstreamTestData.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamTestData.java
@@ -11,9 +11,9 @@
 
 /** Endpoints, connections and responses for the tests of the upstream side. */
 final class UpstreamTestData {
-    /** Time for a connection to open in {@link #settings()}, microseconds. */
+    /** Connect timeout in {@link #settings()}, microseconds. */
     static final long CONNECT_TIMEOUT = 250_000;
-    /** Time after which a connection is closed in {@link #settings()}: 0.7 of the endpoints' 15 s, microseconds. */
+    /** Idle timeout with {@link #settings()}, microseconds: 0.7 of the endpoints' idle timeout of 15 s. */
     static final long IDLE_TIMEOUT = 10_500_000;
 
     private static final String CONFIG =
@@ -47,7 +47,7 @@
         return new ListUpdate.Entry(address(endpoint), new EndpointEntry(endpoint, "zone", 0, state, 1, startedAt));
     }
 
-    static ListUpdate complete(long version, ListUpdate.Entry... entries) {
+    static ListUpdate completeList(long version, ListUpdate.Entry... entries) {
         return new ListUpdate(version, true, List.of(entries));
     }
 
@@ -55,8 +55,8 @@
         return new ListUpdate(version, false, List.of(entries));
     }
 
-    static UpstreamAttempt attempt(long request, int number, long deadline) {
-        return new UpstreamAttempt(request, number, "s-1", 0, deadline, deadline, null);
+    static UpstreamAttempt attempt(long requestId, int number, long deadline) {
+        return new UpstreamAttempt(requestId, number, "s-1", 0, deadline, deadline, null);
     }
 
     static HttpResponse response(int status, String body) {
