--- a/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
@@ -24,7 +24,7 @@
     private static final int STATUS_OK = 200;
 
     /** Id of the connection that carries the call. */
-    final long connection;
+    final long connectionId;
 
     /** True for a watch, false for a poll. */
     final boolean watch;
@@ -39,8 +39,8 @@
     private long connectedAt;
 
     /** @param silenceTimeoutMicros how long a watch may receive no data once its response has started */
-    DiscoveryCall(long connection, boolean watch, long silenceTimeoutMicros, long now) {
-        this.connection = connection;
+    DiscoveryCall(long connectionId, boolean watch, long silenceTimeoutMicros, long now) {
+        this.connectionId = connectionId;
         this.watch = watch;
         this.silenceTimeoutMicros = silenceTimeoutMicros;
         this.lastActivityAt = now;
--- a/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
@@ -138,7 +138,7 @@
     private DiscoveryCall startCall(boolean isWatch) {
         long silenceTimeout = SILENCE_TIMEOUT_MICROS + random.nextLong(SILENCE_JITTER_MICROS);
         DiscoveryCall call = new DiscoveryCall(connectionIds.next(), isWatch, silenceTimeout, now);
-        actions.add(new NetAction.Connect(call.connection, address));
+        actions.add(new NetAction.Connect(call.connectionId, address));
         return call;
     }
 
@@ -148,7 +148,7 @@
     }
 
     private static boolean usesConnection(DiscoveryCall call, long connection) {
-        return call != null && call.connection == connection;
+        return call != null && call.connectionId == connection;
     }
 
     private DiscoveryCall callOn(long connection) {
@@ -252,7 +252,7 @@
 
     private void abort(DiscoveryCall call) {
         if (call != null) {
-            actions.add(new NetAction.Close(call.connection, true));
+            actions.add(new NetAction.Close(call.connectionId, true));
         }
     }
 
--- a/core/src/main/java/garnetreel/core/platform/GatewayCounters.java
+++ b/core/src/main/java/garnetreel/core/platform/GatewayCounters.java
@@ -85,7 +85,7 @@
     }
 
     /** The log line with the violations of invariants. */
-    String invariants() {
+    String invariantsLine() {
         StringBuilder line = new StringBuilder("invariant violations: ").append(violations());
         for (Map.Entry<Invariant, Long> violation : violations.entrySet()) {
             line.append(' ').append(violation.getKey().label).append('=').append(violation.getValue());
@@ -94,7 +94,7 @@
     }
 
     /** The log line with the counters of outcomes; those at 0 are omitted. */
-    String totals() {
+    String totalsLine() {
         StringBuilder line = new StringBuilder("totals:");
         for (Map.Entry<Event, Long> event : events.entrySet()) {
             line.append(' ').append(event.getKey().label).append('=').append(event.getValue());
--- a/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
@@ -227,7 +227,7 @@
     // ---------------------------------------------------------------- attempts
 
     /** Whether the client of an attempt's request still waits for the response. */
-    boolean isAwaited(UpstreamAttempt attempt) {
+    boolean isClientWaiting(UpstreamAttempt attempt) {
         ActiveRequest request = byId.get(attempt.requestId);
         return request != null && !request.completed;
     }
--- a/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
@@ -101,8 +101,8 @@
 
     private final class UpstreamListener implements UpstreamConnectionPool.Listener {
         @Override
-        public boolean isAwaited(UpstreamAttempt attempt) {
-            return requests.isAwaited(attempt);
+        public boolean isClientWaiting(UpstreamAttempt attempt) {
+            return requests.isClientWaiting(attempt);
         }
 
         @Override
@@ -225,8 +225,8 @@
     }
 
     private void logCounters(List<NetAction> actions) {
-        actions.add(new NetAction.Log(Level.INFO, counters.totals()));
-        actions.add(new NetAction.Log(counters.violations() == 0 ? Level.INFO : Level.WARN, counters.invariants()));
+        actions.add(new NetAction.Log(Level.INFO, counters.totalsLine()));
+        actions.add(new NetAction.Log(counters.violations() == 0 ? Level.INFO : Level.WARN, counters.invariantsLine()));
     }
 
     @Override
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
@@ -31,7 +31,7 @@
     /** Receives the results of attempts and health checks. */
     interface Listener {
         /** Whether the client that an attempt serves is still waiting for its response. */
-        boolean isAwaited(UpstreamAttempt attempt);
+        boolean isClientWaiting(UpstreamAttempt attempt);
 
         /** @param response the complete response; null if there was none */
         void attemptCompleted(UpstreamAttempt attempt, Outcome outcome, HttpResponse response);
@@ -64,7 +64,7 @@
             Listener listener) {
         this.counters = counters;
         this.listener = listener;
-        this.sendGuard = new SendGuard(counters, endpoints::acceptsRequests, listener::isAwaited);
+        this.sendGuard = new SendGuard(counters, endpoints::acceptsRequests, listener::isClientWaiting);
         this.connections = new UpstreamConnectionTable(settings, bounds, connectionIds, endpoints);
     }
 
--- a/core/src/test/java/garnetreel/core/platform/EndpointListReceiverTest.java
+++ b/core/src/test/java/garnetreel/core/platform/EndpointListReceiverTest.java
@@ -33,7 +33,7 @@
 
     private static final class NoAttemptsListener implements UpstreamConnectionPool.Listener {
         @Override
-        public boolean isAwaited(UpstreamAttempt attempt) {
+        public boolean isClientWaiting(UpstreamAttempt attempt) {
             return false;
         }
 
--- a/core/src/test/java/garnetreel/core/platform/EventInterleavingTest.java
+++ b/core/src/test/java/garnetreel/core/platform/EventInterleavingTest.java
@@ -202,7 +202,7 @@
             assertEquals(
                     0,
                     harness.gateway.counters().violations(),
-                    harness.gateway.counters().invariants());
+                    harness.gateway.counters().invariantsLine());
             PlatformGateway.OpenResources open = harness.gateway.openResources();
             assertEquals(0, open.requests(), open.toString());
             assertEquals(0, open.attempts(), open.toString());
--- a/core/src/test/java/garnetreel/core/platform/GatewayCountersTest.java
+++ b/core/src/test/java/garnetreel/core/platform/GatewayCountersTest.java
@@ -24,17 +24,17 @@
                         + " attempt_withdrawn=1 attempt_too_late=1 attempt_server_left=1 attempt_no_connection=1"
                         + " answer_spoilt=1 closed_to_make_room=1 closed_idle=1 closed_at_end=1 closed_unread=1"
                         + " request_timed_out=1",
-                counters.totals());
+                counters.totalsLine());
         assertEquals(
                 "invariant violations: 5 sent_for_nobody=1 sent_to_unlisted=1 closed_owing_an_answer=1"
                         + " answered_twice=1 not_answered=1",
-                counters.invariants());
+                counters.invariantsLine());
     }
 
     @Test
     void countersAtZeroAreNotPrinted() {
         GatewayCounters counters = new GatewayCounters();
-        assertEquals("totals: ", counters.totals());
-        assertEquals("invariant violations: 0", counters.invariants());
+        assertEquals("totals: ", counters.totalsLine());
+        assertEquals("invariant violations: 0", counters.invariantsLine());
     }
 }
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayLifecycleTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayLifecycleTest.java
@@ -64,7 +64,7 @@
         assertEquals(
                 0,
                 harness.gateway.counters().violations(),
-                harness.gateway.counters().invariants());
+                harness.gateway.counters().invariantsLine());
         PlatformGateway.OpenResources open = harness.gateway.openResources();
         assertTrue(open.upstreamConnections() <= 1 && open.requests() == 0 && open.clients() <= 309, open.toString());
     }
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayRequestsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayRequestsTest.java
@@ -162,7 +162,7 @@
         assertEquals(
                 0,
                 harness.gateway.counters().violations(),
-                harness.gateway.counters().invariants());
+                harness.gateway.counters().invariantsLine());
     }
 
     @Test
--- a/core/src/test/java/garnetreel/core/platform/SendGuardTest.java
+++ b/core/src/test/java/garnetreel/core/platform/SendGuardTest.java
@@ -25,7 +25,7 @@
     void anAttemptInTimeToAListedEndpointMayStart() {
         assertTrue(guard.mayStart(attempt, ADDRESS, START_DEADLINE - 1));
         assertEquals(1, counters.get(Event.ATTEMPT_STARTED));
-        assertEquals("invariant violations: 0", counters.invariants());
+        assertEquals("invariant violations: 0", counters.invariantsLine());
     }
 
     @Test
@@ -39,14 +39,14 @@
     void anAttemptWithoutAWaitingClientIsAViolation() {
         clientWaiting = false;
         assertFalse(guard.mayStart(attempt, ADDRESS, 0));
-        assertEquals("invariant violations: 1 sent_for_nobody=1", counters.invariants());
+        assertEquals("invariant violations: 1 sent_for_nobody=1", counters.invariantsLine());
     }
 
     @Test
     void anAttemptToAnEndpointNotListedAtItsAddressIsAViolation() {
         listedAddress = "127.0.0.1:2002";
         assertFalse(guard.mayStart(attempt, ADDRESS, 0));
-        assertEquals("invariant violations: 1 sent_to_unlisted=1", counters.invariants());
+        assertEquals("invariant violations: 1 sent_to_unlisted=1", counters.invariantsLine());
         assertEquals(0, counters.get(Event.ATTEMPT_STARTED));
     }
 }
