--- a/benchadapter/src/main/java/garnetreel/benchadapter/BenchAdapter.java
+++ b/benchadapter/src/main/java/garnetreel/benchadapter/BenchAdapter.java
@@ -5,11 +5,11 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** The command line: {@code simhost} serves the simulator's wire on standard input and output. */
+/** Command line entry point: {@code simhost} serves the simulator's protocol on standard input and output. */
 public final class BenchAdapter {
     private BenchAdapter() {}
 
-    /** Exits 0 at a clean end of input, 1 when the input breaks the wire, 2 on wrong usage. */
+    /** Exits with status 0 at the end of valid input, 1 on invalid input or an I/O error, 2 on invalid arguments. */
     public static void main(String[] arguments) {
         if (arguments.length != 1 || !arguments[0].equals("simhost")) {
             System.err.println("usage: garnetreel simhost");
--- a/benchadapter/src/main/java/garnetreel/benchadapter/BenchMessageCodec.java
+++ b/benchadapter/src/main/java/garnetreel/benchadapter/BenchMessageCodec.java
@@ -35,9 +35,10 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** Turns the simulator's messages into the module's events, and actions into messages. */
+/** Reads scheduler events from the simulator's messages, and writes scheduler actions as such messages. */
 final class BenchMessageCodec {
     private static final JsonFactory FACTORY = new JsonFactory();
+    /** Outcomes by the simulator's {@code state-code}. */
     private static final Outcome[] OUTCOMES = {
         Outcome.UNKNOWN,
         Outcome.OK,
@@ -52,34 +53,34 @@
 
     private BenchMessageCodec() {}
 
-    /** The event in a message, or null for a message that is none of the module's. */
-    static SchedulerEvent event(String message, Json json) throws JsonException {
+    /** The event in a message, or null if the message contains no scheduler event. */
+    static SchedulerEvent readEvent(String message, Json json) throws JsonException {
         return switch (message) {
-            case "endpoints" -> news(json);
-            case "incoming" -> arrived(json);
+            case "endpoints" -> readEndpointUpdate(json);
+            case "incoming" -> readRequestReceived(json);
             case "flowing" -> new ResponseStreamStarted(
                     json.need("id").whole("id", 0), (int) json.whole("round-no", 0), json.text("shelf", ""));
-            case "finished" -> ended(json);
+            case "finished" -> readAttemptCompleted(json);
             case "abandoned" -> new RequestCancelled(json.need("id").whole("id", 0));
             case "timeout-fired" -> new TimerExpired(json.need("ref").text("ref", ""));
             case "pong" -> new HealthCheckCompleted(
                     json.need("shelf").text("shelf", ""),
-                    outcome(json),
+                    readOutcome(json),
                     json.micros("duration", 0),
                     json.numbers("usage"));
-            case "mail" -> new GossipReceived((int) json.whole("who", 0), hex(json.text("data", "")));
+            case "mail" -> new GossipReceived((int) json.whole("who", 0), decodeHex(json.text("data", "")));
             default -> null;
         };
     }
 
-    private static EndpointUpdate news(Json json) throws JsonException {
+    private static EndpointUpdate readEndpointUpdate(Json json) throws JsonException {
         EndpointUpdateKind kind =
                 switch (json.need("kind").text("kind", "")) {
                     case "changes" -> EndpointUpdateKind.DELTA;
                     case "all" -> EndpointUpdateKind.SNAPSHOT;
                     case "remembered" -> EndpointUpdateKind.CACHED;
                     case "refused" -> EndpointUpdateKind.UNAVAILABLE;
-                    default -> throw new JsonException("field \"kind\": unknown kind of list");
+                    default -> throw new JsonException("field \"kind\": unknown kind of endpoint update");
                 };
         List<EndpointEntry> entries = new ArrayList<>();
         for (Json entry : json.children("entries")) {
@@ -100,7 +101,7 @@
         return new EndpointUpdate(kind, entries);
     }
 
-    private static RequestReceived arrived(Json json) throws JsonException {
+    private static RequestReceived readRequestReceived(Json json) throws JsonException {
         return new RequestReceived(
                 json.need("id").whole("id", 0),
                 json.need("qos").text("qos", ""),
@@ -115,13 +116,13 @@
                 json.flag("update", false));
     }
 
-    private static AttemptCompleted ended(Json json) throws JsonException {
+    private static AttemptCompleted readAttemptCompleted(Json json) throws JsonException {
         json.need("state-code");
         return new AttemptCompleted(
                 json.need("id").whole("id", 0),
                 (int) json.whole("round-no", 0),
                 json.text("shelf", ""),
-                outcome(json),
+                readOutcome(json),
                 json.micros("duration", 0),
                 json.flag("done-flag", false),
                 json.whole("from-others", 0),
@@ -129,12 +130,12 @@
                 json.numbers("load"));
     }
 
-    private static Outcome outcome(Json json) throws JsonException {
+    private static Outcome readOutcome(Json json) throws JsonException {
         long code = json.whole("state-code", 0);
         return code > 0 && code < OUTCOMES.length ? OUTCOMES[(int) code] : Outcome.UNKNOWN;
     }
 
-    private static byte[] hex(String text) {
+    private static byte[] decodeHex(String text) {
         try {
             return HexFormat.of().parseHex(text);
         } catch (IllegalArgumentException e) {
@@ -142,15 +143,15 @@
         }
     }
 
-    /** Opens the reply of one batch. */
-    static JsonGenerator reply(ByteArrayOutputStream out) throws IOException {
+    /** Starts the reply to a batch. */
+    static JsonGenerator openReply(ByteArrayOutputStream out) throws IOException {
         return FACTORY.createGenerator(out).setPrettyPrinter(new MinimalPrettyPrinter("\n"));
     }
 
-    /** Writes an instance's action as one line. */
-    static void write(JsonGenerator json, int instance, SchedulerAction action) throws IOException {
+    /** Writes the action of an instance as one line. */
+    static void writeAction(JsonGenerator json, int instance, SchedulerAction action) throws IOException {
         json.writeStartObject();
-        json.writeStringField("msg", name(action));
+        json.writeStringField("msg", messageName(action));
         json.writeNumberField("head-id", instance);
         if (action instanceof SendAttempt send) {
             json.writeNumberField("id", send.id());
@@ -159,27 +160,27 @@
         } else if (action instanceof CancelAttempt cancel) {
             json.writeNumberField("id", cancel.id());
             json.writeNumberField("round-no", cancel.attempt());
-        } else if (action instanceof RejectRequest refuse) {
-            json.writeNumberField("id", refuse.id());
-            json.writeNumberField("stay-away", refuse.retryAfter() / 1e6);
+        } else if (action instanceof RejectRequest reject) {
+            json.writeNumberField("id", reject.id());
+            json.writeNumberField("stay-away", reject.retryAfter() / 1e6);
         } else if (action instanceof FailRequest fail) {
             json.writeNumberField("id", fail.id());
-        } else if (action instanceof SetTimer alarm) {
-            json.writeStringField("ref", alarm.name());
-            json.writeNumberField("after", alarm.after() / 1e6);
+        } else if (action instanceof SetTimer timer) {
+            json.writeStringField("ref", timer.name());
+            json.writeNumberField("after", timer.after() / 1e6);
         } else if (action instanceof CheckHealth check) {
             json.writeStringField("shelf", check.endpoint());
         } else if (action instanceof CloseIdleConnections close) {
             json.writeStringField("shelf", close.endpoint());
-        } else if (action instanceof SubscribeEndpoints watch) {
-            json.writeBooleanField("on", watch.active());
-        } else if (action instanceof LogMessage remark) {
-            json.writeStringField("text", remark.text());
+        } else if (action instanceof SubscribeEndpoints subscription) {
+            json.writeBooleanField("on", subscription.active());
+        } else if (action instanceof LogMessage log) {
+            json.writeStringField("text", log.text());
         }
         json.writeEndObject();
     }
 
-    private static String name(SchedulerAction action) {
+    private static String messageName(SchedulerAction action) {
         if (action instanceof SendAttempt) {
             return "place";
         } else if (action instanceof CancelAttempt) {
@@ -202,8 +203,8 @@
         return "remark";
     }
 
-    /** Ends the reply. */
-    static void end(JsonGenerator json) throws IOException {
+    /** Completes the reply. */
+    static void endReply(JsonGenerator json) throws IOException {
         json.writeStartObject();
         json.writeStringField("msg", "eor");
         json.writeEndObject();
@@ -211,8 +212,8 @@
         json.close();
     }
 
-    /** Writes the message that the decision code of an instance broke. */
-    static void broke(JsonGenerator json, int instance, RuntimeException cause) throws IOException {
+    /** Writes the message that the scheduler of an instance threw an exception. */
+    static void writeFailure(JsonGenerator json, int instance, RuntimeException cause) throws IOException {
         json.writeStartObject();
         json.writeStringField("msg", "exception");
         json.writeNumberField("head-id", instance);
--- a/benchadapter/src/main/java/garnetreel/benchadapter/InstanceHost.java
+++ b/benchadapter/src/main/java/garnetreel/benchadapter/InstanceHost.java
@@ -19,16 +19,21 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Runs many instances of the module on one stream of batches; they share nothing. */
+/**
+ * Runs many independent scheduler instances on one stream of JSON messages, one a line. The messages between {@code turn} and
+ * {@code your-turn} form a batch, which gets one reply.
+ */
 final class InstanceHost {
     private final Map<Integer, Scheduler> instances = new TreeMap<>();
     private final Map<Integer, List<SchedulerEvent>> pending = new LinkedHashMap<>();
     private final InputStream in;
     private final OutputStream out;
+    /** Input; the bytes from {@code start} to {@code end} are not handled yet. */
     private byte[] buffer = new byte[1 << 16];
+
     private int start;
     private int end;
-    private long line;
+    private long lineNumber;
     private long now;
     private boolean inBatch;
 
@@ -37,22 +42,26 @@
         this.out = out;
     }
 
-    /** Serves batches until the input ends; an end inside a batch is an error. */
+    /**
+     * Serves batches until the input ends.
+     *
+     * @throws JsonException if a message is invalid or the input ends inside a batch
+     */
     void run() throws IOException, JsonException {
         int length;
         while ((length = nextLine()) >= 0) {
             int from = start;
             start = Math.min(end, start + length + 1);
-            if (!blank(from, length)) {
-                take(Json.parse(buffer, from, length, line));
+            if (!isBlank(from, length)) {
+                handleMessage(Json.parse(buffer, from, length, lineNumber));
             }
         }
         if (inBatch) {
-            throw new JsonException("line " + line + ": input ended inside a batch");
+            throw new JsonException("line " + lineNumber + ": input ended inside a batch");
         }
     }
 
-    private boolean blank(int from, int length) {
+    private boolean isBlank(int from, int length) {
         for (int i = from; i < from + length; i++) {
             if (buffer[i] > ' ' || buffer[i] < 0) {
                 return false;
@@ -61,13 +70,13 @@
         return true;
     }
 
-    /** Length of the line that begins at {@code start}, or -1 at the end of input. */
+    /** Reads until the line that begins at {@code start} is complete. Returns its length, or -1 at the end of input. */
     private int nextLine() throws IOException {
         int scan = start;
         while (true) {
             for (; scan < end; scan++) {
                 if (buffer[scan] == '\n') {
-                    line++;
+                    lineNumber++;
                     return scan - start;
                 }
             }
@@ -80,42 +89,42 @@
             if (end == buffer.length) {
                 buffer = Arrays.copyOf(buffer, 2 * buffer.length);
             }
-            int got = in.read(buffer, end, buffer.length - end);
-            if (got < 0) {
+            int count = in.read(buffer, end, buffer.length - end);
+            if (count < 0) {
                 if (end == start) {
                     return -1;
                 }
-                line++;
+                lineNumber++;
                 return end - start;
             }
-            end += got;
+            end += count;
         }
     }
 
-    private void take(Json json) throws IOException, JsonException {
+    private void handleMessage(Json json) throws IOException, JsonException {
         String message = json.need("msg").text("msg", "");
         if (message.equals("turn")) {
             if (inBatch) {
-                throw new JsonException("line " + line + ": a batch begins inside a batch");
+                throw new JsonException("line " + lineNumber + ": \"turn\" inside a batch");
             }
             now = json.need("t").micros("t", 0);
             inBatch = true;
             return;
         }
         if (!inBatch) {
-            throw new JsonException("line " + line + ": \"" + message + "\" outside a batch");
+            throw new JsonException("line " + lineNumber + ": \"" + message + "\" outside a batch");
         }
         if (message.equals("your-turn")) {
-            answer();
+            sendReply();
             return;
         }
-        SchedulerEvent event = BenchMessageCodec.event(message, json);
-        boolean born = message.equals("born");
-        if (event == null && !born && !message.equals("kill")) {
-            throw new JsonException("line " + line + ": unknown event \"" + message + "\"");
+        SchedulerEvent event = BenchMessageCodec.readEvent(message, json);
+        boolean isStart = message.equals("born");
+        if (event == null && !isStart && !message.equals("kill")) {
+            throw new JsonException("line " + lineNumber + ": unknown event \"" + message + "\"");
         }
         int instance = (int) json.need("head-id").whole("head-id", 0);
-        if (born) {
+        if (isStart) {
             pending.remove(instance);
             instances.put(
                     instance,
@@ -127,26 +136,26 @@
         } else if (instances.containsKey(instance)) {
             pending.computeIfAbsent(instance, any -> new ArrayList<>()).add(event);
         } else {
-            throw new JsonException("line " + line + ": field \"head-id\" names no running instance");
+            throw new JsonException("line " + lineNumber + ": field \"head-id\" names no running instance");
         }
     }
 
-    private void answer() throws IOException {
+    private void sendReply() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
-        JsonGenerator reply = BenchMessageCodec.reply(bytes);
+        JsonGenerator reply = BenchMessageCodec.openReply(bytes);
         for (Map.Entry<Integer, List<SchedulerEvent>> entry : pending.entrySet()) {
             int instance = entry.getKey();
             try {
                 for (SchedulerAction action : instances.get(instance).decide(now, entry.getValue())) {
-                    BenchMessageCodec.write(reply, instance, action);
+                    BenchMessageCodec.writeAction(reply, instance, action);
                 }
             } catch (RuntimeException e) {
-                BenchMessageCodec.broke(reply, instance, e);
+                BenchMessageCodec.writeFailure(reply, instance, e);
             }
         }
         pending.clear();
         inBatch = false;
-        BenchMessageCodec.end(reply);
+        BenchMessageCodec.endReply(reply);
         bytes.writeTo(out);
         out.flush();
     }
--- a/benchadapter/src/main/java/garnetreel/benchadapter/package-info.java
+++ b/benchadapter/src/main/java/garnetreel/benchadapter/package-info.java
@@ -1,2 +1,2 @@
-/** Adapter that runs many schedulers on the message stream of the simulation bench. */
+/** Adapter that connects many scheduler instances to the message stream of an external simulator. */
 package garnetreel.benchadapter;
--- a/benchadapter/src/test/java/garnetreel/benchadapter/BenchWireTest.java
+++ b/benchadapter/src/test/java/garnetreel/benchadapter/InstanceHostTest.java
@@ -11,9 +11,9 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The wire: framing, a round trip through a batch, and plain messages on what is malformed. */
-class BenchWireTest {
-    private static final String BORN =
+/** The simulator's protocol: batches, a request through a whole batch, and the error messages for invalid input. */
+class InstanceHostTest {
+    private static final String START_MESSAGES =
             """
             {"msg":"turn","t":8}
             {"msg":"born","head-id":0,"entropy":5,"settings":{"balancers":1,"discovery":"subscribe","tick":0.002,
@@ -31,20 +31,20 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private static void fails(String input, String part) {
+    private static void assertFails(String input, String expectedText) {
         String message = assertThrows(JsonException.class, () -> run(input)).getMessage();
-        assertTrue(message.contains(part), message);
+        assertTrue(message.contains(expectedText), message);
     }
 
     @Test
-    void anEmptyBatchIsAnswered() throws Exception {
+    void anEmptyBatchGetsAnEmptyReply() throws Exception {
         assertEquals("{\"msg\":\"eor\"}\n", run("{\"msg\":\"turn\",\"t\":8.41225}\n{\"msg\":\"your-turn\"}\n"));
     }
 
     @Test
-    void aRequestIsPlacedWithItsIdAndNode() throws Exception {
+    void aRequestIsSentWithItsIdAndEndpoint() throws Exception {
         String reply = run(
-                BORN
+                START_MESSAGES
                         + """
                 {"msg":"turn","t":8.5}
                 {"msg":"incoming","head-id":0,"id":2757924618932676,"qos":"r","valid-until":11,"share-id":7,"shard":2}
@@ -59,24 +59,30 @@
     }
 
     @Test
-    void aKilledInstanceIsForgottenAndMayBeBornAgain() throws Exception {
-        String again = BORN.replace("\"t\":8}", "\"t\":9}")
+    void aKilledInstanceIsDiscardedAndCanBeStartedAgain() throws Exception {
+        String restart = START_MESSAGES
+                .replace("\"t\":8}", "\"t\":9}")
                 .replace("{\"msg\":\"born\"", "{\"msg\":\"kill\",\"head-id\":0}\n{\"msg\":\"born\"");
-        assertEquals(2, run(BORN + again).split("track", -1).length - 1);
+        assertEquals(2, run(START_MESSAGES + restart).split("track", -1).length - 1);
     }
 
     @Test
-    void malformedInputIsNamed() {
-        fails("{\"msg\":\"turn\",\"t\":8}\nnot json\n", "line 2");
-        fails("{\"msg\":\"turn\",\"t\":8}\n{\"msg\":\"dance\",\"head-id\":0}\n", "dance");
-        fails("{\"msg\":\"turn\"}\n", "\"t\"");
-        fails("{\"msg\":\"your-turn\"}\n", "outside a batch");
-        fails(BORN + "{\"msg\":\"turn\",\"t\":9}\n{\"msg\":\"incoming\",\"head-id\":0,\"qos\":\"r\"}\n", "\"id\"");
-        fails(
-                BORN + "{\"msg\":\"turn\",\"t\":9}\n{\"msg\":\"incoming\",\"id\":4,\"valid-until\":10,\"qos\":\"r\"}\n",
+    void errorsNameTheInvalidInput() {
+        assertFails("{\"msg\":\"turn\",\"t\":8}\nnot json\n", "line 2");
+        assertFails("{\"msg\":\"turn\",\"t\":8}\n{\"msg\":\"no-such-event\",\"head-id\":0}\n", "no-such-event");
+        assertFails("{\"msg\":\"turn\"}\n", "\"t\"");
+        assertFails("{\"msg\":\"your-turn\"}\n", "outside a batch");
+        assertFails(
+                START_MESSAGES + "{\"msg\":\"turn\",\"t\":9}\n{\"msg\":\"incoming\",\"head-id\":0,\"qos\":\"r\"}\n",
+                "\"id\"");
+        assertFails(
+                START_MESSAGES
+                        + "{\"msg\":\"turn\",\"t\":9}\n{\"msg\":\"incoming\",\"id\":4,\"valid-until\":10,\"qos\":\"r\"}\n",
                 "\"head-id\"");
-        fails(BORN + "{\"msg\":\"turn\",\"t\":9}\n{\"msg\":\"abandoned\",\"head-id\":0,\"id\":\"x\"}\n", "wrong form");
-        fails("{\"msg\":\"turn\",\"t\":8}\n", "ended inside a batch");
-        fails("[1]\n", "not a JSON object");
+        assertFails(
+                START_MESSAGES + "{\"msg\":\"turn\",\"t\":9}\n{\"msg\":\"abandoned\",\"head-id\":0,\"id\":\"x\"}\n",
+                "wrong type");
+        assertFails("{\"msg\":\"turn\",\"t\":8}\n", "ended inside a batch");
+        assertFails("[1]\n", "not a JSON object");
     }
 }
--- a/settings/src/main/java/garnetreel/settings/Json.java
+++ b/settings/src/main/java/garnetreel/settings/Json.java
@@ -9,61 +9,68 @@
 import java.util.List;
 import java.util.Map;
 
-/** One JSON object, read by streaming into plain maps, lists, numbers and strings, with typed access. */
+/**
+ * A JSON object with typed access to its fields. It is parsed into maps, lists, numbers and strings. A field whose value is
+ * {@code null} counts as absent.
+ */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private final Map<String, Object> fields;
-    private final String where;
+    private final String source;
 
-    private Json(Map<String, Object> fields, String where) {
+    private Json(Map<String, Object> fields, String source) {
         this.fields = fields;
-        this.where = where;
+        this.source = source;
     }
 
-    /** Reads a line that must hold one object and nothing else. */
+    /**
+     * Parses a line that must contain exactly one object.
+     *
+     * @param line number of the line, for error messages
+     */
     public static Json parse(byte[] buffer, int from, int length, long line) throws JsonException {
         return parse(buffer, from, length, "line " + line);
     }
 
     /**
-     * Reads bytes that must hold one object and nothing else.
+     * Parses bytes that must contain exactly one object.
      *
-     * @param where what the bytes are, for messages
+     * @param source name of the input, for error messages
      */
-    public static Json parse(byte[] buffer, int from, int length, String where) throws JsonException {
+    public static Json parse(byte[] buffer, int from, int length, String source) throws JsonException {
         try (JsonParser parser = FACTORY.createParser(buffer, from, length)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new JsonException(where + ": not a JSON object");
+                throw new JsonException(source + ": not a JSON object");
             }
-            Map<String, Object> fields = object(parser);
+            Map<String, Object> fields = readObject(parser);
             if (parser.nextToken() != null) {
-                throw new JsonException(where + ": more than one JSON value");
+                throw new JsonException(source + ": more than one JSON value");
             }
-            return new Json(fields, where);
+            return new Json(fields, source);
         } catch (IOException e) {
-            throw new JsonException(where + ": not JSON");
+            throw new JsonException(source + ": malformed JSON");
         }
     }
 
-    private static Map<String, Object> object(JsonParser parser) throws IOException {
+    private static Map<String, Object> readObject(JsonParser parser) throws IOException {
         Map<String, Object> fields = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
-            fields.put(name, value(parser));
+            fields.put(name, readValue(parser));
         }
         return fields;
     }
 
-    private static Object value(JsonParser parser) throws IOException {
+    private static Object readValue(JsonParser parser) throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT:
-                return object(parser);
+                return readObject(parser);
             case START_ARRAY:
                 List<Object> items = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    items.add(value(parser));
+                    items.add(readValue(parser));
                 }
                 return items;
             case VALUE_STRING:
@@ -83,77 +90,81 @@
         }
     }
 
-    private JsonException bad(String name, String what) {
-        return new JsonException(where + ": field \"" + name + "\" " + what);
+    private JsonException fieldError(String name, String what) {
+        return new JsonException(source + ": field \"" + name + "\" " + what);
     }
 
-    private <T> T get(String name, Class<T> type, T otherwise) throws JsonException {
+    private <T> T get(String name, Class<T> type, T defaultValue) throws JsonException {
         Object value = fields.get(name);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!type.isInstance(value)) {
-            throw bad(name, "has the wrong form");
+            throw fieldError(name, "has the wrong type");
         }
         return type.cast(value);
     }
 
-    /** This object, which has to have a field of that name. */
+    /**
+     * Returns this object.
+     *
+     * @throws JsonException if the field is absent
+     */
     public Json need(String name) throws JsonException {
         if (fields.get(name) == null) {
-            throw bad(name, "is missing");
+            throw fieldError(name, "is missing");
         }
         return this;
     }
 
-    /** Whether there is a field of that name. */
+    /** Whether the field is present. */
     public boolean has(String name) {
         return fields.get(name) != null;
     }
 
-    /** A text, or the default where it is absent. */
-    public String text(String name, String otherwise) throws JsonException {
-        return get(name, String.class, otherwise);
+    /** The string in a field, or the default if it is absent. */
+    public String text(String name, String defaultValue) throws JsonException {
+        return get(name, String.class, defaultValue);
     }
 
-    /** A whole number, or the default where it is absent. */
-    public long whole(String name, long otherwise) throws JsonException {
-        return get(name, Number.class, otherwise).longValue();
+    /** The number in a field without its fraction, or the default if it is absent. */
+    public long whole(String name, long defaultValue) throws JsonException {
+        return get(name, Number.class, defaultValue).longValue();
     }
 
-    /** A number, or the default where it is absent. */
-    public double number(String name, double otherwise) throws JsonException {
-        return get(name, Number.class, otherwise).doubleValue();
+    /** The number in a field, or the default if it is absent. */
+    public double number(String name, double defaultValue) throws JsonException {
+        return get(name, Number.class, defaultValue).doubleValue();
     }
 
-    /** A time, in seconds on the wire, as microseconds. */
-    public long micros(String name, double otherwise) throws JsonException {
-        return Math.round(number(name, otherwise) * 1e6);
+    /** The time in a field, converted from seconds to microseconds; the default is in seconds too. */
+    public long micros(String name, double defaultValue) throws JsonException {
+        return Math.round(number(name, defaultValue) * 1e6);
     }
 
-    public boolean flag(String name, boolean otherwise) throws JsonException {
-        return get(name, Boolean.class, otherwise);
+    public boolean flag(String name, boolean defaultValue) throws JsonException {
+        return get(name, Boolean.class, defaultValue);
     }
 
-    /** A nested object; an empty one when absent. */
+    /** The object in a field; an empty one if it is absent. */
     public Json child(String name) throws JsonException {
         Map<?, ?> value = get(name, Map.class, Map.of());
-        return wrap(value, name);
+        return nested(value, name);
     }
 
-    /** A list of nested objects; empty when absent. */
+    /** The array of objects in a field; empty if it is absent. */
     public List<Json> children(String name) throws JsonException {
         List<Json> children = new ArrayList<>();
         for (Object item : get(name, List.class, List.of())) {
             if (!(item instanceof Map<?, ?> map)) {
-                throw bad(name, "holds something that is no object");
+                throw fieldError(name, "contains an element that is not an object");
             }
-            children.add(wrap(map, name));
+            children.add(nested(map, name));
         }
         return children;
     }
 
-    /** A list of flags; empty when absent. */
+    /** The array of booleans in a field; empty if it is absent. Elements of other types count as false. */
     public List<Boolean> flags(String name) throws JsonException {
         List<Boolean> flags = new ArrayList<>();
         for (Object item : get(name, List.class, List.of())) {
@@ -162,17 +173,17 @@
         return flags;
     }
 
-    /** A nested object's numbers by name; whatever is no number is skipped. */
+    /** The numeric fields of the object in a field, by name; empty if there is no such object. */
     public Map<String, Double> numbers(String name) {
-        return fields.get(name) instanceof Map<?, ?> map ? numbers(map) : Map.of();
+        return fields.get(name) instanceof Map<?, ?> map ? numericEntries(map) : Map.of();
     }
 
-    /** This object's numbers by name; whatever is no number is skipped. */
+    /** The numeric fields of this object, by name. */
     public Map<String, Double> numbers() {
-        return numbers(fields);
+        return numericEntries(fields);
     }
 
-    private static Map<String, Double> numbers(Map<?, ?> map) {
+    private static Map<String, Double> numericEntries(Map<?, ?> map) {
         Map<String, Double> numbers = new LinkedHashMap<>();
         for (Map.Entry<?, ?> entry : map.entrySet()) {
             if (entry.getValue() instanceof Number number) {
@@ -182,9 +193,9 @@
         return numbers;
     }
 
-    private Json wrap(Map<?, ?> map, String name) {
+    private Json nested(Map<?, ?> map, String name) {
         Map<String, Object> copy = new LinkedHashMap<>();
         map.forEach((key, value) -> copy.put((String) key, value));
-        return new Json(copy, where + ", in \"" + name + "\"");
+        return new Json(copy, source + ", in \"" + name + "\"");
     }
 }
--- a/settings/src/main/java/garnetreel/settings/JsonException.java
+++ b/settings/src/main/java/garnetreel/settings/JsonException.java
@@ -1,6 +1,6 @@
 package garnetreel.settings;
 
-/** A text is not the JSON that was expected; the message names the line or the field. */
+/** Thrown when JSON input is malformed or lacks an expected field; the message names the line or the field. */
 public final class JsonException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/settings/src/main/java/garnetreel/settings/SettingsReader.java
+++ b/settings/src/main/java/garnetreel/settings/SettingsReader.java
@@ -9,19 +9,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads what a scheduler is told when it starts from the users' settings object; times there are seconds. */
+/** Reads the settings with which a scheduler starts from their JSON object. Times are in seconds there. */
 public final class SettingsReader {
     private SettingsReader() {}
 
-    /** The settings; whatever is absent stands for "not in force" or "none". */
+    /**
+     * Reads the settings. An absent field disables its feature or has a neutral value.
+     */
     public static SchedulerSettings read(Json json) throws JsonException {
         Json limits = json.child("limits");
-        Json facts = json.child("specifics");
-        List<Boolean> writes = facts.flags("class-writes");
+        Json specifics = json.child("specifics");
+        List<Boolean> writes = specifics.flags("class-writes");
         List<RequestClass> classes = new ArrayList<>();
         for (Json item : json.children("classes")) {
             int index = classes.size();
-            classes.add(requestClass(item, index < writes.size() && writes.get(index)));
+            classes.add(readRequestClass(item, index < writes.size() && writes.get(index)));
         }
         List<Plan> plans = new ArrayList<>();
         for (Json item : json.children("service-levels")) {
@@ -41,14 +43,14 @@
                 json.text("discovery", "").equals("subscribe"),
                 classes,
                 plans,
-                rules(json.child("rules")),
-                facts.number("young-limit", 0),
-                facts.number("unit-mean", 1),
-                facts.number("most-units", 1),
-                facts.number("share-worth", 1),
-                facts.number("idle-worth", 1),
-                facts.flag("tells-elsewhere", false),
-                facts.micros("metering", 0),
+                readSafetyRules(json.child("rules")),
+                specifics.number("young-limit", 0),
+                specifics.number("unit-mean", 1),
+                specifics.number("most-units", 1),
+                specifics.number("share-worth", 1),
+                specifics.number("idle-worth", 1),
+                specifics.flag("tells-elsewhere", false),
+                specifics.micros("metering", 0),
                 (int) limits.whole("try-limit", 1),
                 limits.flag("second-copies", false),
                 limits.flag("cancel", false),
@@ -59,14 +61,14 @@
                 json.micros("tick", 0));
     }
 
-    private static RequestClass requestClass(Json item, boolean writes) throws JsonException {
-        Idempotency effect =
+    private static RequestClass readRequestClass(Json item, boolean writes) throws JsonException {
+        Idempotency idempotency =
                 switch (item.text("effect", "")) {
                     case "repeatable" -> Idempotency.IDEMPOTENT;
                     case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
                     default -> Idempotency.NON_IDEMPOTENT;
                 };
-        DeduplicationScope group =
+        DeduplicationScope deduplicationScope =
                 switch (item.text("group", "")) {
                     case "all" -> DeduplicationScope.ALL;
                     case "zone" -> DeduplicationScope.ZONE;
@@ -77,8 +79,8 @@
                 item.micros("aim", 0),
                 item.number("aim-stretch", 0),
                 item.micros("hard-limit", 0),
-                effect,
-                group,
+                idempotency,
+                deduplicationScope,
                 item.number("late-share", 0),
                 item.flag("streaming", false),
                 item.micros("repeat-window", 0),
@@ -87,7 +89,7 @@
                 writes);
     }
 
-    private static SafetyRules rules(Json item) throws JsonException {
+    private static SafetyRules readSafetyRules(Json item) throws JsonException {
         return new SafetyRules(
                 item.micros("answer-slack", 0),
                 item.micros("ask-every", 0),
--- a/settings/src/main/java/garnetreel/settings/package-info.java
+++ b/settings/src/main/java/garnetreel/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Reader of the JSON settings that users hand to a scheduler. */
+/** Reads the JSON settings of a scheduler. */
 package garnetreel.settings;
