--- a/net/src/main/java/garnetreel/net/AcceptPauseWorkaround.java
+++ b/net/src/main/java/garnetreel/net/AcceptPauseWorkaround.java
@@ -10,32 +10,33 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Ends the back-off that XNIO 3.8 begins when accept(2) fails. Its server handle then accepts nothing for 0.25 s, and for four
+ * Ends the back-off that XNIO 3.8 starts when accept(2) fails. Its server handle then accepts nothing for 0.25 s, and for four
  * times as long after each further failure, although the cause (a descriptor limit, a connection that was reset in the
- * system's queue) may be gone at once. Meanwhile clients whose connections are established, with requests already sent,
- * get no response.
+ * accept queue) may be gone at once. Meanwhile clients whose connections are established and whose requests are sent get no
+ * response.
  *
  * <p>Reflection is needed because XNIO has no option for the back-off, and neither {@code resumeAccepts()} nor
  * {@code wakeupAccepts()} ends one: only the package-private {@code NioTcpServerHandle.endBackOff()} does, which XNIO's own
- * timer calls. Where a version of XNIO differs, that is logged once for each listener and the back-off stays.
+ * timer calls. If a version of XNIO lacks these members, a warning is logged once for each listener and the back-off remains.
  */
 final class AcceptPauseWorkaround {
     private static final Logger LOG = LoggerFactory.getLogger(AcceptPauseWorkaround.class);
 
     private final XnioExecutor acceptThread;
     private final Object[] handles;
-    private final Field backOff;
-    private final Method endBackOff;
+    private final Field backOffField;
+    private final Method endBackOffMethod;
 
-    private AcceptPauseWorkaround(XnioExecutor acceptThread, Object[] handles, Field backOff, Method endBackOff) {
+    private AcceptPauseWorkaround(
+            XnioExecutor acceptThread, Object[] handles, Field backOffField, Method endBackOffMethod) {
         this.acceptThread = acceptThread;
         this.handles = handles;
-        this.backOff = backOff;
-        this.endBackOff = endBackOff;
+        this.backOffField = backOffField;
+        this.endBackOffMethod = endBackOffMethod;
     }
 
-    /** The workaround for one listener; without effect where XNIO is not as expected. */
-    @SuppressWarnings("deprecation") // getAcceptThread: the thread that accepts is not the listener's I/O thread
+    /** Creates the workaround for one listener; it has no effect if XNIO lacks the expected members. */
+    @SuppressWarnings("deprecation") // getAcceptThread: accepts run on another thread than the listener's I/O thread
     static AcceptPauseWorkaround of(AcceptingChannel<?> listener) {
         try {
             Field serverField = accessible(listener.getClass().getDeclaredField("realServer"));
@@ -67,22 +68,23 @@
         return elements;
     }
 
-    /** Ends the back-off of each handle that is in one now, on the thread that accepts. */
-    void endPauses() {
+    /** Ends the current back-off of each server handle, on the accept thread. */
+    void endBackOffs() {
         for (Object handle : handles) {
             try {
-                if (backOff.getBoolean(handle)) {
-                    acceptThread.execute(() -> endPause(handle));
+                if (backOffField.getBoolean(handle)) {
+                    acceptThread.execute(() -> endBackOff(handle));
                 }
             } catch (IllegalAccessException e) {
-                throw new IllegalStateException("field " + backOff + " was made accessible and is not", e);
+                throw new IllegalStateException(
+                        "field " + backOffField + " is not accessible although it was made so", e);
             }
         }
     }
 
-    private void endPause(Object handle) {
+    private void endBackOff(Object handle) {
         try {
-            endBackOff.invoke(handle);
+            endBackOffMethod.invoke(handle);
         } catch (ReflectiveOperationException e) {
             LOG.warn("XNIO's back-off after a failed accept could not be ended: {}", e.toString());
         }
--- a/net/src/main/java/garnetreel/net/Addresses.java
+++ b/net/src/main/java/garnetreel/net/Addresses.java
@@ -4,7 +4,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Conversion between "host:port" texts and socket addresses. */
+/** Converts between socket addresses and strings of the form "host:port". */
 public final class Addresses {
     private static final int MAX_PORT = 65_535;
 
@@ -13,24 +13,24 @@
     /**
      * Parses "host:port" or "[IPv6 address]:port", and resolves the host.
      *
-     * @throws IllegalArgumentException when the text has neither form, or its port is out of range
+     * @throws IllegalArgumentException if the text has neither form, or its port is out of range
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
-            throw new IllegalArgumentException("\"" + text + "\" is not host:port");
+            throw new IllegalArgumentException("\"" + text + "\" is not of the form host:port");
         }
         String host = text.substring(0, colon);
         if (host.startsWith("[") && host.endsWith("]")) {
             host = host.substring(1, host.length() - 1);
         } else if (host.indexOf(':') >= 0) {
-            throw new IllegalArgumentException("\"" + text + "\" needs brackets round its address");
+            throw new IllegalArgumentException("\"" + text + "\" has an IPv6 address without brackets");
         }
         int port;
         try {
             port = Integer.parseInt(text.substring(colon + 1));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("\"" + text + "\" has no port");
+            throw new IllegalArgumentException("\"" + text + "\" has no valid port number");
         }
         if (port < 0 || port > MAX_PORT) {
             throw new IllegalArgumentException("\"" + text + "\" has a port outside 0 to " + MAX_PORT);
@@ -38,7 +38,7 @@
         return new InetSocketAddress(host, port);
     }
 
-    /** Formats an address as {@link #parse} reads it, with the numeric host where that is resolved. */
+    /** Formats an address in the form that {@link #parse} reads, with the numeric IP address if the host is resolved. */
     public static String format(InetSocketAddress address) {
         InetAddress resolved = address.getAddress();
         String host = resolved == null ? address.getHostString() : resolved.getHostAddress();
--- a/net/src/main/java/garnetreel/net/BackgroundJournalWriter.java
+++ b/net/src/main/java/garnetreel/net/BackgroundJournalWriter.java
@@ -10,19 +10,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Persists states and journal records on a thread of its own, so that no turn waits for a disk. Of the states of one name
- * only the newest is queued; one that was superseded before its turn is never written. A write that fails is logged and
- * retried until it succeeds, journal records in their order: a disk may fail for a while, and what was accepted has to become
- * durable. At shutdown the number of retries is limited.
+ * Persists states and journal records on a separate thread, so that no turn of the event loop waits for a disk. Of the states of one
+ * name only the newest is queued; one that is superseded before it is written is never written. A write that fails is logged and
+ * retried until it succeeds, journal records in order: a disk may fail temporarily, and accepted records must become durable. At
+ * shutdown the number of retries is limited.
  */
 public final class BackgroundJournalWriter implements EventLoop.DurableStore, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(BackgroundJournalWriter.class);
-    /** Wait ahead of the retry of a failed write. */
+    /** Delay before a failed write is retried. */
     private static final long RETRY_MILLIS = 200;
-    /** Retries that are left once the writer is being closed. */
+    /** Most retries after {@link #close} was called. */
     private static final int MAX_RETRIES_AT_CLOSE = 25;
 
-    /** An entry for the journal: a record, or with {@code durable} null a snapshot that retains some records. */
+    /** A journal record, or if {@code durable} is null a snapshot that retains some records. */
     private record JournalEntry(long sequence, byte[] data, int retainedRecords, Runnable durable) {
         boolean isSnapshot() {
             return durable == null;
@@ -32,7 +32,7 @@
     private final StateDirectory directory;
     private final Journal journal;
     private final ArrayDeque<JournalEntry> journalEntries = new ArrayDeque<>();
-    /** States by name, longest queued first. */
+    /** Queued states by name, the longest queued first. */
     private final Map<String, byte[]> states = new LinkedHashMap<>();
 
     private final Thread thread;
@@ -42,8 +42,8 @@
     /**
      * Starts the writer's thread.
      *
-     * @param directory takes states
-     * @param journal takes records and snapshots, and is closed with the writer; null where none are written
+     * @param directory for states
+     * @param journal for records and snapshots; closed with the writer, null if no records are written
      */
     public BackgroundJournalWriter(StateDirectory directory, Journal journal) {
         this.directory = directory;
@@ -60,40 +60,40 @@
     }
 
     @Override
-    public synchronized void append(long seq, byte[] data, Runnable durable) {
-        journalEntries.add(new JournalEntry(seq, data, -1, durable));
+    public synchronized void append(long sequence, byte[] data, Runnable durable) {
+        journalEntries.add(new JournalEntry(sequence, data, -1, durable));
         notifyAll();
     }
 
     @Override
-    public synchronized void snapshot(long seq, byte[] data, int kept) {
-        journalEntries.add(new JournalEntry(seq, data, kept, null));
+    public synchronized void snapshot(long sequence, byte[] data, int retainedRecords) {
+        journalEntries.add(new JournalEntry(sequence, data, retainedRecords, null));
         notifyAll();
     }
 
     private void run() {
         try {
-            boolean failing = false;
+            boolean previousFailed = false;
             while (awaitWork()) {
-                boolean failed = !writeNext(failing);
+                boolean failed = !writeNext(previousFailed);
                 if (failed && !awaitRetry()) {
                     LOG.error(
-                            "discarded {} journal records and {} states at shutdown, as the disk still fails",
+                            "discarded {} journal records and {} states at shutdown, as writing them still fails",
                             journalEntries.size(),
                             states.size());
                     return;
                 }
-                if (failing && !failed) {
-                    LOG.info("the disk is writable again");
+                if (previousFailed && !failed) {
+                    LOG.info("writing to the disk succeeds again");
                 }
-                failing = failed;
+                previousFailed = failed;
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits until there is something to write; false once the writer is closed and there is nothing. */
+    /** Waits until an entry or a state is queued; false if the writer is closed and none is. */
     private synchronized boolean awaitWork() throws InterruptedException {
         while (states.isEmpty() && journalEntries.isEmpty()) {
             if (closed) {
@@ -104,17 +104,17 @@
         return true;
     }
 
-    /** Writes the next journal entry, else the next state; false if that failed, and it then stays queued. */
-    private boolean writeNext(boolean failing) {
+    /** Writes the next journal entry, or if there is none the next state; false if that failed, and it stays queued. */
+    private boolean writeNext(boolean previousFailed) {
         JournalEntry entry = firstJournalEntry();
-        return entry == null ? writeState(failing) : writeJournalEntry(entry, failing);
+        return entry == null ? writeState(previousFailed) : writeJournalEntry(entry, previousFailed);
     }
 
     private synchronized JournalEntry firstJournalEntry() {
         return journalEntries.peek();
     }
 
-    private boolean writeJournalEntry(JournalEntry entry, boolean failing) {
+    private boolean writeJournalEntry(JournalEntry entry, boolean previousFailed) {
         try {
             if (entry.isSnapshot()) {
                 journal.snapshot(entry.sequence(), entry.data(), entry.retainedRecords());
@@ -123,7 +123,7 @@
                 entry.durable().run();
             }
         } catch (IOException e) {
-            logFailure("record " + entry.sequence(), e, failing);
+            logFailure("journal entry " + entry.sequence(), e, previousFailed);
             return false;
         }
         synchronized (this) {
@@ -132,7 +132,7 @@
         return true;
     }
 
-    private boolean writeState(boolean failing) {
+    private boolean writeState(boolean previousFailed) {
         String name;
         byte[] data;
         synchronized (this) {
@@ -142,23 +142,23 @@
         try {
             directory.write(name, data);
         } catch (IOException e) {
-            logFailure("state " + name, e, failing);
+            logFailure("state " + name, e, previousFailed);
             return false;
         }
         synchronized (this) {
-            states.remove(name, data); // stays where a newer one was queued meanwhile
+            states.remove(name, data); // a newer state queued meanwhile stays
         }
         return true;
     }
 
-    /** Logs the first of several failures in a row. */
-    private static void logFailure(String what, IOException cause, boolean failing) {
-        if (!failing) {
-            LOG.warn("{} could not be written and is retried: {}", what, cause.getMessage());
+    /** Logs a failed write, unless the previous one failed too. */
+    private static void logFailure(String what, IOException cause, boolean previousFailed) {
+        if (!previousFailed) {
+            LOG.warn("writing {} failed, retrying: {}", what, cause.getMessage());
         }
     }
 
-    /** Waits ahead of a retry; false if none is left. */
+    /** Waits before a retry; false if no retries are left. */
     private synchronized boolean awaitRetry() throws InterruptedException {
         if (closed && ++retriesAtClose > MAX_RETRIES_AT_CLOSE) {
             return false;
@@ -167,7 +167,7 @@
         return true;
     }
 
-    /** Writes what is queued, as long as retries are left, then closes the journal. */
+    /** Writes all queued entries and states, as long as retries are left, then closes the journal. */
     @Override
     public void close() {
         synchronized (this) {
--- a/net/src/main/java/garnetreel/net/Clock.java
+++ b/net/src/main/java/garnetreel/net/Clock.java
@@ -1,14 +1,14 @@
 package garnetreel.net;
 
-/** The time that state machines receive: microseconds since the epoch that never go back. */
+/** The time that state machines receive: microseconds since the epoch, never decreasing. */
 @FunctionalInterface
 public interface Clock {
     /** Microseconds since the epoch. */
     long currentMicros();
 
     /**
-     * The wall clock's time at this call, advanced by the monotonic clock. All processes of one host agree within a few
-     * milliseconds; a step of the host's wall clock has no effect on a running process.
+     * A clock that starts at the wall-clock time of this call and is advanced by the monotonic clock. The clocks of all processes
+     * on a host agree within a few milliseconds; a step of the host's wall clock has no effect on a running process.
      */
     static Clock system() {
         long base = System.currentTimeMillis() * 1000;
--- a/net/src/main/java/garnetreel/net/ConnectionTable.java
+++ b/net/src/main/java/garnetreel/net/ConnectionTable.java
@@ -10,23 +10,23 @@
 import org.xnio.StreamConnection;
 
 /**
- * The connections of one event loop, until each one's socket is closed. Used on its I/O thread, but for {@link #size} and
- * {@link #abortAll}.
+ * The connections of one event loop, each until its socket is closed. Used on the I/O thread only, except for {@link #size}
+ * and {@link #abortAll}.
  */
 final class ConnectionTable implements SocketConnection.CloseListener {
-    /** Connections that await their peer's end of stream; past it the one that has waited longest is aborted. */
+    /** Most connections that await their peer's end of stream; beyond it the one that has waited longest is aborted. */
     private static final int MAX_LINGERING = 24;
 
     private final EventLoop loop;
     private final EventQueue events;
     private final Map<Long, SocketConnection> connections = new ConcurrentHashMap<>();
-    /** Connections with writes that are not flushed. */
+    /** Connections with writes that were queued since the last flush. */
     private final Set<SocketConnection> unflushed = new LinkedHashSet<>();
-    /** Connections that are being closed in order; a process that ended before them would reset them. */
+    /** Connections in an orderly close. They would be reset if the process exited before they are closed. */
     private final Set<SocketConnection> closing = new LinkedHashSet<>();
-    /** Those of them that await their peer's end of stream, longest first. */
+    /** Connections in an orderly close that await their peer's end of stream, the longest wait first. */
     private final Set<SocketConnection> lingering = new LinkedHashSet<>();
-    /** Connections that the state machine does not read at present. */
+    /** Connections on which the state machine has paused reading. */
     private final Set<Long> readPaused = new LinkedHashSet<>();
 
     ConnectionTable(EventLoop loop, EventQueue events) {
@@ -34,7 +34,7 @@
         this.events = events;
     }
 
-    /** Takes up a connection; its bytes are delivered once it is started. */
+    /** Adds a connection; received bytes are delivered once it is started. */
     SocketConnection add(long id, StreamConnection stream) {
         SocketConnection connection = new SocketConnection(id, stream, events, this);
         connections.put(id, connection);
@@ -45,7 +45,7 @@
         return connections.size();
     }
 
-    /** Whether no connection is being closed in order. */
+    /** Whether no connection is in an orderly close. */
     boolean allClosesComplete() {
         return closing.isEmpty();
     }
@@ -82,25 +82,25 @@
         }
     }
 
-    /** Forgets a connection's pause of reading, as it is being closed. */
+    /** Removes a connection that is being closed from those with paused reading. */
     void clearReadPause(long id) {
         readPaused.remove(id);
     }
 
-    /** Writes what the last turn queued. */
+    /** Writes the bytes that the last turn queued. */
     void flush() {
         for (SocketConnection connection : unflushed) {
             int drained = connection.flush();
             if (drained > 0) {
-                // Only a state machine that has paused reading until there is capacity needs to know at once.
+                // Urgent only if the state machine has paused reading: it may wait for this event to resume.
                 events.add(new NetEvent.Drained(connection.id, drained), !readPaused.isEmpty());
             }
         }
         unflushed.clear();
     }
 
-    /** Settles the events of a turn: chunks that are handled make capacity for others, ended connections are forgotten. */
-    void settle(List<NetEvent> handled) {
+    /** Completes the events of a turn: returns the read credits of handled chunks, and removes closed connections. */
+    void completeEvents(List<NetEvent> handled) {
         for (NetEvent event : handled) {
             if (event instanceof NetEvent.Received received) {
                 SocketConnection connection = connections.get(received.connectionId());
@@ -125,14 +125,14 @@
     @Override
     public void closed(SocketConnection connection) {
         connections.remove(connection.id, connection);
-        if (!loop.isClosed()) { // then this may be another thread than the sets' own
+        if (!loop.isClosed()) { // otherwise possibly on another thread, and the sets aren't thread-safe
             lingering.remove(connection);
             closing.remove(connection);
             loop.completeStopIfDrained();
         }
     }
 
-    /** Closes all sockets as they are; on any thread, once the loop is closed. */
+    /** Closes all sockets immediately; on any thread, after the loop is closed. */
     void abortAll() {
         List.copyOf(connections.values()).forEach(connection -> connection.close(true));
     }
--- a/net/src/main/java/garnetreel/net/EventLoop.java
+++ b/net/src/main/java/garnetreel/net/EventLoop.java
@@ -15,27 +15,27 @@
 import org.xnio.XnioWorker;
 
 /**
- * Runs one {@link StateMachine} on sockets. One XNIO I/O thread carries its bytes and calls it: what became ready in one
- * selection is read first, and then goes into one turn. No byte crosses from thread to thread on its way (the
- * alternatives, with figures, are in docs/gateway.md). It decides nothing.
+ * Runs one {@link StateMachine} on sockets. One XNIO I/O thread reads, writes and calls it: all sockets that are ready in one
+ * selection are read first, then their events are handled in one turn (call of {@code handle}). Bytes are never handed from
+ * thread to thread (the alternatives, with figures, are in docs/gateway.md). All decisions are made by the state machine.
  */
 public final class EventLoop implements AutoCloseable {
-    /** Persists state for a state machine; called on the event loop's thread, so it must not wait for a disk. */
+    /** Durable storage of a state machine; called on the event loop's thread, so it must not wait for a disk. */
     @FunctionalInterface
     public interface DurableStore {
-        /** Persists bytes under a name, in place of what was persisted under it before. */
+        /** Persists a named state, in place of the previous one of that name. */
         void persist(String name, byte[] data);
 
-        /** Makes a record of the journal durable, then runs {@code durable}, on any thread. */
-        default void append(long seq, byte[] data, Runnable durable) {
+        /** Appends a record to the journal, and runs {@code durable} on any thread once it is durable. */
+        default void append(long sequence, byte[] data, Runnable durable) {
             durable.run();
         }
 
-        /** Persists a snapshot of the journal; of the records that it covers, the last {@code kept} are retained. */
-        default void snapshot(long seq, byte[] data, int kept) {}
+        /** Persists a snapshot; of the journal records that it covers, the last {@code retainedRecords} are retained. */
+        default void snapshot(long sequence, byte[] data, int retainedRecords) {}
     }
 
-    /** Turns in a row that a state machine gets when it wants them at once; then sockets are looked at. */
+    /** Most turns in a row of a state machine whose deadline is due; then the sockets are read again. */
     private static final int MAX_TURNS_IN_A_ROW = 16;
 
     private final String name;
@@ -51,16 +51,16 @@
     private final OutgoingConnections outgoing;
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final List<NetAction> actions = new ArrayList<>();
-    /** The state machine has stopped; what it closed in order may not have been sent. */
+    /** The state machine has stopped; connections in an orderly close may still have bytes to send. */
     private boolean stopping;
 
     private volatile boolean closed;
 
     /**
-     * Prepares an event loop with an I/O thread of its own; {@link #start} gives it its first turn.
+     * Creates an event loop with its own I/O thread; {@link #start} runs the first turn.
      *
      * @param name of the loop's threads and of its logger
-     * @throws IOException when the system refuses what a selector needs
+     * @throws IOException if the selector can't be opened
      */
     public EventLoop(String name, StateMachine stateMachine, Clock clock, DurableStore store) throws IOException {
         this.name = name;
@@ -76,20 +76,20 @@
         this.outgoing = new OutgoingConnections(this, ioThread, events, connections);
     }
 
-    /** Gives the state machine its first turn. */
+    /** Runs the first turn of the state machine. */
     public EventLoop start() {
         turns.request();
         return this;
     }
 
-    /** The address of a listener once it is bound; completes exceptionally when it can't be. */
+    /** Completes with the address of a listener once it is bound; exceptionally if it can't be. */
     public CompletableFuture<String> boundAddress(String listener) {
         return listeners.boundAddress(listener);
     }
 
     /**
-     * Completes once the state machine has stopped and what it closed in order is sent, or once the loop was closed; completes
-     * exceptionally when the state machine failed.
+     * Completes when the state machine has stopped and its orderly closes are complete, or when the loop is closed; completes
+     * exceptionally if the state machine failed.
      */
     public CompletableFuture<Void> stopped() {
         return stopped;
@@ -100,12 +100,12 @@
         events.add(new NetEvent.CommandReceived(command));
     }
 
-    /** Runs no turn for so long, as if the process were paused. For tests of that. */
+    /** Runs no turn for a time, as if the process were paused. For tests. */
     public void simulatePause(long micros) {
         turns.stall(micros);
     }
 
-    /** Ends at once, as a killed process would: no turn follows, sockets are closed as they are. */
+    /** Ends immediately, as a killed process would: no turn follows, sockets are closed without an orderly close. */
     @Override
     public void close() {
         closed = true;
@@ -132,12 +132,12 @@
         }
     }
 
-    /** Open connections; for tests that watch descriptors. */
+    /** Number of connections whose sockets are not closed; for tests of descriptor use. */
     public int openConnections() {
         return connections.size();
     }
 
-    /** Connections accepted by all listeners since the start. */
+    /** Number of connections accepted by all listeners since the start. */
     public long acceptedCount() {
         return listeners.acceptedCount();
     }
@@ -149,7 +149,7 @@
 
     // ---------------------------------------------------------------- on the I/O thread
 
-    /** Whether the loop was closed, so that no turn follows; on any thread. */
+    /** Whether the loop is closed, so that no turn follows; on any thread. */
     boolean isClosed() {
         return closed;
     }
@@ -167,9 +167,9 @@
             } while (!closed && count < MAX_TURNS_IN_A_ROW && turns.isDueNow(stateMachine.nextDeadline()));
             turns.schedule(stateMachine.nextDeadline());
         } catch (RuntimeException | Error e) {
-            // A state machine that failed in any way has lost its state: its loop ends, and whoever waits for the loop
-            // learns the cause.
-            log.error("{} failed and is closed", name, e);
+            // The state of a state machine that threw is undefined: its loop is closed, and futures that wait for the
+            // loop complete with the cause.
+            log.error("{} failed, closing its event loop", name, e);
             stopped.completeExceptionally(e);
             listeners.failPendingAddresses(e);
             close();
@@ -187,7 +187,7 @@
         }
         actions.clear();
         connections.flush();
-        connections.settle(handled);
+        connections.completeEvents(handled);
     }
 
     private void perform(NetAction action) {
@@ -228,7 +228,7 @@
         }
     }
 
-    /** Completes the stop of a state machine once all that it closed in order is sent and its listeners are closed. */
+    /** Completes the stop of the state machine once its orderly closes are complete and its listeners closed. */
     void completeStopIfDrained() {
         if (stopping && connections.allClosesComplete() && listeners.allStopsComplete()) {
             stopped.complete(null);
--- a/net/src/main/java/garnetreel/net/EventQueue.java
+++ b/net/src/main/java/garnetreel/net/EventQueue.java
@@ -6,25 +6,25 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Events that wait for the state machine's next turn. Its bound follows from who may add: a connection has at most
- * {@link SocketConnection#MAX_UNHANDLED_CHUNKS} reads, one drained and one closed in it, and accepts stop while
- * {@link #isFull()}. Used on any thread.
+ * Events that wait for the state machine's next turn. Its length is bounded: a connection has at most
+ * {@link SocketConnection#MAX_UNHANDLED_CHUNKS} received, one drained and one closed event in it, and no connection is accepted
+ * while {@link #isFull()}. Thread-safe.
  */
 final class EventQueue {
-    /** Number of events from which on no connection is accepted. */
+    /** Number of queued events at which connections are no longer accepted. */
     private static final int ACCEPT_LIMIT = 8_192;
-    /** Spare capacity of the next list, over what the last turn took. */
+    /** Initial capacity of the next list beyond the number of events of the last turn. */
     private static final int SPARE_CAPACITY = 8;
 
     private final ReentrantLock lock = new ReentrantLock();
-    private final Runnable turnRequest;
+    private final Runnable requestTurn;
     private List<NetEvent> events = new ArrayList<>();
     private boolean turnRequested;
     private boolean closed;
 
-    /** @param turnRequest requests a turn; called once for all urgent events until they are taken */
-    EventQueue(Runnable turnRequest) {
-        this.turnRequest = turnRequest;
+    /** @param requestTurn requests a turn; called for the first urgent event since the last {@link #take} */
+    EventQueue(Runnable requestTurn) {
+        this.requestTurn = requestTurn;
     }
 
     /** Adds an event and requests a turn. */
@@ -32,25 +32,25 @@
         add(event, true);
     }
 
-    /** Adds an event; one that is not urgent requests no turn, and waits for the next. */
+    /** Adds an event. If it is not urgent, no turn is requested, and it waits for the next one. */
     void add(NetEvent event, boolean urgent) {
-        boolean request = false;
+        boolean firstUrgent = false;
         lock.lock();
         try {
             if (!closed) {
                 events.add(event);
-                request = urgent && !turnRequested;
+                firstUrgent = urgent && !turnRequested;
                 turnRequested |= urgent;
             }
         } finally {
             lock.unlock();
         }
-        if (request) {
-            turnRequest.run();
+        if (firstUrgent) {
+            requestTurn.run();
         }
     }
 
-    /** Whether no connection may be accepted at present. */
+    /** Whether so many events are queued that no connection may be accepted. */
     boolean isFull() {
         lock.lock();
         try {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Takes all events. */
+    /** Removes and returns all events. */
     List<NetEvent> take() {
         lock.lock();
         try {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Drops all events, and all that are added from now on. */
+    /** Discards all events, and all that are added later. */
     void close() {
         lock.lock();
         try {
--- a/net/src/main/java/garnetreel/net/IoWorkers.java
+++ b/net/src/main/java/garnetreel/net/IoWorkers.java
@@ -6,9 +6,9 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** XNIO workers, and the options of their sockets. */
+/** Creates XNIO workers, and defines the options of their sockets. */
 final class IoWorkers {
-    /** Connections that the system accepts ahead of the process. */
+    /** Length of the accept queue: connections that are established but not accepted by the process yet. */
     private static final int BACKLOG = 1024;
 
     /** Options of listeners and connections. */
@@ -21,9 +21,9 @@
     private IoWorkers() {}
 
     /**
-     * A worker with one I/O thread, whose threads don't keep the process alive.
+     * Creates a worker with one I/O thread and daemon threads only.
      *
-     * @throws IOException when the system refuses what a selector needs
+     * @throws IOException if the selector can't be opened
      */
     static XnioWorker create(String name) throws IOException {
         return Xnio.getInstance("nio", IoWorkers.class.getClassLoader())
--- a/net/src/main/java/garnetreel/net/Listeners.java
+++ b/net/src/main/java/garnetreel/net/Listeners.java
@@ -24,18 +24,18 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** The listeners of one event loop: binds them, accepts their connections, and ends them. Used on its I/O thread. */
+/** The listeners of one event loop: binds them, accepts their connections, and stops them. Used on the I/O thread. */
 final class Listeners {
     /**
-     * How much longer a listener that is ended stays open. XNIO accepts on a thread of its own, and connections in the
-     * system's queue are reset when the listener is closed, though a client may have sent a request.
+     * How long a stopped listener stays open. XNIO accepts on a separate thread, and connections in the accept queue are reset
+     * when the listener is closed, though a client may already have sent a request.
      */
     private static final long STOP_DELAY_MILLIS = 5;
-    /** Longest time for which a failed accept keeps a listener from accepting. */
+    /** Interval of ending XNIO's back-off: the longest time for which a failed accept keeps a listener from accepting. */
     private static final long ACCEPT_PAUSE_CHECK_MILLIS = 20;
     /**
-     * Retries of binding an address, 8 s in all. Guards against a restart that fails because the previous process, or a
-     * connection from its port, is not completely gone.
+     * Retries of binding an address, 8 s in all. Without them a restart fails while the previous process, or a connection from
+     * its port, is not completely gone.
      */
     private static final int MAX_BIND_RETRIES = 80;
 
@@ -48,9 +48,9 @@
     private final EventQueue events;
     private final ConnectionTable connections;
     private final Map<String, AcceptingChannel<StreamConnection>> listeners = new ConcurrentHashMap<>();
-    /** Listeners whose address is being bound. */
+    /** Names of listeners whose address is not bound yet. */
     private final Set<String> binding = new LinkedHashSet<>();
-    /** Listeners that have been ended and stay open for a moment. */
+    /** Listeners that were stopped and are open for {@link #STOP_DELAY_MILLIS} more. */
     private final Set<AcceptingChannel<StreamConnection>> stopping = ConcurrentHashMap.newKeySet();
 
     private final Map<String, CompletableFuture<String>> boundAddresses = new ConcurrentHashMap<>();
@@ -65,17 +65,17 @@
         this.connections = connections;
     }
 
-    /** The address of a listener once it is bound; on any thread. */
+    /** Completes with the address of a listener once it is bound; on any thread. */
     CompletableFuture<String> boundAddress(String listener) {
         return boundAddresses.computeIfAbsent(listener, any -> new CompletableFuture<>());
     }
 
-    /** Connections accepted since the start; on any thread. */
+    /** Number of connections accepted since the start; on any thread. */
     long acceptedCount() {
         return accepted.get();
     }
 
-    /** Whether no listener that was ended is still open. */
+    /** Whether all stopped listeners are closed. */
     boolean allStopsComplete() {
         return stopping.isEmpty();
     }
@@ -106,7 +106,7 @@
                 reportFailure(listen, address, e);
                 return;
             }
-            log.info("can't listen on {} yet: {}", listen.address(), e.getMessage());
+            log.info("can't listen on {}, retrying: {}", listen.address(), e.getMessage());
             ioThread.executeAfter(() -> retryBind(listen, retriesLeft - 1), BIND_RETRY_MILLIS, TimeUnit.MILLISECONDS);
         } catch (IOException | IllegalArgumentException e) {
             reportFailure(listen, address, e);
@@ -119,7 +119,7 @@
         }
     }
 
-    /** With a limit XNIO accepts no more while so many connections are open, and goes on when one has been closed. */
+    /** Socket options with which XNIO stops accepting at a number of open connections until one is closed; 0 for no limit. */
     private static OptionMap optionsWithLimit(int maxConnections) {
         return maxConnections == 0
                 ? IoWorkers.SOCKET_OPTIONS
@@ -136,7 +136,7 @@
                 new IOException("can't listen on " + listen.address() + ": " + cause.getMessage(), cause));
     }
 
-    /** Fails what waits for an address, as no listener will be bound any more; without effect where one was. */
+    /** Completes all pending address futures exceptionally, as no further listener will be bound. */
     void failPendingAddresses(Throwable cause) {
         boundAddresses.values().forEach(address -> address.completeExceptionally(cause));
     }
@@ -148,7 +148,7 @@
         ioThread.executeAfter(
                 () -> {
                     if (!loop.isClosed() && listeners.get(listener) == server) {
-                        workaround.endPauses();
+                        workaround.endBackOffs();
                         keepAccepting(listener, server, workaround);
                     }
                 },
@@ -161,27 +161,27 @@
             StreamConnection stream = acceptNext(server);
             while (stream != null) {
                 SocketConnection connection = connections.add(accepted.incrementAndGet(), stream);
-                events.add(new NetEvent.Accepted(connection.id, listener, peerText(stream.getPeerAddress())));
+                events.add(new NetEvent.Accepted(connection.id, listener, formatPeer(stream.getPeerAddress())));
                 connection.start();
                 stream = acceptNext(server);
             }
         } catch (IOException e) {
-            log.warn("accepting on {} failed: {}", listener, e.getMessage());
+            log.warn("accepting a connection on listener {} failed: {}", listener, e.getMessage());
         }
     }
 
-    /** The next connection, null for none at present. */
+    /** Accepts the next connection; null if there is none, or if none may be accepted now. */
     private StreamConnection acceptNext(AcceptingChannel<StreamConnection> server) throws IOException {
         return loop.isClosed() || events.isFull() ? null : server.accept();
     }
 
-    private static String peerText(SocketAddress peer) {
+    private static String formatPeer(SocketAddress peer) {
         return peer instanceof InetSocketAddress inet ? Addresses.format(inet) : String.valueOf(peer);
     }
 
-    // ---------------------------------------------------------------- ending
+    // ---------------------------------------------------------------- stopping
 
-    /** Ends a listener once the connections that wait in it are accepted. */
+    /** Stops a listener after the connections in its accept queue are accepted. */
     void stop(String listener) {
         binding.remove(listener);
         AcceptingChannel<StreamConnection> server = listeners.remove(listener);
@@ -195,11 +195,11 @@
         accept(listener, server);
         IoUtils.safeClose(server);
         stopping.remove(server);
-        loop.runTurns(); // the state machine learns of the last accepted connections before its stop counts
+        loop.runTurns(); // the state machine handles the last accepted connections before its stop completes
         loop.completeStopIfDrained();
     }
 
-    /** Closes all listeners as they are; on any thread, once the loop is closed. */
+    /** Closes all listeners immediately; on any thread, after the loop is closed. */
     void closeAll() {
         listeners.values().forEach(IoUtils::safeClose);
         stopping.forEach(IoUtils::safeClose);
--- a/net/src/main/java/garnetreel/net/OutboundQueue.java
+++ b/net/src/main/java/garnetreel/net/OutboundQueue.java
@@ -5,9 +5,9 @@
 import java.util.ArrayDeque;
 import org.xnio.conduits.ConduitStreamSinkChannel;
 
-/** Buffers of one connection that the socket has not taken yet, in order. Guarded by the lock of its connection. */
+/** Buffers of one connection that are not written to its socket yet, in order. Guarded by the lock of the connection. */
 final class OutboundQueue {
-    /** Buffers of one gathering write. */
+    /** Most buffers in one gathering write. */
     private static final int MAX_GATHERED_BUFFERS = 64;
 
     private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
@@ -21,10 +21,10 @@
     }
 
     /**
-     * Writes as many of the first buffers as one call takes, and removes those that are written completely.
+     * Makes one write call with the first buffers, and removes those that are written completely.
      *
-     * @return bytes written, 0 when the socket is full
-     * @throws IOException when the connection is broken
+     * @return bytes written, 0 if the send buffer of the socket is full
+     * @throws IOException if the connection is broken
      */
     long writeTo(ConduitStreamSinkChannel sink) throws IOException {
         long written = writeFirst(sink);
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Writes at most one chunk of a buffer. The JDK copies a heap buffer into a direct one that is as large as what it is
-     * given, and caches that for the thread; the bound keeps the cached buffer small.
+     * Writes at most {@link SocketConnection#MAX_CHUNK_BYTES} of a buffer. The JDK copies a heap buffer into a direct buffer of
+     * the same size and caches that for the thread; the bound keeps the cached buffer small.
      */
     private static int writeBounded(ConduitStreamSinkChannel sink, ByteBuffer buffer) throws IOException {
         int limit = buffer.limit();
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Drops all buffers and returns how many bytes of them were not written. */
+    /** Removes all buffers and returns how many of their bytes were not written. */
     int discard() {
         int unsent = 0;
         for (ByteBuffer buffer : buffers) {
--- a/net/src/main/java/garnetreel/net/OutgoingConnections.java
+++ b/net/src/main/java/garnetreel/net/OutgoingConnections.java
@@ -13,13 +13,13 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
 
-/** Opens the connections of one event loop to its peers. Used on its I/O thread, but for {@link #cancelAll}. */
+/** Opens the connections of one event loop to its peers. Used on the I/O thread, except for {@link #cancelAll}. */
 final class OutgoingConnections {
     private final EventLoop loop;
     private final XnioIoThread ioThread;
     private final EventQueue events;
     private final ConnectionTable connections;
-    private final Map<Long, IoFuture<StreamConnection>> opening = new ConcurrentHashMap<>();
+    private final Map<Long, IoFuture<StreamConnection>> pending = new ConcurrentHashMap<>();
 
     OutgoingConnections(EventLoop loop, XnioIoThread ioThread, EventQueue events, ConnectionTable connections) {
         this.loop = loop;
@@ -38,16 +38,16 @@
             return;
         }
         IoFuture<StreamConnection> future = ioThread.openStreamConnection(address, null, IoWorkers.SOCKET_OPTIONS);
-        opening.put(id, future);
+        pending.put(id, future);
         future.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
-                    public void handleDone(StreamConnection stream, Void nothing) {
+                    public void handleDone(StreamConnection stream, Void attachment) {
                         opened(id, stream);
                     }
 
                     @Override
-                    public void handleFailed(IOException cause, Void nothing) {
+                    public void handleFailed(IOException cause, Void attachment) {
                         failed(id, cause);
                     }
                 },
@@ -55,8 +55,8 @@
     }
 
     private void opened(long id, StreamConnection stream) {
-        if (opening.remove(id) == null || loop.isClosed()) {
-            IoUtils.safeClose(stream); // the state machine has closed it meanwhile
+        if (pending.remove(id) == null || loop.isClosed()) {
+            IoUtils.safeClose(stream); // closed by the state machine or with the loop meanwhile
             return;
         }
         SocketConnection connection = connections.add(id, stream);
@@ -65,27 +65,27 @@
     }
 
     private void failed(long id, IOException cause) {
-        if (opening.remove(id) != null) {
+        if (pending.remove(id) != null) {
             events.add(
                     new NetEvent.Closed(id, false, false, isLocalFailure(cause), String.valueOf(cause.getMessage())));
         }
     }
 
-    /** Whether the cause lies on this host: all but a refusal by the peer, and no reply on the way. */
+    /** Whether the cause lies on this host: any but a failure to reach the peer or a refusal by it. */
     private static boolean isLocalFailure(IOException cause) {
         return !(cause instanceof ConnectException) && !(cause instanceof NoRouteToHostException);
     }
 
-    /** Gives up a connection that is not open yet; without effect on any other. */
+    /** Cancels a connection that is not open yet; no effect on an open one. */
     void cancel(long id) {
-        IoFuture<StreamConnection> future = opening.remove(id);
+        IoFuture<StreamConnection> future = pending.remove(id);
         if (future != null) {
             future.cancel();
         }
     }
 
-    /** Gives up all connections that are not open yet; on any thread, once the loop is closed. */
+    /** Cancels all connections that are not open yet; on any thread, after the loop is closed. */
     void cancelAll() {
-        opening.values().forEach(IoFuture::cancel);
+        pending.values().forEach(IoFuture::cancel);
     }
 }
--- a/net/src/main/java/garnetreel/net/SocketConnection.java
+++ b/net/src/main/java/garnetreel/net/SocketConnection.java
@@ -12,22 +12,21 @@
 
 /**
  * One connection. Received bytes are delivered in chunks, with a limit on those that the state machine has not handled yet,
- * so that a slow state machine exerts backpressure on its peer. Writes are tried at the end of a turn, as most fit into the
- * socket at once; the rest is written when the socket becomes writable.
+ * so that a slow state machine exerts backpressure on its peer. Writes are attempted at the end of a turn, as most fit into the
+ * send buffer of the socket; the rest is written when the socket becomes writable.
  *
- * <p>This is the one place that decides how a connection ends. An orderly close sends everything, shuts down the sending
- * side, then reads and discards until the peer's end of stream (RFC 9112, 9.6). Guards against a close while received
- * bytes are unread or arrive at that moment: that is a reset, and a reset can destroy a response that the peer has not
- * read yet.
+ * <p>How a connection ends is decided here alone. An orderly close sends all queued bytes, shuts down the sending side, then
+ * reads and discards until the peer's end of stream (RFC 9112, 9.6). A close while received bytes are unread, or while bytes
+ * arrive, would be a reset, and a reset can destroy a response that the peer has not read yet.
  */
 final class SocketConnection {
-    /** Received chunks that the state machine has not handled; at this many the socket is not read. */
+    /** Number of received chunks that the state machine has not handled at which the socket is no longer read. */
     static final int MAX_UNHANDLED_CHUNKS = 4;
-    /** Largest chunk; also the size of an I/O thread's buffer. */
+    /** Largest chunk; also the size of the read buffer of an I/O thread. */
     static final int MAX_CHUNK_BYTES = 128 << 10;
-    /** A connection that is being closed and has not sent everything by then is aborted. */
+    /** Longest time to send the queued bytes in an orderly close; then the connection is aborted. */
     private static final long SEND_TIMEOUT_MILLIS = 5_000;
-    /** Longest wait for the peer's end of stream after the shutdown. */
+    /** Longest wait for the peer's end of stream after the shutdown of the sending side. */
     static final long LINGER_TIMEOUT_MILLIS = 1_000;
     /** Most bytes discarded while waiting for the peer's end of stream. */
     private static final int MAX_LINGER_BYTES = 1 << 20;
@@ -35,9 +34,9 @@
     private static final ThreadLocal<ByteBuffer> READ_BUFFER =
             ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(MAX_CHUNK_BYTES));
 
-    /** Is notified of the steps of an orderly close; on the I/O thread. */
+    /** Is notified when a connection lingers and when it is closed; on the I/O thread, or the thread that closes the loop. */
     interface CloseListener {
-        /** Everything is sent and the sending side shut down; the peer's end of stream is awaited. */
+        /** All bytes are sent and the sending side is shut down; the peer's end of stream is awaited. */
         void lingering(SocketConnection connection);
 
         /** The socket is closed. */
@@ -46,14 +45,14 @@
 
     private enum Phase {
         OPEN,
-        /** Closed by the state machine; sends what is left before the shutdown. */
+        /** Closed by the state machine; the queued bytes are sent before the shutdown of the sending side. */
         SENDING,
-        /** Shut down; awaits the peer's end of stream. */
+        /** The sending side is shut down; awaits the peer's end of stream. */
         LINGERING,
         CLOSED
     }
 
-    /** The number under which the state machine knows this connection. */
+    /** Identifier of this connection in the events and actions of the state machine. */
     final long id;
 
     private final EventQueue events;
@@ -69,7 +68,7 @@
     private boolean readInterest = true;
     private boolean awaitingWritable;
     private boolean peerEnded;
-    /** Bytes written that the state machine has not been notified of. */
+    /** Bytes written to the socket for which no {@link NetEvent.Drained} was queued yet. */
     private int drainedBytes;
 
     private int discardedBytes;
@@ -116,7 +115,7 @@
         }
     }
 
-    /** Whether the socket is to be read now; else its read events are suspended. */
+    /** Whether the socket is to be read now; if not, its read events are suspended. */
     private synchronized boolean continueReading() {
         boolean paused = phase == Phase.OPEN && (!readInterest || readCredits == 0);
         if (phase == Phase.CLOSED || paused) {
@@ -126,7 +125,7 @@
         return true;
     }
 
-    /** Delivers a chunk to the state machine, or discards it once that has closed the connection; whether to read on. */
+    /** Delivers a chunk, or discards it if the state machine has closed the connection. Returns whether to read on. */
     private boolean deliver(ByteBuffer received) {
         synchronized (this) {
             if (phase != Phase.OPEN) {
@@ -143,14 +142,14 @@
         return true;
     }
 
-    /** The state machine has handled a chunk. */
+    /** Notes that the state machine has handled a chunk, and resumes reading if all read credits were in use. */
     synchronized void releaseReadCredit() {
         if (readCredits++ == 0 && readInterest && phase == Phase.OPEN) {
             source.resumeReads();
         }
     }
 
-    /** Whether the state machine wants to receive more. */
+    /** Pauses or resumes reading for the state machine. */
     synchronized void setReadInterest(boolean enabled) {
         readInterest = enabled;
         if (enabled && readCredits > 0 && phase == Phase.OPEN) {
@@ -167,7 +166,7 @@
         }
     }
 
-    /** Writes what fits; called once after a turn that wrote. Returns the bytes that have drained since the last call. */
+    /** Writes queued bytes, after a turn. Returns the written bytes for which no event was queued yet. */
     synchronized int flush() {
         if (!awaitingWritable && phase != Phase.CLOSED) {
             writeOutbound();
@@ -196,7 +195,7 @@
         }
     }
 
-    /** Writes until the socket is full or nothing is left; only under the lock. */
+    /** Writes until the send buffer of the socket is full or no bytes are queued. Guarded by the lock. */
     private void writeOutbound() {
         try {
             long written = -1;
@@ -227,7 +226,7 @@
 
     // ---------------------------------------------------------------- closing
 
-    /** Closes the connection for the state machine: in order, or with {@code abort} at once. */
+    /** Closes the connection for the state machine: in an orderly close, or with {@code abort} immediately. */
     synchronized void close(boolean abort) {
         if (abort) {
             abort();
@@ -235,7 +234,7 @@
             phase = Phase.SENDING;
             abortAfter(SEND_TIMEOUT_MILLIS);
             if (!peerEnded) {
-                source.resumeReads(); // also where the state machine had paused reading
+                source.resumeReads(); // also if the state machine has paused reading
             }
             if (!awaitingWritable) {
                 writeOutbound();
@@ -243,7 +242,7 @@
         }
     }
 
-    /** Everything has been sent; only under the lock. */
+    /** Shuts down the sending side after all bytes were sent. Guarded by the lock. */
     private void shutDownSending() throws IOException {
         sink.shutdownWrites();
         sink.flush();
@@ -269,8 +268,8 @@
     }
 
     /**
-     * Closes the socket as it is, once. Where nothing is unread and everything sent, the peer cannot tell it from an orderly
-     * close.
+     * Closes the socket immediately, if it is open. If all received bytes are read and all queued bytes sent, the peer can't
+     * distinguish this from an orderly close.
      */
     void abort() {
         synchronized (this) {
@@ -282,7 +281,7 @@
             int unreported = takeDrainedBytes() + outbound.discard();
             IoUtils.safeClose(stream);
             if (unreported > 0) {
-                // The state machine's count of undrained bytes must return to zero although these are never sent.
+                // Unsent bytes count as drained: the state machine's count of undrained bytes must return to zero.
                 events.add(new NetEvent.Drained(id, unreported));
             }
         }
@@ -292,7 +291,7 @@
     private void onEndOfStream() {
         synchronized (this) {
             if (phase == Phase.SENDING) {
-                peerEnded = true; // it may still read
+                peerEnded = true; // the peer may still read
                 source.suspendReads();
                 return;
             }
@@ -300,7 +299,7 @@
         fail(true, "closed by the peer");
     }
 
-    /** The peer or the network ended the connection. */
+    /** Handles the end of the connection by its peer or the network. */
     private void fail(boolean orderly, String reason) {
         boolean wasOpen;
         synchronized (this) {
--- a/net/src/test/java/garnetreel/net/EventLoopTest.java
+++ b/net/src/test/java/garnetreel/net/EventLoopTest.java
@@ -27,7 +27,7 @@
     private static final int WAIT_SECONDS = 30;
     private static final EventLoop.DurableStore NO_STORE = (name, data) -> {};
 
-    /** An echo server whose deadline is always due, as a defect in its deadline would make it. */
+    /** An echo server whose deadline is always due, as after a defect in the calculation of its deadline. */
     private static final class EchoServerAlwaysDue implements StateMachine {
         private boolean started;
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Blocks for ever where sockets are starved; the test's own time limit is all that a clock decides here. */
+    /** If the turns starved the sockets, this would block until the time limit of the test. */
     @Test
     @Timeout(TEST_SECONDS)
     void socketsAreServedThoughATurnIsAlwaysDue() throws Exception {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** XNIO runs a timer of less than a millisecond at once, and cuts all others down to whole ones. */
+    /** XNIO runs a timer of less than a millisecond at once, and truncates all others to whole milliseconds. */
     @Test
     void timerDelaysAreWholeMillisecondsAndNeverZero() {
         assertEquals(1, TurnScheduler.wholeMillis(1));
@@ -83,8 +83,8 @@
     private record ConnectCommand() implements NetEvent.Command {}
 
     /**
-     * Connects on a command, with a time limit. Then it blocks its thread, as the pause of a process does, until the connection
-     * is accepted, its timer is due and the limit has passed.
+     * Connects on a command, with a timeout. Then it blocks its thread, as a pause of the process does, until the connection is
+     * accepted, its timer is due and the timeout has passed.
      */
     private static final class ClientPausedWhileConnecting implements StateMachine {
         private static final long CONNECT_TIMEOUT_MICROS = 2_000;
@@ -137,7 +137,7 @@
         }
     }
 
-    /** A turn after a pause that ran ahead of the sockets gave up a connection that was established. */
+    /** If the first turn after a pause ran before the sockets are read, it would time out an established connection. */
     @Test
     @Timeout(TEST_SECONDS)
     void eventsOfAPauseAreHandledBeforeItsTimeouts() throws Exception {
@@ -158,7 +158,7 @@
         static final int MAX_CONNECTIONS = 20;
         static final int CLIENTS = 100;
         final CountDownLatch allConnected = new CountDownLatch(1);
-        /** The highest number of connections in a turn, once all clients were accepted. */
+        /** Completes with the highest number of connections in a turn once all clients are accepted. */
         final CompletableFuture<Integer> maxInATurn = new CompletableFuture<>();
 
         private int acceptedCount;
@@ -195,7 +195,7 @@
         }
     }
 
-    /** A burst must not take all descriptors before the state machine has had a turn in which to close some. */
+    /** A burst must not use up all descriptors before the state machine has had a turn in which to close some. */
     @Test
     @Timeout(TEST_SECONDS)
     void aBurstOfConnectionsIsAcceptedUpToTheLimit() throws Exception {
@@ -211,7 +211,7 @@
             }
             server.allConnected.countDown();
             int max = server.maxInATurn.get(WAIT_SECONDS, TimeUnit.SECONDS);
-            assertTrue(max <= CountingServer.MAX_CONNECTIONS, max + " in a turn");
+            assertTrue(max <= CountingServer.MAX_CONNECTIONS, max + " connections accepted in a turn");
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
@@ -234,7 +234,7 @@
         }
     }
 
-    /** As when the previous process is not completely gone: its address is in use for a moment. */
+    /** The address is in use for a moment, as when the previous process is not completely gone. */
     @Test
     @Timeout(TEST_SECONDS)
     void anAddressInUseIsBoundOnceItIsFree() throws Exception {
@@ -246,7 +246,7 @@
             assertThrows(
                     TimeoutException.class,
                     () -> bound.get(300, TimeUnit.MILLISECONDS),
-                    "it retries, and does not fail");
+                    "binding is retried and does not fail");
             previous.close();
             assertEquals("127.0.0.1:" + previous.getLocalPort(), bound.get(WAIT_SECONDS, TimeUnit.SECONDS));
         } finally {
