--- a/benchmarks/src/main/java/garnetreel/benchmarks/DecisionsByFleetSize.java
+++ b/benchmarks/src/main/java/garnetreel/benchmarks/DecisionsByFleetSize.java
@@ -33,7 +33,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Work of the decision module for one request, from its arrival to its answer, as the fleet grows. */
+/** Time that the scheduler uses for one request, from its arrival to its response, by number of storage nodes. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -41,23 +41,25 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class DecisionsByFleetSize {
+    /** In microseconds, as all times here. */
     private static final long SECOND = 1_000_000;
-    private static final long GAP = 20_000;
-    private static final long ANSWER = 5_000;
+
+    private static final long ARRIVAL_INTERVAL = 20_000;
+    private static final long RESPONSE_TIME = 5_000;
     private static final int VOLUMES = 200;
-    private static final int NODES_A_SHARD = 2;
+    private static final int NODES_PER_SHARD = 2;
 
-    /** Storage nodes, two a shard. */
+    /** Number of storage nodes, two for each shard. */
     @Param({"200", "800", "3200"})
     public int nodes;
 
-    private FairQueueScheduler control;
+    private FairQueueScheduler scheduler;
     private long now = 1_000 * SECOND;
-    private long request;
+    private long lastRequestId;
 
-    /** Builds a scheduler that knows the fleet. */
+    /** Creates a scheduler with an endpoint list of all nodes. */
     @Setup
-    public void fill() {
+    public void setUp() {
         RequestClass read = new RequestClass(
                 "read",
                 400_000,
@@ -74,7 +76,7 @@
         Plan plan = new Plan("plan", 0, 0, 0, 1, 1_000, 500, 1);
         SafetyRules rules =
                 new SafetyRules(50_000, 0, 3, 0.1, 5 * SECOND, 0.2, 10 * SECOND, 250_000, 2.5, 2 * SECOND, 0);
-        control = new FairQueueScheduler(
+        scheduler = new FairQueueScheduler(
                 new SchedulerSettings(
                         0,
                         100,
@@ -100,32 +102,41 @@
                 1);
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            entries.add(new EndpointEntry("s-" + i, "a", i / NODES_A_SHARD, EndpointState.UP, 1, 0));
+            entries.add(new EndpointEntry("s-" + i, "a", i / NODES_PER_SHARD, EndpointState.UP, 1, 0));
         }
-        control.decide(now, List.of(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, entries)));
+        scheduler.decide(now, List.of(new EndpointUpdate(EndpointUpdateKind.SNAPSHOT, entries)));
     }
 
-    /** One request to a shard in turn, answered by whichever node it was sent to. */
+    /** Handles one request, to each shard in turn, and the response of each node to which it is sent. */
     @Benchmark
-    public int arrivalToAnswer() {
-        now += GAP;
-        long id = ++request;
-        int shard = (int) (id % (nodes / NODES_A_SHARD));
-        int done = 0;
-        for (SchedulerAction action : control.decide(
+    public int arrivalToResponse() {
+        now += ARRIVAL_INTERVAL;
+        long id = ++lastRequestId;
+        int shard = (int) (id % (nodes / NODES_PER_SHARD));
+        int actionCount = 0;
+        for (SchedulerAction action : scheduler.decide(
                 now,
                 List.of(
                         new RequestReceived(
                                 id, "read", "plan", -1, now + 2 * SECOND, id % VOLUMES, 2, shard, 1, false, false),
                         new TimerExpired("look")))) {
             if (action instanceof SendAttempt send) {
-                done += control.decide(
-                                now + ANSWER,
+                actionCount += scheduler
+                        .decide(
+                                now + RESPONSE_TIME,
                                 List.of(new AttemptCompleted(
-                                        send.id(), 0, send.endpoint(), Outcome.OK, ANSWER, true, 0, 0, Map.of())))
+                                        send.id(),
+                                        0,
+                                        send.endpoint(),
+                                        Outcome.OK,
+                                        RESPONSE_TIME,
+                                        true,
+                                        0,
+                                        0,
+                                        Map.of())))
                         .size();
             }
         }
-        return done;
+        return actionCount;
     }
 }
--- a/benchmarks/src/main/java/garnetreel/benchmarks/MapLookup.java
+++ b/benchmarks/src/main/java/garnetreel/benchmarks/MapLookup.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Shard and version of an extent drawn at random, and a snapshot with one change more. */
+/** Cost of looking up the shard and version of a random extent, and of creating a map with one more change. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -26,42 +26,43 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(2)
 public class MapLookup {
-    private static final int DRAWN = 1 << 16;
+    private static final int LOOKUP_COUNT = 1 << 16;
 
-    /** Extents of the volume. */
+    /** Number of extents of the volume. */
     @Param({"1000", "1000000"})
     public int extents;
 
-    /** Share of them that moved. */
+    /** Fraction of the extents that have moved. */
     @Param({"0", "1"})
     public double moved;
 
     private ExtentMap map;
-    private int[] drawn;
+    private int[] lookupExtents;
     private int next;
 
-    /** Builds the map, and the extents that are looked up. */
+    /** Creates the map, and draws the extents that are looked up. */
     @Setup
-    public void fill() {
+    public void setUp() {
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i < extents * moved; i++) {
             changes.add(new Change(1, i, i % 7, i + 2L));
         }
         map = ExtentMap.of(1, extents, 1 << 20, List.of(0, 1, 2, 3)).with(changes);
-        drawn = new SplittableRandom(extents).ints(DRAWN, 0, extents).toArray();
+        lookupExtents =
+                new SplittableRandom(extents).ints(LOOKUP_COUNT, 0, extents).toArray();
     }
 
-    /** A look-up as a head does it. */
+    /** Looks up an extent as a gateway does. */
     @Benchmark
     public long lookup() {
-        long extent = drawn[next++ & DRAWN - 1];
+        long extent = lookupExtents[next++ & LOOKUP_COUNT - 1];
         return map.shard(extent) + map.version(extent);
     }
 
-    /** A snapshot with one change more. */
+    /** Creates a map with one more change. */
     @Benchmark
     public ExtentMap change() {
-        long extent = drawn[next++ & DRAWN - 1];
+        long extent = lookupExtents[next++ & LOOKUP_COUNT - 1];
         return map.with(List.of(new Change(1, extent, 5, extents + 2L)));
     }
 }
--- a/benchmarks/src/main/java/garnetreel/benchmarks/package-info.java
+++ b/benchmarks/src/main/java/garnetreel/benchmarks/package-info.java
@@ -1,2 +1,2 @@
-/** JMH benchmarks of single parts, run by hand. */
+/** JMH benchmarks of single components, run manually. */
 package garnetreel.benchmarks;
--- a/emulator/src/main/java/garnetreel/emulator/ConnectionEnd.java
+++ b/emulator/src/main/java/garnetreel/emulator/ConnectionEnd.java
@@ -3,24 +3,27 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 
-/** One end of an emulated connection. */
+/** One end of a simulated connection. */
 final class ConnectionEnd {
     final SimulatedProcess process;
-    final long conn;
-    /** The other end; null until this one knows that the connection is open. */
-    ConnectionEnd other;
+    final long connectionId;
+    /** The other end; null until the process of this end has learned that the connection is open. */
+    ConnectionEnd peer;
 
     boolean reading = true;
     boolean closed;
-    /** The end of the other side's bytes has arrived here. */
-    boolean endArrived;
+    /** The peer's close has arrived; it is delivered after the unread bytes. */
+    boolean closeArrived;
 
-    String endReason;
+    /** Reason of the close that has arrived. */
+    String closeReason;
+    /** Arrival time of the last write or close sent to this end. */
     long lastArrival;
+    /** Arrived writes that the process has not read. */
     final ArrayDeque<ByteBuffer> unread = new ArrayDeque<>();
 
-    ConnectionEnd(SimulatedProcess process, long conn) {
+    ConnectionEnd(SimulatedProcess process, long connectionId) {
         this.process = process;
-        this.conn = conn;
+        this.connectionId = connectionId;
     }
 }
--- a/emulator/src/main/java/garnetreel/emulator/SimulatedProcess.java
+++ b/emulator/src/main/java/garnetreel/emulator/SimulatedProcess.java
@@ -11,24 +11,24 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A state machine that runs in the simulation: its turns, its durable storage, and its ends of connections. */
+/** A state machine in the simulation, with its turns (calls of {@code handle}), durable storage and connection ends. */
 final class SimulatedProcess implements ScenarioEnvironment.RunningProcess {
-    /** Time in which a record of a journal becomes durable. */
-    private static final long DISK_LATENCY = 1_000;
+    /** Time until a journal record or snapshot becomes durable. */
+    private static final long DISK_LATENCY_MICROS = 1_000;
 
     final String name;
     final Map<Long, ConnectionEnd> connections = new TreeMap<>();
-    /** Addresses by listener. */
+    /** Addresses by name of the listener. */
     final Map<String, String> listeners = new HashMap<>();
 
     long acceptedConnections;
     private final StateMachine stateMachine;
     private final ScenarioEnvironment.StateStore store;
-    private final SimulationEventQueue queue;
+    private final SimulationEventQueue eventQueue;
     private final VirtualNetwork network;
-    private List<NetEvent> inbox = new ArrayList<>();
+    private List<NetEvent> pendingEvents = new ArrayList<>();
     private boolean turnScheduled;
-    private boolean dead;
+    private boolean killed;
     private long nextDeadline = Long.MAX_VALUE;
     private long stalledUntil;
 
@@ -36,17 +36,17 @@
             String name,
             StateMachine stateMachine,
             ScenarioEnvironment.StateStore store,
-            SimulationEventQueue queue,
+            SimulationEventQueue eventQueue,
             VirtualNetwork network) {
         this.name = name;
         this.stateMachine = stateMachine;
         this.store = store;
-        this.queue = queue;
+        this.eventQueue = eventQueue;
         this.network = network;
     }
 
-    boolean isDead() {
-        return dead;
+    boolean isKilled() {
+        return killed;
     }
 
     // ---------------------------------------------------------------- control
@@ -55,7 +55,7 @@
     public String address(String listener) {
         String address = listeners.get(listener);
         if (address == null) {
-            throw new IllegalStateException(name + " does not listen as " + listener);
+            throw new IllegalStateException(name + " has no listener " + listener);
         }
         return address;
     }
@@ -67,22 +67,22 @@
 
     @Override
     public void stall(long micros) {
-        stalledUntil = Math.max(stalledUntil, queue.now() + micros);
+        stalledUntil = Math.max(stalledUntil, eventQueue.now() + micros);
     }
 
     @Override
     public void kill() {
-        dead = true;
+        killed = true;
         network.disconnect(this);
     }
 
     // ---------------------------------------------------------------- turns
 
-    /** Hands an event to the state machine in its next turn. */
+    /** Queues an event for the next turn, and schedules that. */
     void deliver(NetEvent event) {
-        if (!dead) {
-            inbox.add(event);
-            scheduleTurn(queue.now());
+        if (!killed) {
+            pendingEvents.add(event);
+            scheduleTurn(eventQueue.now());
         }
     }
 
@@ -91,32 +91,32 @@
             return;
         }
         turnScheduled = true;
-        queue.schedule(Math.max(time, stalledUntil), Phase.TURN, () -> {
+        eventQueue.schedule(Math.max(time, stalledUntil), Phase.TURN, () -> {
             turnScheduled = false;
-            if (queue.now() < stalledUntil) {
+            if (eventQueue.now() < stalledUntil) {
                 scheduleTurn(stalledUntil);
             } else {
-                turn();
+                runTurn();
             }
         });
     }
 
-    void turn() {
-        if (dead) {
+    void runTurn() {
+        if (killed) {
             return;
         }
-        List<NetEvent> events = inbox;
-        inbox = new ArrayList<>();
+        List<NetEvent> events = pendingEvents;
+        pendingEvents = new ArrayList<>();
         List<NetAction> actions = new ArrayList<>();
-        stateMachine.handle(queue.now(), events, actions);
+        stateMachine.handle(eventQueue.now(), events, actions);
         actions.forEach(this::perform);
         long deadline = stateMachine.nextDeadline();
         nextDeadline = deadline;
         if (deadline != Long.MAX_VALUE) {
-            // A state machine that wants a turn at once gets it a moment later, or time would stand still.
-            queue.schedule(Math.max(deadline, queue.now() + 1), Phase.TURN, () -> {
-                if (nextDeadline == deadline && !dead && !turnScheduled) {
-                    scheduleTurn(queue.now());
+            // At least one microsecond later, as time would not advance with a deadline that is always due.
+            eventQueue.schedule(Math.max(deadline, eventQueue.now() + 1), Phase.TURN, () -> {
+                if (nextDeadline == deadline && !killed && !turnScheduled) {
+                    scheduleTurn(eventQueue.now());
                 }
             });
         }
@@ -151,10 +151,10 @@
         });
     }
 
-    /** What a process that is killed had not made durable is lost. */
+    /** Runs an action after the disk latency, unless the process is killed before: what is not durable then is lost. */
     private void whenDurable(Runnable action) {
-        queue.schedule(queue.now() + DISK_LATENCY, Phase.DELIVERY, () -> {
-            if (!dead) {
+        eventQueue.schedule(eventQueue.now() + DISK_LATENCY_MICROS, Phase.DELIVERY, () -> {
+            if (!killed) {
                 action.run();
             }
         });
--- a/emulator/src/main/java/garnetreel/emulator/Simulation.java
+++ b/emulator/src/main/java/garnetreel/emulator/Simulation.java
@@ -5,52 +5,53 @@
 import java.util.SplittableRandom;
 
 /**
- * State machines on a virtual clock and network. One thread, one seed: the same seed gives the same run to the byte.
+ * Runs state machines on a virtual clock and network. The simulation is single-threaded and deterministic: runs with the same
+ * seed are identical to the byte.
  *
- * <p>A connection carries bytes in order, each way with a delay drawn anew for each write and never overtaking.
- * A receiver that does not read holds the sender's bytes back, whose Drained then waits. What is on its way to a process
- * that is killed is lost; what it wrote before arrives, then the end of the connection.
+ * <p>A connection carries bytes in order. Each write has a random delay, but never overtakes an earlier one. While a receiver
+ * does not read, the sender gets no {@code Drained} event for the bytes. When a process is killed, bytes in transit to it are
+ * lost; those that it wrote before arrive, followed by the end of the connection.
  *
- * <p>An event costs O(log n) in the events that wait; nothing passes over all processes.
+ * <p>An event costs O(log n) in the number of scheduled events; no operation iterates over all processes.
  */
 public final class Simulation implements ScenarioEnvironment {
     /**
-     * Delays of the network, in microseconds.
+     * Network delays in microseconds: a minimum, and an exponentially distributed part above it.
      *
-     * @param minimum the least; what is above it is distributed exponentially
-     * @param mean the mean
+     * @param minimum shortest delay
+     * @param mean mean of the whole delay
      */
     public record Delays(long minimum, long mean) {}
 
-    private final SimulationEventQueue queue;
+    private final SimulationEventQueue eventQueue;
     private final VirtualNetwork network;
 
     /**
-     * Makes a simulation without processes.
+     * Creates a simulation without processes.
      *
-     * @param startsAt the virtual time at first, in microseconds of the epoch
-     * @param seed of the delays
+     * @param startTime initial virtual time, in microseconds since the epoch
+     * @param seed of the random delays
      */
-    public Simulation(long startsAt, long seed, Delays delays) {
-        this.queue = new SimulationEventQueue(startsAt);
-        this.network = new VirtualNetwork(queue, new SplittableRandom(seed), delays);
+    public Simulation(long startTime, long seed, Delays delays) {
+        this.eventQueue = new SimulationEventQueue(startTime);
+        this.network = new VirtualNetwork(eventQueue, new SplittableRandom(seed), delays);
     }
 
     @Override
     public long now() {
-        return queue.now();
+        return eventQueue.now();
     }
 
     @Override
     public ScenarioEnvironment.RunningProcess launch(
             String name, StateMachine stateMachine, ScenarioEnvironment.StateStore store) {
-        SimulatedProcess process = new SimulatedProcess(name, stateMachine, store, queue, network);
-        process.turn();
+        SimulatedProcess process = new SimulatedProcess(name, stateMachine, store, eventQueue, network);
+        process.runTurn();
         return process;
     }
 
     @Override
     public void advance(long until) {
-        queue.advance(until);
+        eventQueue.advance(until);
     }
 }
--- a/emulator/src/main/java/garnetreel/emulator/VirtualNetwork.java
+++ b/emulator/src/main/java/garnetreel/emulator/VirtualNetwork.java
@@ -9,35 +9,35 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The emulated network: listeners, and connections with delays. Each delay is a random draw of its own. */
+/** The simulated network: listeners, and connections with random delays. */
 final class VirtualNetwork {
     static final String CLOSED_BY_PEER = "closed by the peer";
 
-    private static final int FIRST_PORT = 20_000;
-    /** End of an address that leaves the port to the network. */
+    private static final int PORT_BASE = 20_000;
+    /** Suffix of an address for which the network chooses the port. */
     private static final String ANY_PORT = ":0";
 
     private record Listener(SimulatedProcess process, String name) {}
 
-    private final SimulationEventQueue queue;
+    private final SimulationEventQueue eventQueue;
     private final SplittableRandom random;
     private final Simulation.Delays delays;
     private final Map<String, Listener> listeners = new HashMap<>();
-    private int lastPort = FIRST_PORT;
+    private int lastPort = PORT_BASE;
 
-    VirtualNetwork(SimulationEventQueue queue, SplittableRandom random, Simulation.Delays delays) {
-        this.queue = queue;
+    VirtualNetwork(SimulationEventQueue eventQueue, SplittableRandom random, Simulation.Delays delays) {
+        this.eventQueue = eventQueue;
         this.random = random;
         this.delays = delays;
     }
 
-    private long delay() {
+    private long nextDelay() {
         double exponential = -Math.log(1 - random.nextDouble());
         return delays.minimum() + (long) (exponential * (delays.mean() - delays.minimum()));
     }
 
     private void schedule(long time, Runnable action) {
-        queue.schedule(time, Phase.DELIVERY, action);
+        eventQueue.schedule(time, Phase.DELIVERY, action);
     }
 
     // ---------------------------------------------------------------- listeners
@@ -48,7 +48,7 @@
             address = address.substring(0, address.length() - 1) + ++lastPort;
         }
         if (listeners.putIfAbsent(address, new Listener(process, listen.listener())) != null) {
-            process.deliver(new NetEvent.ListenFailed(listen.listener(), address + " is taken"));
+            process.deliver(new NetEvent.ListenFailed(listen.listener(), address + " is already in use"));
         } else {
             process.listeners.put(listen.listener(), address);
             process.deliver(new NetEvent.Listening(listen.listener(), address));
@@ -59,7 +59,7 @@
         listeners.remove(process.listeners.get(stop.listener()));
     }
 
-    /** A process was killed: its listeners and its connections end. */
+    /** Removes the listeners and closes the connections of a killed process. */
     void disconnect(SimulatedProcess process) {
         process.listeners.values().forEach(listeners::remove);
         List.copyOf(process.connections.values()).forEach(end -> close(end, "killed"));
@@ -69,10 +69,10 @@
 
     void connect(SimulatedProcess process, NetAction.Connect connect) {
         ConnectionEnd client = new ConnectionEnd(process, connect.connectionId());
-        process.connections.put(client.conn, client);
-        schedule(queue.now() + delay(), () -> {
+        process.connections.put(client.connectionId, client);
+        schedule(eventQueue.now() + nextDelay(), () -> {
             Listener listener = listeners.get(connect.address());
-            if (listener == null || listener.process().isDead()) {
+            if (listener == null || listener.process().isKilled()) {
                 refuse(client);
             } else {
                 accept(client, listener);
@@ -81,9 +81,9 @@
     }
 
     private void refuse(ConnectionEnd client) {
-        schedule(queue.now() + delay(), () -> {
-            if (client.process.connections.remove(client.conn, client)) {
-                client.process.deliver(new NetEvent.Closed(client.conn, false, "connection refused"));
+        schedule(eventQueue.now() + nextDelay(), () -> {
+            if (client.process.connections.remove(client.connectionId, client)) {
+                client.process.deliver(new NetEvent.Closed(client.connectionId, false, "connection refused"));
             }
         });
     }
@@ -91,33 +91,33 @@
     private void accept(ConnectionEnd client, Listener listener) {
         SimulatedProcess process = listener.process();
         ConnectionEnd server = new ConnectionEnd(process, ++process.acceptedConnections);
-        server.other = client;
-        process.connections.put(server.conn, server);
-        process.deliver(new NetEvent.Accepted(server.conn, listener.name(), client.process.name));
-        // What the server writes at once must not arrive before the event that the connection is open.
-        client.lastArrival = queue.now() + delay();
+        server.peer = client;
+        process.connections.put(server.connectionId, server);
+        process.deliver(new NetEvent.Accepted(server.connectionId, listener.name(), client.process.name));
+        // Set before the server can write: its bytes must not arrive before the Connected event.
+        client.lastArrival = eventQueue.now() + nextDelay();
         schedule(client.lastArrival, () -> {
-            client.other = server;
+            client.peer = server;
             if (client.closed) {
-                sendEnd(server, CLOSED_BY_PEER); // it was given up while it was being opened
+                sendClose(server, CLOSED_BY_PEER); // closed by the client before it was open
             } else {
-                client.process.deliver(new NetEvent.Connected(client.conn));
+                client.process.deliver(new NetEvent.Connected(client.connectionId));
             }
         });
     }
 
-    /** When something sent now arrives: after all that was sent before. */
-    private long arrivalAt(ConnectionEnd to) {
-        to.lastArrival = Math.max(queue.now() + delay(), to.lastArrival);
+    /** Draws the arrival time of a write or close that is sent now; not before that of an earlier one. */
+    private long nextArrival(ConnectionEnd to) {
+        to.lastArrival = Math.max(eventQueue.now() + nextDelay(), to.lastArrival);
         return to.lastArrival;
     }
 
     void write(ConnectionEnd from, ByteBuffer data) {
-        if (from == null || from.other == null || from.closed) {
+        if (from == null || from.peer == null || from.closed) {
             return;
         }
-        ConnectionEnd to = from.other;
-        schedule(arrivalAt(to), () -> {
+        ConnectionEnd to = from.peer;
+        schedule(nextArrival(to), () -> {
             if (!to.closed) {
                 to.unread.add(data);
                 deliver(to);
@@ -132,20 +132,20 @@
         }
     }
 
-    /** Delivers what has arrived, if it is read; the writer learns that it has left. */
+    /** Delivers the arrived bytes if the process reads, with Drained for their sender, then the close if it has arrived. */
     private void deliver(ConnectionEnd to) {
         while (to.reading && !to.closed && !to.unread.isEmpty()) {
             ByteBuffer data = to.unread.poll();
             int bytes = data.remaining();
-            to.process.deliver(new NetEvent.Received(to.conn, data));
-            if (to.other != null && !to.other.closed) {
-                to.other.process.deliver(new NetEvent.Drained(to.other.conn, bytes));
+            to.process.deliver(new NetEvent.Received(to.connectionId, data));
+            if (to.peer != null && !to.peer.closed) {
+                to.peer.process.deliver(new NetEvent.Drained(to.peer.connectionId, bytes));
             }
         }
-        if (to.endArrived && to.unread.isEmpty() && !to.closed) {
+        if (to.closeArrived && to.unread.isEmpty() && !to.closed) {
             to.closed = true;
-            to.process.connections.remove(to.conn, to);
-            to.process.deliver(new NetEvent.Closed(to.conn, true, to.endReason));
+            to.process.connections.remove(to.connectionId, to);
+            to.process.deliver(new NetEvent.Closed(to.connectionId, true, to.closeReason));
         }
     }
 
@@ -155,18 +155,18 @@
         }
         end.closed = true;
         end.unread.clear();
-        end.process.connections.remove(end.conn, end);
-        if (end.other != null) {
-            sendEnd(end.other, reason);
+        end.process.connections.remove(end.connectionId, end);
+        if (end.peer != null) {
+            sendClose(end.peer, reason);
         }
     }
 
-    /** Sends the end of a connection to one of its ends. */
-    private void sendEnd(ConnectionEnd to, String reason) {
-        schedule(arrivalAt(to), () -> {
-            to.endArrived = true;
-            to.endReason = reason;
-            // A process that does not read learns of the end all the same.
+    /** Sends the close of a connection to one of its ends. */
+    private void sendClose(ConnectionEnd to, String reason) {
+        schedule(nextArrival(to), () -> {
+            to.closeArrived = true;
+            to.closeReason = reason;
+            // A process that has paused reading is notified of the close too.
             to.reading = true;
             deliver(to);
         });
--- a/emulator/src/main/java/garnetreel/emulator/package-info.java
+++ b/emulator/src/main/java/garnetreel/emulator/package-info.java
@@ -1,2 +1,2 @@
-/** State machines on a virtual clock and network: a run follows from its seed alone. */
+/** Simulation of state machines on a virtual clock and network; runs with the same seed are identical. */
 package garnetreel.emulator;
--- a/emulator/src/test/java/garnetreel/emulator/SimulationTest.java
+++ b/emulator/src/test/java/garnetreel/emulator/SimulationTest.java
@@ -12,28 +12,28 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The emulated network itself: order, back-pressure, ends of connections. */
+/** The simulated network: order of bytes, backpressure, and the end of connections. */
 class SimulationTest {
-    /** Does what it is given at its first turn, and records the events that it gets. */
-    private static final class Probe implements StateMachine {
-        final List<NetAction> first;
-        final List<NetEvent> seen = new ArrayList<>();
-        final List<NetAction> next = new ArrayList<>();
-        boolean begun;
+    /** Performs given actions in its first and later turns, and records all events. */
+    private static final class ScriptedStateMachine implements StateMachine {
+        final List<NetAction> initialActions;
+        final List<NetEvent> handledEvents = new ArrayList<>();
+        final List<NetAction> nextActions = new ArrayList<>();
+        boolean started;
 
-        Probe(NetAction... first) {
-            this.first = List.of(first);
+        ScriptedStateMachine(NetAction... initialActions) {
+            this.initialActions = List.of(initialActions);
         }
 
         @Override
         public void handle(long now, List<NetEvent> events, List<NetAction> actions) {
-            seen.addAll(events);
-            if (!begun) {
-                begun = true;
-                actions.addAll(first);
+            handledEvents.addAll(events);
+            if (!started) {
+                started = true;
+                actions.addAll(initialActions);
             }
-            actions.addAll(next);
-            next.clear();
+            actions.addAll(nextActions);
+            nextActions.clear();
         }
 
         @Override
@@ -41,79 +41,81 @@
             return Long.MAX_VALUE;
         }
 
-        long received() {
-            return seen.stream()
-                    .filter(e -> e instanceof NetEvent.Received)
-                    .mapToLong(e -> ((NetEvent.Received) e).data().remaining())
+        long receivedBytes() {
+            return handledEvents.stream()
+                    .filter(event -> event instanceof NetEvent.Received)
+                    .mapToLong(event -> ((NetEvent.Received) event).data().remaining())
                     .sum();
         }
     }
 
-    private record Poke() implements NetEvent.Command {}
+    private record RunTurn() implements NetEvent.Command {}
 
     private final Simulation simulation = new Simulation(0, 5, new Simulation.Delays(50, 200));
-    private final Probe server = new Probe(new NetAction.Listen("s", "127.0.0.1:0"));
-    private final ScenarioEnvironment.RunningProcess serverActor =
+    private final ScriptedStateMachine server = new ScriptedStateMachine(new NetAction.Listen("s", "127.0.0.1:0"));
+    private final ScenarioEnvironment.RunningProcess serverProcess =
             simulation.launch("server", server, ScenarioEnvironment.StateStore.NONE);
 
-    private Probe connected() {
-        Probe client = new Probe(new NetAction.Connect(-1, serverActor.address("s")));
+    private ScriptedStateMachine connectClient() {
+        ScriptedStateMachine client = new ScriptedStateMachine(new NetAction.Connect(-1, serverProcess.address("s")));
         simulation.launch("client", client, ScenarioEnvironment.StateStore.NONE);
         simulation.advance(simulation.now() + 10_000);
-        assertTrue(client.seen.contains(new NetEvent.Connected(-1)));
+        assertTrue(client.handledEvents.contains(new NetEvent.Connected(-1)));
         return client;
     }
 
-    private void act(ScenarioEnvironment.RunningProcess actor, Probe probe, NetAction... actions) {
-        probe.next.addAll(List.of(actions));
-        actor.send(new Poke());
+    private void perform(
+            ScenarioEnvironment.RunningProcess process, ScriptedStateMachine stateMachine, NetAction... actions) {
+        stateMachine.nextActions.addAll(List.of(actions));
+        process.send(new RunTurn());
         simulation.advance(simulation.now() + 10_000);
     }
 
     @Test
-    void bytesArriveInOrderAndThenTheEnd() {
-        Probe client = connected();
+    void bytesArriveInOrderBeforeTheClose() {
+        ScriptedStateMachine client = connectClient();
         List<NetAction> actions = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             actions.add(new NetAction.Write(1, ByteBuffer.wrap(new byte[] {(byte) i})));
         }
         actions.add(new NetAction.Close(1, false));
-        act(serverActor, server, actions.toArray(new NetAction[0]));
+        perform(serverProcess, server, actions.toArray(new NetAction[0]));
         int expected = 0;
-        for (NetEvent event : client.seen) {
-            if (event instanceof NetEvent.Received got) {
-                assertEquals(expected++, got.data().get(got.data().position()));
+        for (NetEvent event : client.handledEvents) {
+            if (event instanceof NetEvent.Received received) {
+                assertEquals(expected++, received.data().get(received.data().position()));
             }
         }
         assertEquals(100, expected);
-        assertTrue(client.seen.get(client.seen.size() - 1) instanceof NetEvent.Closed);
+        assertTrue(client.handledEvents.get(client.handledEvents.size() - 1) instanceof NetEvent.Closed);
     }
 
     @Test
-    void receiverThatDoesNotReadHoldsTheWriterBack() {
-        Probe client = new Probe(new NetAction.Connect(-1, serverActor.address("s")));
-        ScenarioEnvironment.RunningProcess actor =
+    void pausedReadingDelaysDrained() {
+        ScriptedStateMachine client = new ScriptedStateMachine(new NetAction.Connect(-1, serverProcess.address("s")));
+        ScenarioEnvironment.RunningProcess process =
                 simulation.launch("client", client, ScenarioEnvironment.StateStore.NONE);
         simulation.advance(simulation.now() + 10_000);
-        act(actor, client, new NetAction.SetReadInterest(-1, false));
-        act(serverActor, server, new NetAction.Write(1, ByteBuffer.allocate(500)));
-        assertEquals(0, client.received());
-        assertTrue(server.seen.stream().noneMatch(e -> e instanceof NetEvent.Drained));
-        act(actor, client, new NetAction.SetReadInterest(-1, true));
-        assertEquals(500, client.received());
-        assertTrue(server.seen.contains(new NetEvent.Drained(1, 500)));
+        perform(process, client, new NetAction.SetReadInterest(-1, false));
+        perform(serverProcess, server, new NetAction.Write(1, ByteBuffer.allocate(500)));
+        assertEquals(0, client.receivedBytes());
+        assertTrue(server.handledEvents.stream().noneMatch(event -> event instanceof NetEvent.Drained));
+        perform(process, client, new NetAction.SetReadInterest(-1, true));
+        assertEquals(500, client.receivedBytes());
+        assertTrue(server.handledEvents.contains(new NetEvent.Drained(1, 500)));
     }
 
     @Test
-    void killedPeerEndsConnectionsAndRefusesNewOnes() {
-        Probe client = connected();
-        String address = serverActor.address("s");
-        serverActor.kill();
+    void killingAProcessClosesItsConnectionsAndRefusesNewOnes() {
+        ScriptedStateMachine client = connectClient();
+        String address = serverProcess.address("s");
+        serverProcess.kill();
         simulation.advance(simulation.now() + 10_000);
-        assertTrue(client.seen.stream().anyMatch(e -> e instanceof NetEvent.Closed c && c.opened()));
-        Probe late = new Probe(new NetAction.Connect(-1, address));
-        simulation.launch("late", late, ScenarioEnvironment.StateStore.NONE);
+        assertTrue(client.handledEvents.stream()
+                .anyMatch(event -> event instanceof NetEvent.Closed closed && closed.opened()));
+        ScriptedStateMachine lateClient = new ScriptedStateMachine(new NetAction.Connect(-1, address));
+        simulation.launch("late", lateClient, ScenarioEnvironment.StateStore.NONE);
         simulation.advance(simulation.now() + 10_000);
-        assertEquals(List.of(new NetEvent.Closed(-1, false, "connection refused")), late.seen);
+        assertEquals(List.of(new NetEvent.Closed(-1, false, "connection refused")), lateClient.handledEvents);
     }
 }
