--- a/benchadapter/src/main/java/garnetreel/benchadapter/InstanceHost.java
+++ b/benchadapter/src/main/java/garnetreel/benchadapter/InstanceHost.java
@@ -20,8 +20,8 @@
 import java.util.TreeMap;
 
 /**
- * Runs many independent scheduler instances on one stream of JSON messages, one a line. The messages between {@code turn} and
- * {@code your-turn} form a batch, which gets one reply.
+ * Runs many independent scheduler instances on one stream of JSON messages, one a line. The messages between
+ * {@code turn} and {@code your-turn} form a batch, which gets one reply.
  */
 final class InstanceHost {
     private final Map<Integer, Scheduler> instances = new TreeMap<>();
--- a/emulator/src/main/java/garnetreel/emulator/Simulation.java
+++ b/emulator/src/main/java/garnetreel/emulator/Simulation.java
@@ -5,12 +5,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Runs state machines on a virtual clock and network. The simulation is single-threaded and deterministic: runs with the same
- * seed are identical to the byte.
+ * Runs state machines on a virtual clock and network. The simulation is single-threaded and deterministic: runs with
+ * the same seed are identical to the byte.
  *
- * <p>A connection carries bytes in order. Each write has a random delay, but never overtakes an earlier one. While a receiver
- * does not read, the sender gets no {@code Drained} event for the bytes. When a process is killed, bytes in transit to it are
- * lost; those that it wrote before arrive, followed by the end of the connection.
+ * <p>A connection carries bytes in order. Each write has a random delay, but never overtakes an earlier one. While a
+ * receiver does not read, the sender gets no {@code Drained} event for the bytes. When a process is killed, bytes in
+ * transit to it are lost; those that it wrote before arrive, followed by the end of the connection.
  *
  * <p>An event costs O(log n) in the number of scheduled events; no operation iterates over all processes.
  */
--- a/emulator/src/main/java/garnetreel/emulator/VirtualNetwork.java
+++ b/emulator/src/main/java/garnetreel/emulator/VirtualNetwork.java
@@ -132,7 +132,9 @@
         }
     }
 
-    /** Delivers the arrived bytes if the process reads, with Drained for their sender, then the close if it has arrived. */
+    /**
+     * Delivers the arrived bytes if the process reads, with Drained for their sender, then the close if it has arrived.
+     */
     private void deliver(ConnectionEnd to) {
         while (to.reading && !to.closed && !to.unread.isEmpty()) {
             ByteBuffer data = to.unread.poll();
--- a/net/src/main/java/garnetreel/net/AcceptPauseWorkaround.java
+++ b/net/src/main/java/garnetreel/net/AcceptPauseWorkaround.java
@@ -10,14 +10,15 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Ends the back-off that XNIO 3.8 starts when accept(2) fails. Its server handle then accepts nothing for 0.25 s, and for four
- * times as long after each further failure, although the cause (a descriptor limit, a connection that was reset in the
- * accept queue) may be gone at once. Meanwhile clients whose connections are established and whose requests are sent get no
- * response.
+ * Ends the back-off that XNIO 3.8 starts when accept(2) fails. Its server handle then accepts nothing for 0.25 s, and
+ * for four times as long after each further failure, although the cause (a descriptor limit, a connection that was
+ * reset in the accept queue) may be gone at once. Meanwhile clients whose connections are established and whose
+ * requests are sent get no response.
  *
  * <p>Reflection is needed because XNIO has no option for the back-off, and neither {@code resumeAccepts()} nor
- * {@code wakeupAccepts()} ends one: only the package-private {@code NioTcpServerHandle.endBackOff()} does, which XNIO's own
- * timer calls. If a version of XNIO lacks these members, a warning is logged once for each listener and the back-off remains.
+ * {@code wakeupAccepts()} ends one: only the package-private {@code NioTcpServerHandle.endBackOff()} does, which XNIO's
+ * own timer calls. If a version of XNIO lacks these members, a warning is logged once for each listener and the
+ * back-off remains.
  */
 final class AcceptPauseWorkaround {
     private static final Logger LOG = LoggerFactory.getLogger(AcceptPauseWorkaround.class);
--- a/net/src/main/java/garnetreel/net/Addresses.java
+++ b/net/src/main/java/garnetreel/net/Addresses.java
@@ -38,7 +38,7 @@
         return new InetSocketAddress(host, port);
     }
 
-    /** Formats an address in the form that {@link #parse} reads, with the numeric IP address if the host is resolved. */
+    /** Formats an address in the form that {@link #parse} reads, with the IP address if the host is resolved. */
     public static String format(InetSocketAddress address) {
         InetAddress resolved = address.getAddress();
         String host = resolved == null ? address.getHostString() : resolved.getHostAddress();
--- a/net/src/main/java/garnetreel/net/BackgroundJournalWriter.java
+++ b/net/src/main/java/garnetreel/net/BackgroundJournalWriter.java
@@ -10,10 +10,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Persists states and journal records on a separate thread, so that no turn of the event loop waits for a disk. Of the states of one
- * name only the newest is queued; one that is superseded before it is written is never written. A write that fails is logged and
- * retried until it succeeds, journal records in order: a disk may fail temporarily, and accepted records must become durable. At
- * shutdown the number of retries is limited.
+ * Persists states and journal records on a separate thread, so that no turn of the event loop waits for a disk. Of the
+ * states of one name only the newest is queued; one that is superseded before it is written is never written. A write
+ * that fails is logged and retried until it succeeds, journal records in order: a disk may fail temporarily, and
+ * accepted records must become durable. At shutdown the number of retries is limited.
  */
 public final class BackgroundJournalWriter implements EventLoop.DurableStore, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(BackgroundJournalWriter.class);
--- a/net/src/main/java/garnetreel/net/ConnectionTable.java
+++ b/net/src/main/java/garnetreel/net/ConnectionTable.java
@@ -10,8 +10,8 @@
 import org.xnio.StreamConnection;
 
 /**
- * The connections of one event loop, each until its socket is closed. Used on the I/O thread only, except for {@link #size}
- * and {@link #abortAll}.
+ * The connections of one event loop, each until its socket is closed. Used on the I/O thread only, except for
+ * {@link #size} and {@link #abortAll}.
  */
 final class ConnectionTable implements SocketConnection.CloseListener {
     /** Most connections that await their peer's end of stream; beyond it the one that has waited longest is aborted. */
--- a/net/src/main/java/garnetreel/net/EventLoop.java
+++ b/net/src/main/java/garnetreel/net/EventLoop.java
@@ -15,9 +15,10 @@
 import org.xnio.XnioWorker;
 
 /**
- * Runs one {@link StateMachine} on sockets. One XNIO I/O thread reads, writes and calls it: all sockets that are ready in one
- * selection are read first, then their events are handled in one turn (call of {@code handle}). Bytes are never handed from
- * thread to thread (the alternatives, with figures, are in docs/gateway.md). All decisions are made by the state machine.
+ * Runs one {@link StateMachine} on sockets. One XNIO I/O thread reads, writes and calls it: all sockets that are ready
+ * in one selection are read first, then their events are handled in one turn (call of {@code handle}). Bytes are never
+ * handed from thread to thread (the alternatives, with figures, are in docs/gateway.md). All decisions are made by the
+ * state machine.
  */
 public final class EventLoop implements AutoCloseable {
     /** Durable storage of a state machine; called on the event loop's thread, so it must not wait for a disk. */
@@ -31,7 +32,9 @@
             durable.run();
         }
 
-        /** Persists a snapshot; of the journal records that it covers, the last {@code retainedRecords} are retained. */
+        /**
+         * Persists a snapshot; of the journal records that it covers, the last {@code retainedRecords} are retained.
+         */
         default void snapshot(long sequence, byte[] data, int retainedRecords) {}
     }
 
@@ -88,8 +91,8 @@
     }
 
     /**
-     * Completes when the state machine has stopped and its orderly closes are complete, or when the loop is closed; completes
-     * exceptionally if the state machine failed.
+     * Completes when the state machine has stopped and its orderly closes are complete, or when the loop is closed;
+     * completes exceptionally if the state machine failed.
      */
     public CompletableFuture<Void> stopped() {
         return stopped;
--- a/net/src/main/java/garnetreel/net/EventQueue.java
+++ b/net/src/main/java/garnetreel/net/EventQueue.java
@@ -7,8 +7,8 @@
 
 /**
  * Events that wait for the state machine's next turn. Its length is bounded: a connection has at most
- * {@link SocketConnection#MAX_UNHANDLED_CHUNKS} received, one drained and one closed event in it, and no connection is accepted
- * while {@link #isFull()}. Thread-safe.
+ * {@link SocketConnection#MAX_UNHANDLED_CHUNKS} received, one drained and one closed event in it, and no connection is
+ * accepted while {@link #isFull()}. Thread-safe.
  */
 final class EventQueue {
     /** Number of queued events at which connections are no longer accepted. */
--- a/net/src/main/java/garnetreel/net/Listeners.java
+++ b/net/src/main/java/garnetreel/net/Listeners.java
@@ -27,15 +27,15 @@
 /** The listeners of one event loop: binds them, accepts their connections, and stops them. Used on the I/O thread. */
 final class Listeners {
     /**
-     * How long a stopped listener stays open. XNIO accepts on a separate thread, and connections in the accept queue are reset
-     * when the listener is closed, though a client may already have sent a request.
+     * How long a stopped listener stays open. XNIO accepts on a separate thread, and connections in the accept queue
+     * are reset when the listener is closed, though a client may already have sent a request.
      */
     private static final long STOP_DELAY_MILLIS = 5;
-    /** Interval of ending XNIO's back-off: the longest time for which a failed accept keeps a listener from accepting. */
+    /** Longest time for which a failed accept keeps a listener from accepting. */
     private static final long ACCEPT_PAUSE_CHECK_MILLIS = 20;
     /**
-     * Retries of binding an address, 8 s in all. Without them a restart fails while the previous process, or a connection from
-     * its port, is not completely gone.
+     * Retries of binding an address, 8 s in all. Without them a restart fails while the previous process, or a
+     * connection from its port, is not completely gone.
      */
     private static final int MAX_BIND_RETRIES = 80;
 
@@ -119,7 +119,7 @@
         }
     }
 
-    /** Socket options with which XNIO stops accepting at a number of open connections until one is closed; 0 for no limit. */
+    /** Socket options with a limit at which XNIO stops accepting until a connection is closed; 0 for no limit. */
     private static OptionMap optionsWithLimit(int maxConnections) {
         return maxConnections == 0
                 ? IoWorkers.SOCKET_OPTIONS
--- a/net/src/main/java/garnetreel/net/OutboundQueue.java
+++ b/net/src/main/java/garnetreel/net/OutboundQueue.java
@@ -5,7 +5,7 @@
 import java.util.ArrayDeque;
 import org.xnio.conduits.ConduitStreamSinkChannel;
 
-/** Buffers of one connection that are not written to its socket yet, in order. Guarded by the lock of the connection. */
+/** Buffers of one connection that are not written to its socket yet, in order. Guarded by the connection's lock. */
 final class OutboundQueue {
     /** Most buffers in one gathering write. */
     private static final int MAX_GATHERED_BUFFERS = 64;
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Writes at most {@link SocketConnection#MAX_CHUNK_BYTES} of a buffer. The JDK copies a heap buffer into a direct buffer of
-     * the same size and caches that for the thread; the bound keeps the cached buffer small.
+     * Writes at most {@link SocketConnection#MAX_CHUNK_BYTES} of a buffer. The JDK copies a heap buffer into a direct
+     * buffer of the same size and caches that for the thread; the bound keeps the cached buffer small.
      */
     private static int writeBounded(ConduitStreamSinkChannel sink, ByteBuffer buffer) throws IOException {
         int limit = buffer.limit();
--- a/net/src/main/java/garnetreel/net/SocketConnection.java
+++ b/net/src/main/java/garnetreel/net/SocketConnection.java
@@ -11,13 +11,13 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * One connection. Received bytes are delivered in chunks, with a limit on those that the state machine has not handled yet,
- * so that a slow state machine exerts backpressure on its peer. Writes are attempted at the end of a turn, as most fit into the
- * send buffer of the socket; the rest is written when the socket becomes writable.
+ * One connection. Received bytes are delivered in chunks, with a limit on those that the state machine has not handled
+ * yet, so that a slow state machine exerts backpressure on its peer. Writes are attempted at the end of a turn, as most
+ * fit into the send buffer of the socket; the rest is written when the socket becomes writable.
  *
- * <p>How a connection ends is decided here alone. An orderly close sends all queued bytes, shuts down the sending side, then
- * reads and discards until the peer's end of stream (RFC 9112, 9.6). A close while received bytes are unread, or while bytes
- * arrive, would be a reset, and a reset can destroy a response that the peer has not read yet.
+ * <p>How a connection ends is decided here alone. An orderly close sends all queued bytes, shuts down the sending side,
+ * then reads and discards until the peer's end of stream (RFC 9112, 9.6). A close while received bytes are unread, or
+ * while bytes arrive, would be a reset, and a reset can destroy a response that the peer has not read yet.
  */
 final class SocketConnection {
     /** Number of received chunks that the state machine has not handled at which the socket is no longer read. */
@@ -34,7 +34,7 @@
     private static final ThreadLocal<ByteBuffer> READ_BUFFER =
             ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(MAX_CHUNK_BYTES));
 
-    /** Is notified when a connection lingers and when it is closed; on the I/O thread, or the thread that closes the loop. */
+    /** Is notified of the steps of a close; on the I/O thread, or on the thread that closes the loop. */
     interface CloseListener {
         /** All bytes are sent and the sending side is shut down; the peer's end of stream is awaited. */
         void lingering(SocketConnection connection);
@@ -268,8 +268,8 @@
     }
 
     /**
-     * Closes the socket immediately, if it is open. If all received bytes are read and all queued bytes sent, the peer can't
-     * distinguish this from an orderly close.
+     * Closes the socket immediately, if it is open. If all received bytes are read and all queued bytes sent, the peer
+     * can't distinguish this from an orderly close.
      */
     void abort() {
         synchronized (this) {
--- a/net/src/main/java/garnetreel/net/TurnScheduler.java
+++ b/net/src/main/java/garnetreel/net/TurnScheduler.java
@@ -7,17 +7,17 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Decides when the turns (calls of {@code handle}) of one state machine run on its I/O thread: on request, at its deadline, or
- * after the next selection if the sockets have to be read first. Used on the I/O thread, except for {@link #request} and
- * {@link #stall}.
+ * Decides when the turns (calls of {@code handle}) of one state machine run on its I/O thread: on request, at its
+ * deadline, or after the next selection if the sockets have to be read first. Used on the I/O thread, except for
+ * {@link #request} and {@link #stall}.
  */
 final class TurnScheduler {
     /** XNIO counts timers in whole milliseconds; it treats a shorter one as a task, which runs before the selection. */
     private static final long AFTER_SELECTION_MILLIS = 1;
     /**
-     * A turn this late means that the process was paused; the sockets are then read first. XNIO runs timers before it selects,
-     * so without this a gateway that got no CPU for 250 ms timed out connections that were open and discarded responses that
-     * had arrived (four endpoints at once "unreachable" in the first second after a restart).
+     * A turn this late means that the process was paused; the sockets are then read first. XNIO runs timers before it
+     * selects, so without this a gateway that got no CPU for 250 ms timed out connections that were open and discarded
+     * responses that had arrived (four endpoints at once "unreachable" in the first second after a restart).
      */
     private static final long PROCESS_PAUSE_MICROS = 10_000;
     /** Longest timer; a later deadline is checked again when it fires. */
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Runs a requested turn, after the selection if the process was paused meanwhile. Otherwise the turn of a request queued
-     * before the pause would run before the bytes that wait in the sockets are read, as a timer's would.
+     * Runs a requested turn, after the selection if the process was paused meanwhile. Otherwise the turn of a request
+     * queued before the pause would run before the bytes that wait in the sockets are read, as a timer's would.
      */
     private void runRequested() {
         boolean paused = deadline > lastTurn && clock.currentMicros() - deadline >= PROCESS_PAUSE_MICROS;
@@ -125,8 +125,8 @@
 
     /**
      * The delay of a timer in milliseconds, rounded up, so a timer is up to 1 ms late. XNIO truncates a delay to whole
-     * milliseconds and runs a timer with none at once, so without this a state machine with a deadline in 1.9 ms ran turn after
-     * turn during the last 0.9 ms.
+     * milliseconds and runs a timer with none at once, so without this a state machine with a deadline in 1.9 ms ran
+     * turn after turn during the last 0.9 ms.
      */
     static long wholeMillis(long micros) {
         return Math.max(1, (micros + 999) / 1_000);
--- a/net/src/test/java/garnetreel/net/EventLoopTest.java
+++ b/net/src/test/java/garnetreel/net/EventLoopTest.java
@@ -83,8 +83,8 @@
     private record ConnectCommand() implements NetEvent.Command {}
 
     /**
-     * Connects on a command, with a timeout. Then it blocks its thread, as a pause of the process does, until the connection is
-     * accepted, its timer is due and the timeout has passed.
+     * Connects on a command, with a timeout. Then it blocks its thread, as a pause of the process does, until the
+     * connection is accepted, its timer is due and the timeout has passed.
      */
     private static final class ClientPausedWhileConnecting implements StateMachine {
         private static final long CONNECT_TIMEOUT_MICROS = 2_000;
--- a/settings/src/main/java/garnetreel/settings/Json.java
+++ b/settings/src/main/java/garnetreel/settings/Json.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * A JSON object with typed access to its fields. It is parsed into maps, lists, numbers and strings. A field whose value is
- * {@code null} counts as absent.
+ * A JSON object with typed access to its fields. It is parsed into maps, lists, numbers and strings. A field whose
+ * value is {@code null} counts as absent.
  */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
