--- a/benchadapter/src/main/java/garnetreel/benchadapter/BenchMessageCodec.java
+++ b/benchadapter/src/main/java/garnetreel/benchadapter/BenchMessageCodec.java
@@ -59,23 +59,23 @@
             case "endpoints" -> readEndpointUpdate(json);
             case "incoming" -> readRequestReceived(json);
             case "flowing" -> new ResponseStreamStarted(
-                    json.need("id").whole("id", 0), (int) json.whole("round-no", 0), json.text("shelf", ""));
+                    json.require("id").integer("id", 0), (int) json.integer("round-no", 0), json.text("shelf", ""));
             case "finished" -> readAttemptCompleted(json);
-            case "abandoned" -> new RequestCancelled(json.need("id").whole("id", 0));
-            case "timeout-fired" -> new TimerExpired(json.need("ref").text("ref", ""));
+            case "abandoned" -> new RequestCancelled(json.require("id").integer("id", 0));
+            case "timeout-fired" -> new TimerExpired(json.require("ref").text("ref", ""));
             case "pong" -> new HealthCheckCompleted(
-                    json.need("shelf").text("shelf", ""),
+                    json.require("shelf").text("shelf", ""),
                     readOutcome(json),
                     json.micros("duration", 0),
                     json.numbers("usage"));
-            case "mail" -> new GossipReceived((int) json.whole("who", 0), decodeHex(json.text("data", "")));
+            case "mail" -> new GossipReceived((int) json.integer("who", 0), decodeHex(json.text("data", "")));
             default -> null;
         };
     }
 
     private static EndpointUpdate readEndpointUpdate(Json json) throws JsonException {
         EndpointUpdateKind kind =
-                switch (json.need("kind").text("kind", "")) {
+                switch (json.require("kind").text("kind", "")) {
                     case "changes" -> EndpointUpdateKind.DELTA;
                     case "all" -> EndpointUpdateKind.SNAPSHOT;
                     case "remembered" -> EndpointUpdateKind.CACHED;
@@ -91,9 +91,9 @@
                         default -> EndpointState.DRAINING;
                     };
             entries.add(new EndpointEntry(
-                    entry.need("shelf").text("shelf", ""),
+                    entry.require("shelf").text("shelf", ""),
                     entry.text("dc", ""),
-                    (int) entry.whole("block", 0),
+                    (int) entry.integer("block", 0),
                     state,
                     entry.number("capacity-hint", 1),
                     entry.micros("start-time", 0)));
@@ -103,12 +103,12 @@
 
     private static RequestReceived readRequestReceived(Json json) throws JsonException {
         return new RequestReceived(
-                json.need("id").whole("id", 0),
-                json.need("qos").text("qos", ""),
+                json.require("id").integer("id", 0),
+                json.require("qos").text("qos", ""),
                 json.text("policy-no", ""),
-                json.whole("chunk", -1),
-                json.need("valid-until").micros("valid-until", 0),
-                json.whole("share-id", -1),
+                json.integer("chunk", -1),
+                json.require("valid-until").micros("valid-until", 0),
+                json.integer("share-id", -1),
                 json.number("size-units", 1),
                 (int) json.number("shard", 0),
                 (int) json.number("writers", 0),
@@ -117,21 +117,21 @@
     }
 
     private static AttemptCompleted readAttemptCompleted(Json json) throws JsonException {
-        json.need("state-code");
+        json.require("state-code");
         return new AttemptCompleted(
-                json.need("id").whole("id", 0),
-                (int) json.whole("round-no", 0),
+                json.require("id").integer("id", 0),
+                (int) json.integer("round-no", 0),
                 json.text("shelf", ""),
                 readOutcome(json),
                 json.micros("duration", 0),
                 json.flag("done-flag", false),
-                json.whole("from-others", 0),
-                json.whole("usage", 0),
+                json.integer("from-others", 0),
+                json.integer("usage", 0),
                 json.numbers("load"));
     }
 
     private static Outcome readOutcome(Json json) throws JsonException {
-        long code = json.whole("state-code", 0);
+        long code = json.integer("state-code", 0);
         return code > 0 && code < OUTCOMES.length ? OUTCOMES[(int) code] : Outcome.UNKNOWN;
     }
 
--- a/benchadapter/src/main/java/garnetreel/benchadapter/InstanceHost.java
+++ b/benchadapter/src/main/java/garnetreel/benchadapter/InstanceHost.java
@@ -102,12 +102,12 @@
     }
 
     private void handleMessage(Json json) throws IOException, JsonException {
-        String message = json.need("msg").text("msg", "");
+        String message = json.require("msg").text("msg", "");
         if (message.equals("turn")) {
             if (inBatch) {
                 throw new JsonException("line " + lineNumber + ": \"turn\" inside a batch");
             }
-            now = json.need("t").micros("t", 0);
+            now = json.require("t").micros("t", 0);
             inBatch = true;
             return;
         }
@@ -123,13 +123,14 @@
         if (event == null && !isStart && !message.equals("kill")) {
             throw new JsonException("line " + lineNumber + ": unknown event \"" + message + "\"");
         }
-        int instance = (int) json.need("head-id").whole("head-id", 0);
+        int instance = (int) json.require("head-id").integer("head-id", 0);
         if (isStart) {
             pending.remove(instance);
             instances.put(
                     instance,
                     new FairQueueScheduler(
-                            SettingsReader.read(json.need("settings").child("settings")), json.whole("entropy", 0)));
+                            SettingsReader.read(json.require("settings").child("settings")),
+                            json.integer("entropy", 0)));
         } else if (event == null) {
             pending.remove(instance);
             instances.remove(instance);
--- a/core/src/main/java/garnetreel/core/platform/ListUpdate.java
+++ b/core/src/main/java/garnetreel/core/platform/ListUpdate.java
@@ -36,19 +36,19 @@
         for (Json entry : json.children("hosts")) {
             entries.add(readEntry(entry));
         }
-        return new ListUpdate(json.need("seq").whole("seq", 0), json.flag("whole", false), entries);
+        return new ListUpdate(json.require("seq").integer("seq", 0), json.flag("whole", false), entries);
     }
 
     private static Entry readEntry(Json json) throws JsonException {
         EndpointState state = readState(json.text("health", "up"));
         String address = json.text("dial", "");
         EndpointEntry endpoint = new EndpointEntry(
-                json.need("host").text("host", ""),
+                json.require("host").text("host", ""),
                 json.text("site", ""),
-                (int) json.whole("block", 0),
+                (int) json.integer("block", 0),
                 state,
                 json.number("share", 1),
-                json.whole("born_ms", 0) * MICROS_PER_MILLI);
+                json.integer("born_ms", 0) * MICROS_PER_MILLI);
         return new Entry(address, endpoint);
     }
 
--- a/core/src/main/java/garnetreel/core/platform/PlatformSettings.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformSettings.java
@@ -47,7 +47,7 @@
     public static PlatformSettings read(byte[] config) throws JsonException {
         Json json = Json.parse(config, 0, config.length, "configuration");
         Json limits = json.child("limits");
-        Json settings = json.need("settings").child("settings");
+        Json settings = json.require("settings").child("settings");
         return new PlatformSettings(
                 json.text("name", ""),
                 address(json, "listen"),
@@ -61,7 +61,7 @@
     }
 
     private static int atLeast(Json limits, String name, int minimum) throws JsonException {
-        long number = limits.need(name).whole(name, 0);
+        long number = limits.require(name).integer(name, 0);
         if (number < minimum) {
             throw new JsonException("configuration, in \"limits\": field \"" + name + "\" is " + number
                     + ", must be at least " + minimum);
@@ -70,7 +70,7 @@
     }
 
     private static String address(Json json, String name) throws JsonException {
-        String text = json.need(name).text(name, "");
+        String text = json.require(name).text(name, "");
         if (!text.matches("[^\\s:]+:[0-9]{1,5}")) {
             throw new JsonException("configuration: field \"" + name + "\" is not of the form host:port");
         }
--- a/mapservice/src/test/java/garnetreel/mapservice/TransactionLogTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/TransactionLogTest.java
@@ -87,8 +87,9 @@
         log.submit(() -> fixture.state.migrationTransaction(stale, "test", 5, ""), completed::add);
         log.write();
         assertEquals(
-                List.of("transaction not committed: extent 4 of volume 7 has changed since its migration began: its version is"
-                        + " 1, expected 9"),
+                List.of(
+                        "transaction not committed: extent 4 of volume 7 has changed since its migration began: its version is"
+                                + " 1, expected 9"),
                 fixture.logged());
         assertEquals(1, completed.size());
         assertNull(completed.get(0));
--- a/settings/src/main/java/garnetreel/settings/Json.java
+++ b/settings/src/main/java/garnetreel/settings/Json.java
@@ -110,7 +110,7 @@
      *
      * @throws JsonException if the field is absent
      */
-    public Json need(String name) throws JsonException {
+    public Json require(String name) throws JsonException {
         if (fields.get(name) == null) {
             throw fieldError(name, "is missing");
         }
@@ -128,7 +128,7 @@
     }
 
     /** The number in a field without its fraction, or the default if it is absent. */
-    public long whole(String name, long defaultValue) throws JsonException {
+    public long integer(String name, long defaultValue) throws JsonException {
         return get(name, Number.class, defaultValue).longValue();
     }
 
--- a/settings/src/main/java/garnetreel/settings/SettingsReader.java
+++ b/settings/src/main/java/garnetreel/settings/SettingsReader.java
@@ -36,8 +36,8 @@
                     item.number("proportion", 1)));
         }
         return new SchedulerSettings(
-                (int) json.whole("me", 0),
-                (int) json.whole("balancers", 1),
+                (int) json.integer("me", 0),
+                (int) json.integer("balancers", 1),
                 json.text("discovery", "").equals("subscribe"),
                 classes,
                 plans,
@@ -49,7 +49,7 @@
                 specifics.number("idle-worth", 1),
                 specifics.flag("tells-elsewhere", false),
                 specifics.micros("metering", 0),
-                (int) limits.whole("try-limit", 1),
+                (int) limits.integer("try-limit", 1),
                 limits.flag("second-copies", false),
                 limits.flag("cancel", false),
                 limits.flag("probes", false),
