--- a/testbed/src/main/java/garnetreel/testbed/client/ExpectedPages.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/ExpectedPages.java
@@ -8,27 +8,27 @@
 import java.util.Map;
 
 /**
- * What a client knows of the pages it alone writes: for each, which contents a read may show. A page is filled with
- * one number, its stamp. A write that was acknowledged leaves only its own stamp; one that failed may show, or not, and
- * for a moment may still take effect.
+ * The contents that a read may return, for each page that only this client writes. A write fills its pages with one
+ * number, its stamp. After an acknowledged write only its stamp is expected; a failed write may or may not have taken
+ * effect, and may still do so for a short time.
  */
 final class ExpectedPages {
-    /** A write of unknown fate may take effect so long after its answer: work that had begun at the node goes on. */
-    private static final long LINGER = 2_000_000;
+    /** Microseconds for which a write of unknown outcome may still take effect: a node completes work it has begun. */
+    private static final long LATE_WRITE_WINDOW = 2_000_000;
 
-    private static final int WORDS = MemoryDisk.PAGE / Long.BYTES;
+    private static final int WORDS_PER_PAGE = MemoryDisk.PAGE / Long.BYTES;
 
     private static final class Page {
-        /** Stamp of the last write that was acknowledged. */
+        /** Stamp of the last acknowledged write. */
         long acknowledged;
-        /** Stamps of writes of unknown fate, and since when. */
-        final Map<Long, Long> unknown = new LinkedHashMap<>();
+        /** Stamps of writes of unknown outcome, and when each write ended. */
+        final Map<Long, Long> unknownOutcomes = new LinkedHashMap<>();
     }
 
     private final Map<Long, Page> pages = new HashMap<>();
 
-    /** The bytes of a write with a stamp. */
-    static byte[] fill(long stamp, int length) {
+    /** Returns the data of a write: the stamp, repeated up to the length. */
+    static byte[] pageContents(long stamp, int length) {
         ByteBuffer data = ByteBuffer.allocate(length);
         while (data.hasRemaining()) {
             data.putLong(stamp);
@@ -36,34 +36,34 @@
         return data.array();
     }
 
-    /** A write was answered without an error. */
-    void acknowledged(long offset, int length, long stamp, long now) {
+    /** Records that a write was acknowledged without an error. */
+    void recordAcknowledged(long offset, int length, long stamp, long now) {
         for (long position = offset; position < offset + length; position += MemoryDisk.PAGE) {
             Page page = page(position);
             page.acknowledged = stamp;
-            page.unknown.values().removeIf(since -> since < now - LINGER);
+            page.unknownOutcomes.values().removeIf(since -> since < now - LATE_WRITE_WINDOW);
         }
     }
 
-    /** A write failed, or got no answer. */
-    void unknown(long offset, int length, long stamp, long now) {
+    /** Records that a write failed or was not answered. */
+    void recordUnknownOutcome(long offset, int length, long stamp, long now) {
         for (long position = offset; position < offset + length; position += MemoryDisk.PAGE) {
-            page(position).unknown.put(stamp, now);
+            page(position).unknownOutcomes.put(stamp, now);
         }
     }
 
-    /** What is wrong with bytes that were read; null when nothing is. */
+    /** Describes how data that was read differs from the expected contents; null if it does not. */
     String mismatch(long offset, byte[] data) {
-        ByteBuffer words = ByteBuffer.wrap(data);
+        ByteBuffer contents = ByteBuffer.wrap(data);
         for (int position = 0; position < data.length; position += MemoryDisk.PAGE) {
             Page page = page(offset + position);
-            long stamp = words.getLong(position);
-            for (int word = 1; word < WORDS; word++) {
-                if (words.getLong(position + word * Long.BYTES) != stamp) {
+            long stamp = contents.getLong(position);
+            for (int word = 1; word < WORDS_PER_PAGE; word++) {
+                if (contents.getLong(position + word * Long.BYTES) != stamp) {
                     return "page at " + (offset + position) + " holds parts of two writes";
                 }
             }
-            if (stamp != page.acknowledged && !page.unknown.containsKey(stamp)) {
+            if (stamp != page.acknowledged && !page.unknownOutcomes.containsKey(stamp)) {
                 return "page at " + (offset + position) + " shows write " + stamp + ", and write " + page.acknowledged
                         + " was acknowledged";
             }
@@ -72,11 +72,11 @@
     }
 
     private Page page(long offset) {
-        return pages.computeIfAbsent(offset / MemoryDisk.PAGE, any -> new Page());
+        return pages.computeIfAbsent(offset / MemoryDisk.PAGE, index -> new Page());
     }
 
-    /** Places of a size at which anything was written, in order. */
-    List<Long> written(int slotBytes) {
+    /** Offsets of the slots that contain a written page, in ascending order. */
+    List<Long> writtenSlots(int slotBytes) {
         return pages.keySet().stream()
                 .map(page -> page * MemoryDisk.PAGE / slotBytes * slotBytes)
                 .distinct()
--- a/testbed/src/main/java/garnetreel/testbed/client/LoadAttempt.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/LoadAttempt.java
@@ -2,10 +2,10 @@
 
 import garnetreel.codec.nbd.NbdReplies.Piece;
 
-/** One attempt at a request, and what has arrived of its reply. */
+/** One attempt of a request, and the part of its reply that has arrived. */
 final class LoadAttempt {
     final LoadRequest request;
-    /** Bytes read; null for an operation that reads none. */
+    /** The data read; null for operations that read none. */
     final byte[] data;
 
     int error;
--- a/testbed/src/main/java/garnetreel/testbed/client/LoadOperation.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/LoadOperation.java
@@ -5,7 +5,7 @@
     READ("read"),
     WRITE("write"),
     FLUSH("flush"),
-    /** Reads back what was written, after the load has ended. */
+    /** Reads written data back after the load has ended. */
     VERIFY("verify");
 
     private final String label;
@@ -14,7 +14,7 @@
         this.label = label;
     }
 
-    /** The name in tallies. */
+    /** The name in {@link NbdLoadGenerator#tallies()}. */
     String label() {
         return label;
     }
@@ -23,7 +23,7 @@
         return this == READ || this == VERIFY;
     }
 
-    /** The name in traces: there is no difference between a read and a verification on the wire. */
+    /** The name in traces, where a verification is a read, as it is on the wire. */
     String traceLabel() {
         return isRead() ? READ.label : label;
     }
--- a/testbed/src/main/java/garnetreel/testbed/client/LoadPacing.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/LoadPacing.java
@@ -2,14 +2,14 @@
 
 import java.util.SplittableRandom;
 
-/** When a load generator sends requests, drops connections and begins to verify: gaps by chance, around a mean. */
+/** Schedules requests and disconnections at exponentially distributed intervals, and the start of verification. */
 final class LoadPacing {
-    /** After the last request and before what was written is read back: the last answers come within it. */
+    /** Microseconds between the end of the load and verification, in which the last replies arrive. */
     private static final long VERIFY_DELAY = 1_000_000;
 
     private final NbdLoadSettings settings;
     private final SplittableRandom random;
-    private double surge = 1;
+    private double rateFactor = 1;
     private long startedAt = -1;
     private long nextRequestAt;
     private long nextDisconnectAt = Long.MAX_VALUE;
@@ -41,12 +41,12 @@
         return startedAt + settings.stop() + VERIFY_DELAY;
     }
 
-    void surge(double factor, long now) {
-        surge = factor;
+    void setRateFactor(double factor, long now) {
+        rateFactor = factor;
         nextRequestAt = Math.min(nextRequestAt, now + requestGap());
     }
 
-    /** Whether a new request is due; if so the next one is scheduled. */
+    /** Returns whether a new request is due, and schedules the next one if so. */
     boolean takeRequest(long now) {
         if (now < nextRequestAt || isStopped(now)) {
             return false;
@@ -55,7 +55,7 @@
         return true;
     }
 
-    /** Whether a connection is to be dropped; if so the next time is scheduled. */
+    /** Returns whether a disconnection is due, and schedules the next one if so. */
     boolean takeDisconnect(long now) {
         if (now < nextDisconnectAt) {
             return false;
@@ -71,14 +71,14 @@
     }
 
     private long requestGap() {
-        return Math.max(1, exponential(1e6 / (settings.requestsPerSecond() * surge)));
+        return Math.max(1, exponential(1e6 / (settings.requestsPerSecond() * rateFactor)));
     }
 
     private long exponential(double mean) {
         return (long) (-Math.log(1 - random.nextDouble()) * mean);
     }
 
-    /** The next request or disconnection. */
+    /** Time of the next request or disconnection. */
     long nextDeadline(long now) {
         return isStopped(now) ? Long.MAX_VALUE : Math.min(nextRequestAt, nextDisconnectAt);
     }
--- a/testbed/src/main/java/garnetreel/testbed/client/LoadRegion.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/LoadRegion.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The region that a client alone uses, in slots of the largest request: at most one request at a time for each. */
+/** A region that only one client uses, in slots of the largest request size; a slot has one request at a time. */
 final class LoadRegion {
     private static final int DEFAULT_SLOT_BYTES = 4096;
 
@@ -27,7 +27,7 @@
         return freeSlots.isEmpty();
     }
 
-    /** Takes a free slot by chance. */
+    /** Takes a random free slot. */
     long take(SplittableRandom random) {
         int index = random.nextInt(freeSlots.size());
         long offset = freeSlots.get(index);
@@ -37,7 +37,7 @@
         return offset;
     }
 
-    /** Takes a given slot; false where it is not free. */
+    /** Takes the slot at an offset; returns false if it is not free. */
     boolean take(long offset) {
         return freeSlots.remove(Long.valueOf(offset));
     }
--- a/testbed/src/main/java/garnetreel/testbed/client/LoadRequest.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/LoadRequest.java
@@ -1,11 +1,11 @@
 package garnetreel.testbed.client;
 
-/** One request of the NBD load generator, with all its attempts. */
+/** One request of the NBD load generator, which may take several attempts. */
 final class LoadRequest {
     final LoadOperation operation;
     final long offset;
     final int length;
-    /** What a write fills its pages with; 0 for other operations. */
+    /** The number that a write fills its pages with; 0 for other operations. */
     final long stamp;
 
     final long createdAt;
--- a/testbed/src/main/java/garnetreel/testbed/client/LocalFiles.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/LocalFiles.java
@@ -9,24 +9,24 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** The files of an rsync client: what each is here, and what a pull may show of it. */
+/** The local files of an rsync client, with the contents that a pull of each may return. */
 final class LocalFiles {
-    private static final int PAGE = 4096;
-    private static final int FOLDERS = 3;
-    private static final int FOLDER_MODE = Rsync.DIRECTORY | 0755;
+    private static final int PAGE_BYTES = 4096;
+    private static final int DIRECTORIES = 3;
+    private static final int DIRECTORY_MODE = Rsync.DIRECTORY | 0755;
     private static final int FILE_MODE = Rsync.REGULAR | 0644;
-    /** Time of change of the folders, which never change. */
-    private static final int FOLDER_TIME = 1;
+    /** Modification time of the directories, which never change. */
+    private static final int DIRECTORY_MTIME = 1;
 
     private static final class LocalFile {
         byte[] current;
         long modifiedAt;
-        /** The version that a complete push took; null before the first. */
+        /** The version sent by the last complete push; null before the first. */
         byte[] pushed;
-        /** Versions of pushes since then that ended without a goodbye: each may have been taken, or not. */
+        /** Versions sent by incomplete pushes since then; the server may have stored any of them. */
         final List<byte[]> possiblyPushed = new ArrayList<>();
 
-        boolean mayBe(byte[] contents) {
+        boolean isPossibleServerVersion(byte[] contents) {
             return Arrays.equals(contents, pushed)
                     || possiblyPushed.stream().anyMatch(version -> Arrays.equals(contents, version));
         }
@@ -37,16 +37,16 @@
 
     LocalFiles(RsyncLoadSettings settings, SplittableRandom random) {
         this.random = random;
-        int sizes = Math.max(1, settings.maxBytes() - settings.minBytes());
+        int sizeRange = Math.max(1, settings.maxBytes() - settings.minBytes());
         for (int i = 0; i < settings.files(); i++) {
             LocalFile file = new LocalFile();
-            file.current = randomBytes(settings.minBytes() + random.nextInt(sizes));
+            file.current = randomBytes(settings.minBytes() + random.nextInt(sizeRange));
             file.modifiedAt = i + 1;
-            files.put(folder(i % FOLDERS) + "/page-" + i, file);
+            files.put(directoryName(i % DIRECTORIES) + "/page-" + i, file);
         }
     }
 
-    private static String folder(int number) {
+    private static String directoryName(int number) {
         return "ward-" + number;
     }
 
@@ -56,14 +56,14 @@
         return bytes;
     }
 
-    /** Changes a page of some files. */
-    void change(int changes) {
-        List<LocalFile> all = new ArrayList<>(files.values());
-        for (int i = 0; i < changes; i++) {
-            LocalFile file = all.get(random.nextInt(all.size()));
+    /** Overwrites a page at a random position of a random file, a number of times. */
+    void modifyRandomPages(int count) {
+        List<LocalFile> candidates = new ArrayList<>(files.values());
+        for (int i = 0; i < count; i++) {
+            LocalFile file = candidates.get(random.nextInt(candidates.size()));
             byte[] changed = file.current.clone();
             if (changed.length > 0) {
-                byte[] page = randomBytes(Math.min(PAGE, changed.length));
+                byte[] page = randomBytes(Math.min(PAGE_BYTES, changed.length));
                 System.arraycopy(page, 0, changed, random.nextInt(changed.length - page.length + 1), page.length);
             }
             file.current = changed;
@@ -75,12 +75,12 @@
         return files.get(name).current;
     }
 
-    /** The list of files and folders that a push announces, in the protocol's order. */
+    /** The file list that a push sends: all files and directories, in the protocol's order. */
     List<FileItem> items() {
         List<FileItem> items = new ArrayList<>();
-        items.add(new FileItem(".", FOLDER_MODE, 0, FOLDER_TIME, "", null));
-        for (int folder = 0; folder < FOLDERS; folder++) {
-            items.add(new FileItem(folder(folder), FOLDER_MODE, 0, FOLDER_TIME, "", null));
+        items.add(new FileItem(".", DIRECTORY_MODE, 0, DIRECTORY_MTIME, "", null));
+        for (int directory = 0; directory < DIRECTORIES; directory++) {
+            items.add(new FileItem(directoryName(directory), DIRECTORY_MODE, 0, DIRECTORY_MTIME, "", null));
         }
         files.forEach((name, file) ->
                 items.add(new FileItem(name, FILE_MODE, file.current.length, file.modifiedAt, "", null)));
@@ -88,8 +88,8 @@
         return items;
     }
 
-    /** A push ended. */
-    void pushed(boolean complete) {
+    /** Records that a push of the current contents ended. */
+    void recordPush(boolean complete) {
         for (LocalFile file : files.values()) {
             if (complete) {
                 file.pushed = file.current;
@@ -100,8 +100,8 @@
         }
     }
 
-    /** Names of files that were pushed and are not in a list. */
-    List<String> missingFrom(List<FileItem> items) {
+    /** Names of completely pushed files that a file list lacks. */
+    List<String> pushedFilesMissingFrom(List<FileItem> items) {
         List<String> missing = new ArrayList<>();
         files.forEach((name, file) -> {
             if (file.pushed != null
@@ -112,9 +112,9 @@
         return missing;
     }
 
-    /** Whether a pull may show these contents; a file of another name may have any. */
-    boolean mayShow(String name, byte[] contents) {
+    /** Whether a pull may return these contents; a file that is not one of these may have any. */
+    boolean isValidPull(String name, byte[] contents) {
         LocalFile file = files.get(name);
-        return file == null || file.mayBe(contents);
+        return file == null || file.isPossibleServerVersion(contents);
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/client/NbdLoadConnection.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/NbdLoadConnection.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A connection of the NBD load generator to a gateway; opened again where it ends. */
+/** A connection of the NBD load generator to a gateway, which is reopened after it ends. */
 final class NbdLoadConnection {
     final int gateway;
     final String address;
-    /** Number of the connection; 0 while there is none. */
-    long conn;
-    /** The gateway has accepted the export: requests may be sent. */
+    /** Id of the open connection; 0 while there is none. */
+    long connectionId;
+    /** Whether the NBD handshake is complete, so that requests may be sent. */
     boolean ready;
 
     long reconnectAt;
@@ -24,15 +24,15 @@
         this.address = address;
     }
 
-    void opening(long newConn) {
-        conn = newConn;
+    void beginConnect(long newConnectionId) {
+        connectionId = newConnectionId;
         ready = false;
         input = new ByteQueue();
         replies = new NbdReplies();
     }
 
-    void closed(long nextAttemptAt) {
-        conn = 0;
+    void markClosed(long nextAttemptAt) {
+        connectionId = 0;
         ready = false;
         reconnectAt = nextAttemptAt;
     }
--- a/testbed/src/main/java/garnetreel/testbed/client/NbdLoadConnections.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/NbdLoadConnections.java
@@ -7,46 +7,46 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The connections of an NBD load generator, dealt out over the gateways that it uses. */
+/** The connections of an NBD load generator, assigned round robin to the gateways that it uses. */
 final class NbdLoadConnections {
     static final long RECONNECT_DELAY = 100_000;
-    /** Share of the requests that the first gateways get; the last one gets the rest. */
+    /** Shares of the requests that the first gateways get; the last gateway gets the remainder. */
     private static final double[] GATEWAY_WEIGHTS = {0.6, 0.25, 0.15};
 
-    private final int gateways;
+    private final int gatewayCount;
     private final List<NbdLoadConnection> connections = new ArrayList<>();
-    private final Map<Long, NbdLoadConnection> byConn = new HashMap<>();
-    private long lastConn;
+    private final Map<Long, NbdLoadConnection> byConnectionId = new HashMap<>();
+    private long lastConnectionId;
 
     NbdLoadConnections(NbdLoadSettings settings) {
-        gateways = settings.gateways().size();
+        gatewayCount = settings.gateways().size();
         for (int i = 0; i < settings.connections(); i++) {
-            NbdLoadSettings.GatewayAddress gateway = settings.gateways().get(i % gateways);
+            NbdLoadSettings.GatewayAddress gateway = settings.gateways().get(i % gatewayCount);
             connections.add(new NbdLoadConnection(gateway.gateway(), gateway.address()));
         }
     }
 
     void connectDue(long now, List<NetAction> actions) {
         for (NbdLoadConnection connection : connections) {
-            if (connection.conn == 0 && now >= connection.reconnectAt) {
-                connection.opening(- ++lastConn);
-                byConn.put(connection.conn, connection);
-                actions.add(new NetAction.Connect(connection.conn, connection.address));
+            if (connection.connectionId == 0 && now >= connection.reconnectAt) {
+                connection.beginConnect(- ++lastConnectionId);
+                byConnectionId.put(connection.connectionId, connection);
+                actions.add(new NetAction.Connect(connection.connectionId, connection.address));
             }
         }
     }
 
-    /** The connection of a number; null where it is closed. */
-    NbdLoadConnection find(long conn) {
-        return byConn.get(conn);
+    /** The connection with an id; null if it is closed. */
+    NbdLoadConnection find(long connectionId) {
+        return byConnectionId.get(connectionId);
     }
 
-    void closed(NbdLoadConnection connection, long now) {
-        byConn.remove(connection.conn);
-        connection.closed(now + RECONNECT_DELAY);
+    void markClosed(NbdLoadConnection connection, long now) {
+        byConnectionId.remove(connection.connectionId);
+        connection.markClosed(now + RECONNECT_DELAY);
     }
 
-    /** The first connection that has requests in flight; null where none has. */
+    /** The first ready connection with requests in flight; null if there is none. */
     NbdLoadConnection firstBusy() {
         for (NbdLoadConnection connection : connections) {
             if (connection.ready && !connection.inFlight.isEmpty()) {
@@ -56,21 +56,21 @@
         return null;
     }
 
-    /** The connection over which a place is read back. */
-    NbdLoadConnection ofSlot(long slot) {
+    /** The connection over which a slot is verified. */
+    NbdLoadConnection forSlot(long slot) {
         return connections.get((int) (slot % connections.size()));
     }
 
-    /** Picks a gateway by its weight, and one of the connections to it. */
+    /** Picks a random gateway by weight, then a random connection to it. */
     NbdLoadConnection pick(SplittableRandom random) {
         double draw = random.nextDouble();
         int gateway = 0;
-        while (gateway + 1 < gateways && draw > weight(gateway)) {
+        while (gateway + 1 < gatewayCount && draw > weight(gateway)) {
             draw -= weight(gateway);
             gateway++;
         }
-        int ofGateway = (connections.size() - gateway + gateways - 1) / gateways;
-        int index = gateway + gateways * random.nextInt(Math.max(1, ofGateway));
+        int connectionsOfGateway = (connections.size() - gateway + gatewayCount - 1) / gatewayCount;
+        int index = gateway + gatewayCount * random.nextInt(Math.max(1, connectionsOfGateway));
         return connections.get(Math.min(connections.size() - 1, index));
     }
 
@@ -81,7 +81,7 @@
     long nextDeadline() {
         long next = Long.MAX_VALUE;
         for (NbdLoadConnection connection : connections) {
-            if (connection.conn == 0) {
+            if (connection.connectionId == 0) {
                 next = Math.min(next, connection.reconnectAt);
             }
         }
--- a/testbed/src/main/java/garnetreel/testbed/client/NbdLoadGenerator.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/NbdLoadGenerator.java
@@ -21,61 +21,61 @@
 import java.util.regex.Pattern;
 
 /**
- * A scripted NBD client: sends requests at a rate, waits no longer than its deadline, retries where that is harmless,
- * drops connections with requests in flight, and checks that each read shows what was acknowledged.
+ * A scripted NBD client: sends requests at a given rate, waits for each reply until its deadline, retries where that is
+ * safe, drops connections with requests in flight, and checks that each read returns the acknowledged data.
  *
- * <p>The order of random draws is part of its behaviour: a run with a seed must go the same way.
+ * <p>The order of random draws is part of its behaviour, since runs with the same seed must be identical.
  */
 public final class NbdLoadGenerator implements StateMachine {
-    /** Requests in flight while what was written is read back. */
+    /** Maximum number of requests in flight during verification. */
     private static final int MAX_VERIFY_IN_FLIGHT = 8;
 
     private static final long MIN_RETRY_DELAY = 20_000;
     private static final long MAX_RETRY_DELAY = 2_000_000;
-    /** Tags are the client's number and a count, so that no two clients share one. */
-    private static final int TAG_SHIFT = 32;
+    /** Tags and stamps are the client number, shifted, and a counter, so that no two clients share one. */
+    private static final int CLIENT_NUMBER_SHIFT = 32;
 
     private static final Pattern RETRY_AFTER = Pattern.compile("stay away for (\\d+) ms");
 
     /**
-     * Multiplies the rate from now on.
+     * Sets the request rate relative to the configured one.
      *
-     * @param factor 1 is the usual rate
+     * @param factor 1 for the configured rate
      */
     public record Surge(double factor) implements NetEvent.Command {}
 
-    /** What became of requests of one operation. */
+    /** Outcome counters of one operation. */
     public static final class Tally {
-        /** Requests, without retries. */
+        /** Requests; retries are not counted. */
         public long asked;
-        /** Requests that were answered without an error. */
+        /** Requests answered without an error. */
         public long served;
-        /** Those of them that were answered within the objective. */
+        /** Requests in {@link #served} answered within the latency objective. */
         public long inTime;
-        /** Requests that were rejected in the end. */
+        /** Requests whose last attempt was rejected with ENOMEM. */
         public long refused;
-        /** Requests that were answered with another error in the end. */
+        /** Requests whose last attempt was answered with another error. */
         public long failed;
-        /** Requests that had no connection, or lost it. */
+        /** Requests whose connection was not ready or was lost. */
         public long unreachable;
-        /** Attempts, retries among them. */
+        /** Attempts, including retries. */
         public long tries;
-        /** Reads that showed what they should not have. */
+        /** Reads that returned unexpected data. */
         public long misread;
     }
 
     private final NbdLoadSettings settings;
-    private final long number;
+    private final long clientNumber;
     private final Trace trace;
     private final SplittableRandom random;
     private final LoadPacing pacing;
     private final NbdLoadConnections connections;
-    private final ExpectedPages pages = new ExpectedPages();
+    private final ExpectedPages expectedPages = new ExpectedPages();
     private final LoadRegion region;
     private final TreeMap<Long, List<LoadRequest>> retries = new TreeMap<>();
-    private final AwaitedAnswers awaited = new AwaitedAnswers();
+    private final PendingReplies pendingReplies = new PendingReplies();
     private final Map<String, Tally> tallies = new TreeMap<>();
-    private final ArrayDeque<Long> toVerify = new ArrayDeque<>();
+    private final ArrayDeque<Long> slotsToVerify = new ArrayDeque<>();
     private List<NetAction> actions = new ArrayList<>();
     private boolean verifying;
     private long now;
@@ -83,13 +83,13 @@
     private long lastStamp;
 
     /**
-     * Makes a client that begins with its first turn.
+     * Creates a client that starts at the first call of {@link #handle}.
      *
-     * @param number differs between the clients of a run
+     * @param clientNumber unique among the clients of a run
      */
-    public NbdLoadGenerator(NbdLoadSettings settings, long number, Trace trace, long seed) {
+    public NbdLoadGenerator(NbdLoadSettings settings, long clientNumber, Trace trace, long seed) {
         this.settings = settings;
-        this.number = number;
+        this.clientNumber = clientNumber;
         this.trace = trace;
         this.random = new SplittableRandom(seed);
         this.pacing = new LoadPacing(settings, random);
@@ -108,11 +108,11 @@
             handle(event);
         }
         connections.connectDue(now, actions);
-        awaited.giveUpDue(now, (tag, attempt) -> trace(Kind.GIVE_UP, tag, attempt.request, ""));
+        pendingReplies.expireDue(now, (tag, attempt) -> trace(Kind.GIVE_UP, tag, attempt.request, ""));
         disconnectIfDue();
         sendRetriesDue();
         sendNewDue();
-        verify();
+        sendVerifications();
     }
 
     private void handle(NetEvent event) {
@@ -121,37 +121,37 @@
         } else if (event instanceof NetEvent.Received received && connections.find(received.connectionId()) != null) {
             received(connections.find(received.connectionId()), received.data());
         } else if (event instanceof NetEvent.Closed closed && connections.find(closed.connectionId()) != null) {
-            lost(connections.find(closed.connectionId()), "head gone");
+            connectionLost(connections.find(closed.connectionId()), "head gone");
         } else if (event instanceof NetEvent.CommandReceived command && command.command() instanceof Surge surge) {
-            pacing.surge(surge.factor(), now);
+            pacing.setRateFactor(surge.factor(), now);
         }
     }
 
     // ---------------------------------------------------------------- connections
 
-    private void lost(NbdLoadConnection connection, String reason) {
-        connections.closed(connection, now);
+    private void connectionLost(NbdLoadConnection connection, String reason) {
+        connections.markClosed(connection, now);
         for (Map.Entry<Long, LoadAttempt> entry : List.copyOf(connection.inFlight.entrySet())) {
             LoadRequest request = entry.getValue().request;
             trace(Kind.LEAVE, entry.getKey(), request, reason);
-            awaited.remove(entry.getKey());
+            pendingReplies.remove(entry.getKey());
             if (request.operation == LoadOperation.WRITE) {
-                pages.unknown(request.offset, request.length, request.stamp, now);
+                expectedPages.recordUnknownOutcome(request.offset, request.length, request.stamp, now);
             }
             unreachable(request);
         }
         connection.inFlight.clear();
     }
 
-    /** Drops a connection that has requests in flight, if one has. */
+    /** When a disconnection is due, drops a connection with requests in flight, if there is one. */
     private void disconnectIfDue() {
         if (!pacing.takeDisconnect(now)) {
             return;
         }
         NbdLoadConnection connection = connections.firstBusy();
         if (connection != null) {
-            actions.add(new NetAction.Close(connection.conn, true));
-            lost(connection, "left");
+            actions.add(new NetAction.Close(connection.connectionId, true));
+            connectionLost(connection, "left");
         }
     }
 
@@ -168,11 +168,11 @@
             LoadOperation operation = pickOperation();
             NbdLoadConnection connection = connections.pick(random);
             if (region.isFull()) {
-                continue; // as many in flight as it has slots
+                continue; // every slot has a request in flight
             }
             long offset = region.take(random);
             int length = settings.sizes().get(random.nextInt(settings.sizes().size()));
-            long stamp = operation == LoadOperation.WRITE ? number << TAG_SHIFT | ++lastStamp : 0;
+            long stamp = operation == LoadOperation.WRITE ? clientNumber << CLIENT_NUMBER_SHIFT | ++lastStamp : 0;
             sendNew(new LoadRequest(operation, offset, length, stamp, now, connection));
         }
     }
@@ -197,12 +197,12 @@
         }
         request.attempts++;
         tally(request).tries++;
-        long tag = number << TAG_SHIFT | ++lastTag;
+        long tag = clientNumber << CLIENT_NUMBER_SHIFT | ++lastTag;
         LoadAttempt attempt = new LoadAttempt(request);
         connection.inFlight.put(tag, attempt);
-        awaited.add(tag, attempt, now + settings.deadlines().of(request.operation));
+        pendingReplies.add(tag, attempt, now + settings.deadlines().of(request.operation));
         trace(Kind.ASK, tag, request, Integer.toString(request.attempts - 1));
-        actions.add(new NetAction.Write(connection.conn, encode(tag, request)));
+        actions.add(new NetAction.Write(connection.connectionId, encode(tag, request)));
     }
 
     private static ByteBuffer encode(long tag, LoadRequest request) {
@@ -215,11 +215,11 @@
                     tag,
                     request.offset,
                     request.length,
-                    ExpectedPages.fill(request.stamp, request.length));
+                    ExpectedPages.pageContents(request.stamp, request.length));
         };
     }
 
-    // ---------------------------------------------------------------- answers
+    // ---------------------------------------------------------------- replies
 
     private void received(NbdLoadConnection connection, ByteBuffer data) {
         connection.input.add(data);
@@ -234,8 +234,8 @@
             }
         } catch (ProtocolException e) {
             actions.add(new NetAction.Log(NetAction.Level.WARN, settings.name() + ": " + e.getMessage()));
-            actions.add(new NetAction.Close(connection.conn, true));
-            lost(connection, "protocol broken: " + e.getMessage());
+            actions.add(new NetAction.Close(connection.connectionId, true));
+            connectionLost(connection, "protocol broken: " + e.getMessage());
         }
     }
 
@@ -248,15 +248,15 @@
         attempt.add(piece);
         if (piece.done()) {
             connection.inFlight.remove(piece.cookie());
-            awaited.remove(piece.cookie());
-            answered(piece.cookie(), attempt);
+            pendingReplies.remove(piece.cookie());
+            handleReply(piece.cookie(), attempt);
         }
     }
 
-    private void answered(long tag, LoadAttempt attempt) {
+    private void handleReply(long tag, LoadAttempt attempt) {
         LoadRequest request = attempt.request;
         switch (attempt.error) {
-            case 0 -> served(tag, attempt);
+            case 0 -> handleSuccess(tag, attempt);
             case Nbd.ENOMEM -> {
                 trace(Kind.REPLY, tag, request, "refused");
                 if (!retry(attempt)) {
@@ -267,9 +267,9 @@
             default -> {
                 trace(Kind.REPLY, tag, request, "failed");
                 if (request.operation == LoadOperation.WRITE) {
-                    pages.unknown(request.offset, request.length, request.stamp, now);
+                    expectedPages.recordUnknownOutcome(request.offset, request.length, request.stamp, now);
                 }
-                // Only a read is harmless to repeat where it may have run.
+                // The request may have been executed; only reads are safe to repeat.
                 if (!request.operation.isRead() || !retry(attempt)) {
                     tally(request).failed++;
                     abandon(request);
@@ -278,7 +278,7 @@
         }
     }
 
-    private void served(long tag, LoadAttempt attempt) {
+    private void handleSuccess(long tag, LoadAttempt attempt) {
         LoadRequest request = attempt.request;
         Tally tally = tally(request);
         boolean inTime = now - request.createdAt <= settings.objectives().of(request.operation);
@@ -286,9 +286,9 @@
         tally.served++;
         tally.inTime += inTime ? 1 : 0;
         if (request.operation == LoadOperation.WRITE) {
-            pages.acknowledged(request.offset, request.length, request.stamp, now);
+            expectedPages.recordAcknowledged(request.offset, request.length, request.stamp, now);
         } else if (request.operation.isRead()) {
-            String mismatch = pages.mismatch(request.offset, attempt.data);
+            String mismatch = expectedPages.mismatch(request.offset, attempt.data);
             if (mismatch != null) {
                 tally.misread++;
                 trace(Kind.MISREAD, tag, request, mismatch);
@@ -297,7 +297,7 @@
         region.release(request.offset);
     }
 
-    /** Schedules another attempt; false where attempts or time have run out. */
+    /** Schedules another attempt; returns false if the retries or the deadline are exhausted. */
     private boolean retry(LoadAttempt attempt) {
         LoadRequest request = attempt.request;
         long retryAt = now + retryDelay(attempt.message);
@@ -305,7 +305,7 @@
         if (request.attempts > settings.maxRetries() || retryAt >= deadline) {
             return false;
         }
-        retries.computeIfAbsent(retryAt, any -> new ArrayList<>()).add(request);
+        retries.computeIfAbsent(retryAt, key -> new ArrayList<>()).add(request);
         return true;
     }
 
@@ -320,50 +320,52 @@
         abandon(request);
     }
 
-    /** A request ends unserved; what was to be verified is still to be. */
+    /** Ends a request without success; the slot of a verification is queued again. */
     private void abandon(LoadRequest request) {
         if (request.operation == LoadOperation.VERIFY) {
-            toVerify.add(request.offset);
+            slotsToVerify.add(request.offset);
         }
         region.release(request.offset);
     }
 
     // ---------------------------------------------------------------- verification
 
-    /** When the load has ended, each slot that was written is read until it has been read. */
-    private void verify() {
+    /** After the load has ended, reads each written slot, again until a read succeeds. */
+    private void sendVerifications() {
         if (!pacing.isVerifying(now)) {
             return;
         }
         if (!verifying) {
             verifying = true;
-            toVerify.addAll(pages.written(region.slotBytes()));
+            slotsToVerify.addAll(expectedPages.writtenSlots(region.slotBytes()));
         }
-        // Each slot at most once a turn: one whose connection is down comes back to the queue.
-        for (int left = toVerify.size(); left > 0 && canVerify(); left--) {
-            long offset = toVerify.poll();
-            NbdLoadConnection connection = connections.ofSlot(offset / region.slotBytes());
+        // At most one attempt per slot and call, as a slot whose connection is down returns to the queue.
+        for (int left = slotsToVerify.size(); left > 0 && takeNextSlot(); left--) {
+            long offset = slotsToVerify.poll();
+            NbdLoadConnection connection = connections.forSlot(offset / region.slotBytes());
             sendNew(new LoadRequest(LoadOperation.VERIFY, offset, region.slotBytes(), 0, now, connection));
         }
     }
 
-    /** Whether the next slot may be verified now; takes it if so. */
-    private boolean canVerify() {
-        return awaited.size() < MAX_VERIFY_IN_FLIGHT && region.take(toVerify.peek());
+    /** Takes the next slot to verify; returns false if too many requests are in flight or the slot is not free. */
+    private boolean takeNextSlot() {
+        return pendingReplies.size() < MAX_VERIFY_IN_FLIGHT && region.take(slotsToVerify.peek());
     }
 
-    /** Slots written that no read has confirmed. Read it when the client has ended. */
+    /** Number of written slots that no read has confirmed. Call it after the client has ended. */
     public int unverified() {
-        return verifying ? toVerify.size() : pages.written(region.slotBytes()).size();
+        return verifying
+                ? slotsToVerify.size()
+                : expectedPages.writtenSlots(region.slotBytes()).size();
     }
 
-    // ---------------------------------------------------------------- accounts
+    // ---------------------------------------------------------------- tallies and traces
 
     private Tally tally(LoadRequest request) {
-        return tallies.computeIfAbsent(request.operation.label(), any -> new Tally());
+        return tallies.computeIfAbsent(request.operation.label(), key -> new Tally());
     }
 
-    /** What became of requests, by operation. Read it when the client has ended. */
+    /** Outcome counters by operation. Call it after the client has ended. */
     public Map<String, Tally> tallies() {
         return tallies;
     }
@@ -385,8 +387,9 @@
         if (!pacing.isStarted()) {
             return now;
         }
-        long next = Math.min(pacing.nextDeadline(now), Math.min(awaited.nextDeadline(), connections.nextDeadline()));
-        if (!verifying || !toVerify.isEmpty()) {
+        long next =
+                Math.min(pacing.nextDeadline(now), Math.min(pendingReplies.nextDeadline(), connections.nextDeadline()));
+        if (!verifying || !slotsToVerify.isEmpty()) {
             next = Math.min(next, Math.max(now + NbdLoadConnections.RECONNECT_DELAY, pacing.verifyAt()));
         }
         return retries.isEmpty() ? next : Math.min(next, retries.firstKey());
--- a/testbed/src/main/java/garnetreel/testbed/client/NbdLoadSettings.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/NbdLoadSettings.java
@@ -3,26 +3,26 @@
 import java.util.List;
 
 /**
- * The settings of a scripted program that reads and writes one volume through some gateways. Times are in microseconds.
+ * Settings of a scripted NBD client that uses one volume through several gateways. Times are in microseconds.
  *
  * @param name its name in traces
  * @param export the NBD export that it opens
  * @param volume number of the volume behind it
- * @param gateways numbers and addresses of the gateways it uses, most used first
- * @param connections connections in all, dealt out over the gateways in turn
- * @param requestsPerSecond new requests a second in the mean
- * @param readShare part of them that read
- * @param flushShare part of those that don't read that flush; the rest write
- * @param sizes request sizes in bytes, each as likely; multiples of a page
- * @param offset where its region of the volume begins
- * @param length how long that region is
- * @param deadlines time it waits for the answer to one attempt, and makes further attempts within; NBD has no field for
- *     it, so gateways know it from the request classes
- * @param objectives time within which it wants the answer
- * @param maxRetries attempts after the first where one was rejected or a read failed
- * @param meanDisconnectInterval mean time after which it drops a connection with what is in flight on it; 0 for never
- * @param start when it begins, after its first turn
- * @param stop when it sends nothing new any more, after its first turn
+ * @param gateways gateways that it uses, the most used first
+ * @param connections total number of connections, assigned to the gateways round robin
+ * @param requestsPerSecond mean number of new requests per second
+ * @param readShare fraction of the requests that are reads
+ * @param flushShare fraction of the other requests that are flushes; the rest are writes
+ * @param sizes request sizes in bytes, chosen with equal probability; multiples of a page
+ * @param offset byte offset at which its region of the volume begins
+ * @param length length of that region in bytes
+ * @param deadlines time it waits for the reply to one attempt, and within which it starts further attempts; NBD has no
+ *     field for it, so gateways take it from their request classes
+ * @param objectives latency objectives of requests, retries included
+ * @param maxRetries limit on further attempts after a rejection or a failed read
+ * @param meanDisconnectInterval mean time between drops of a connection with requests in flight; 0 for never
+ * @param start start of the load, after its first call of {@code handle}
+ * @param stop end of the load, after its first call of {@code handle}
  */
 public record NbdLoadSettings(
         String name,
@@ -44,13 +44,13 @@
         long stop) {
 
     /**
-     * A gateway and where it listens.
+     * A gateway and its NBD address.
      *
      * @param gateway number of the gateway
      */
     public record GatewayAddress(int gateway, String address) {}
 
-    /** Microseconds for each kind of request. */
+    /** A time in microseconds for each kind of request. */
     public record Times(long read, long write, long flush) {
         long of(LoadOperation operation) {
             return switch (operation) {
--- a/testbed/src/main/java/garnetreel/testbed/client/AwaitedAnswers.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/PendingReplies.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** The attempts whose answers a client awaits, and when it gives up on each. */
-final class AwaitedAnswers {
+/** The attempts that have not been answered, by tag, with the deadline of each. */
+final class PendingReplies {
     private final Map<Long, LoadAttempt> attempts = new HashMap<>();
     private final TreeMap<Long, List<Long>> deadlines = new TreeMap<>();
 
     void add(long tag, LoadAttempt attempt, long deadline) {
         attempts.put(tag, attempt);
-        deadlines.computeIfAbsent(deadline, any -> new ArrayList<>()).add(tag);
+        deadlines.computeIfAbsent(deadline, key -> new ArrayList<>()).add(tag);
     }
 
     void remove(long tag) {
@@ -25,13 +25,13 @@
         return attempts.size();
     }
 
-    /** Gives up on the attempts whose deadlines have passed; their answers may still come. */
-    void giveUpDue(long now, BiConsumer<Long, LoadAttempt> onGiveUp) {
+    /** Removes the attempts whose deadlines have passed; their replies may still arrive. */
+    void expireDue(long now, BiConsumer<Long, LoadAttempt> onExpired) {
         while (nextDeadline() <= now) {
             for (long tag : deadlines.pollFirstEntry().getValue()) {
                 LoadAttempt attempt = attempts.remove(tag);
                 if (attempt != null) {
-                    onGiveUp.accept(tag, attempt);
+                    onExpired.accept(tag, attempt);
                 }
             }
         }
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncClientSession.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncClientSession.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One run of an rsync client on one connection: the greeting, the setup, and a {@link RsyncTransfer}. */
+/** One rsync run on one connection: greeting, module selection, setup and a {@link RsyncTransfer}. */
 final class RsyncClientSession {
-    private static final int MAX_LINE = 1000;
+    private static final int MAX_LINE_BYTES = 1000;
 
     private enum State {
         GREETING,
@@ -23,7 +23,7 @@
     }
 
     private final String module;
-    private final long conn;
+    private final long connectionId;
     private final boolean push;
     private final RsyncTransfer transfer;
     private final RsyncIn in = new RsyncIn();
@@ -31,12 +31,12 @@
     private final MultiplexedFrames frames = new MultiplexedFrames();
     private List<NetAction> actions = new ArrayList<>();
     private State state = State.GREETING;
-    private boolean errors;
+    private boolean serverErrors;
 
-    /** @param transfer what follows on the setup; reads and writes inside the multiplexed stream */
-    RsyncClientSession(String module, long conn, boolean push, RsyncTransfer transfer) {
+    /** @param transfer the exchange after the setup, inside the multiplexed stream */
+    RsyncClientSession(String module, long connectionId, boolean push, RsyncTransfer transfer) {
         this.module = module;
-        this.conn = conn;
+        this.connectionId = connectionId;
         this.push = push;
         this.transfer = transfer;
     }
@@ -45,9 +45,9 @@
         return state == State.ENDED;
     }
 
-    /** Whether the server told of an error, or a file could not be read. */
+    /** Whether the server reported an error, or a file could not be transferred. */
     boolean hasErrors() {
-        return errors || transfer.hasErrors();
+        return serverErrors || transfer.hasErrors();
     }
 
     void received(ByteBuffer data, List<NetAction> into) throws ProtocolException {
@@ -56,8 +56,8 @@
             frames.add(
                     data,
                     in,
-                    (kind, body) ->
-                            errors |= kind == Rsync.ERROR || kind == Rsync.ERROR_XFER || kind == Rsync.IO_ERROR);
+                    (type, body) ->
+                            serverErrors |= type == Rsync.ERROR || type == Rsync.ERROR_XFER || type == Rsync.IO_ERROR);
         } else {
             in.add(data);
         }
@@ -70,23 +70,23 @@
     private void flush() {
         ByteBuffer frame = state == State.ENDED ? null : out.takeFrame();
         if (frame != null) {
-            actions.add(new NetAction.Write(conn, frame));
+            actions.add(new NetAction.Write(connectionId, frame));
         }
     }
 
     private void writeText(String text) {
-        actions.add(new NetAction.Write(conn, new RsyncOut().text(text).take()));
+        actions.add(new NetAction.Write(connectionId, new RsyncOut().text(text).take()));
     }
 
-    /** Takes one step; false where it needs more bytes. */
+    /** Processes the next protocol element; returns false if more bytes are needed. */
     private boolean step() throws ProtocolException {
         in.mark();
         try {
             return switch (state) {
-                case GREETING -> greeting();
-                case MODULE -> module();
-                case SETUP -> setup();
-                case TRANSFER -> transfer();
+                case GREETING -> readGreeting();
+                case MODULE -> readModuleReply();
+                case SETUP -> readSetup();
+                case TRANSFER -> advanceTransfer();
                 case ENDED -> false;
             };
         } catch (RsyncIn.Short e) {
@@ -95,8 +95,8 @@
         }
     }
 
-    private boolean greeting() throws ProtocolException {
-        if (in.until('\n', MAX_LINE) == null) {
+    private boolean readGreeting() throws ProtocolException {
+        if (in.until('\n', MAX_LINE_BYTES) == null) {
             return false;
         }
         writeText("@RSYNCD: 31.0 md5\n" + module + "\n");
@@ -104,13 +104,13 @@
         return true;
     }
 
-    private boolean module() throws ProtocolException {
-        String line = in.until('\n', MAX_LINE);
+    private boolean readModuleReply() throws ProtocolException {
+        String line = in.until('\n', MAX_LINE_BYTES);
         if (line == null) {
             return false;
         }
         if (!line.equals("@RSYNCD: OK")) {
-            throw new ProtocolException("module answered " + line);
+            throw new ProtocolException("rsync server did not accept module " + module + ": " + line);
         }
         String sender = push ? "" : "--sender\0";
         String delete = push ? "--delete\0" : "";
@@ -119,25 +119,25 @@
         return true;
     }
 
-    private boolean setup() throws RsyncIn.Short, ProtocolException {
-        in.varint(); // flags of compatibility
+    private boolean readSetup() throws RsyncIn.Short, ProtocolException {
+        in.varint(); // compatibility flags
         int seed = in.i32();
-        // What came with the setup is the beginning of the multiplexed stream.
-        byte[] early = in.take(in.size());
+        // Bytes received after the setup are the start of the multiplexed stream.
+        byte[] buffered = in.take(in.size());
         state = State.TRANSFER;
         out.i32(0); // no filter rules
         transfer.begin(in, out, seed);
-        RsyncIn unframed = new RsyncIn();
-        frames.add(ByteBuffer.wrap(early), unframed, (kind, body) -> errors = true);
-        in.add(ByteBuffer.wrap(unframed.take(unframed.size())));
+        RsyncIn demultiplexed = new RsyncIn();
+        frames.add(ByteBuffer.wrap(buffered), demultiplexed, (type, body) -> serverErrors = true);
+        in.add(ByteBuffer.wrap(demultiplexed.take(demultiplexed.size())));
         return true;
     }
 
-    private boolean transfer() throws RsyncIn.Short, ProtocolException {
+    private boolean advanceTransfer() throws RsyncIn.Short, ProtocolException {
         boolean progress = transfer.step();
         if (transfer.isEnded()) {
             flush();
-            actions.add(new NetAction.Close(conn, false));
+            actions.add(new NetAction.Close(connectionId, false));
             state = State.ENDED;
         }
         return progress;
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncLoadGenerator.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncLoadGenerator.java
@@ -13,36 +13,36 @@
 import java.util.SplittableRandom;
 
 /**
- * A scripted rsync client: pushes its files, changing some between two pushes, pulls them all back, and checks that each is
- * byte for byte the version that was taken last, or, where a push ended without a goodbye, that or the one pushed.
+ * A scripted rsync client: pushes its files, changing some before each push, pulls them all back, and checks that each
+ * is byte for byte the version of the last complete push, or one sent by an incomplete push since.
  *
- * <p>Runs follow on one another; a run that fails is followed by another soon.
+ * <p>Runs follow one another after a random pause, or after a short fixed delay if a run failed.
  */
 public final class RsyncLoadGenerator implements StateMachine {
-    /** A run that takes longer is given up. */
+    /** Microseconds after which a run is aborted. */
     private static final long MAX_RUN_TIME = 60_000_000;
-    /** Between a run that failed and the next. */
+    /** Microseconds between a failed run and the next. */
     private static final long RETRY_DELAY = 500_000;
 
-    /** What became of runs. Read it when the client has ended. */
+    /** Outcome counters of runs. Read them after the client has ended. */
     public static final class Tally {
-        /** Pushes begun. */
+        /** Pushes started. */
         public long pushes;
-        /** Pulls begun. */
+        /** Pulls started. */
         public long pulls;
-        /** Runs that ended with a goodbye and without an error. */
+        /** Runs that completed the goodbye exchange without an error. */
         public long whole;
-        /** Runs that ended with a goodbye, of which files failed. */
-        public long partial;
-        /** Runs that ended otherwise than {@code whole}. */
+        /** Runs that completed the goodbye exchange with errors; also counted in {@link #broken}. */
+        public long completedWithErrors;
+        /** Runs that ended but are not counted in {@link #whole}. */
         public long broken;
         /** Files transferred. */
         public long files;
         /** Bytes of those files. */
         public long bytes;
-        /** Bytes that pushes had to send, as the other side lacked them. */
+        /** Bytes that pushes sent literally, as the server's copy had no matching block. */
         public long literal;
-        /** Files that pulls showed as they should not have been. */
+        /** Pulled files that were missing or had unexpected contents. */
         public long misread;
     }
 
@@ -55,17 +55,17 @@
     private long now;
     private long startedAt = -1;
     private long nextRunAt;
-    private long giveUpAt = Long.MAX_VALUE;
-    private long lastConn;
-    private long conn;
-    /** The run under way; null between two. */
+    private long runDeadline = Long.MAX_VALUE;
+    private long lastConnectionId;
+    private long connectionId;
+    /** The current run; null between runs. */
     private RsyncClientSession session;
-    /** Whether the last run pushed, or the one under way does. */
+    /** Whether the current run, or else the last one, is a push. */
     private boolean push;
-    /** A pull after the last push has looked at all files. */
+    /** Whether a pull after the end of the load has completed without errors. */
     private boolean verified;
 
-    /** Makes a client that begins with its first turn. */
+    /** Creates a client that starts at the first call of {@link #handle}. */
     public RsyncLoadGenerator(RsyncLoadSettings settings, Trace trace, long seed) {
         this.settings = settings;
         this.trace = trace;
@@ -73,7 +73,7 @@
         this.files = new LocalFiles(settings, random);
     }
 
-    /** What became of runs. */
+    /** Outcome counters of all runs. */
     public Tally tally() {
         return tally;
     }
@@ -87,17 +87,17 @@
             nextRunAt = startedAt + settings.start();
         }
         for (NetEvent event : events) {
-            if (event instanceof NetEvent.Received received && received.connectionId() == conn) {
+            if (event instanceof NetEvent.Received received && received.connectionId() == connectionId) {
                 received(received.data());
-            } else if (event instanceof NetEvent.Closed closed && closed.connectionId() == conn) {
-                runEnded(false);
+            } else if (event instanceof NetEvent.Closed closed && closed.connectionId() == connectionId) {
+                endRun(false);
             }
         }
-        if (now >= giveUpAt) {
-            actions.add(new NetAction.Close(conn, true));
-            runEnded(false);
+        if (now >= runDeadline) {
+            actions.add(new NetAction.Close(connectionId, true));
+            endRun(false);
         }
-        // The last run is a pull, so that what was pushed last is looked at.
+        // The last run is a pull, so that the last push is verified.
         if (session == null && now >= nextRunAt && !(isStopped() && verified)) {
             beginRun(!isStopped() && !push);
         }
@@ -107,21 +107,21 @@
         return now >= startedAt + settings.stop();
     }
 
-    private void beginRun(boolean pushes) {
-        push = pushes;
-        conn = - ++lastConn;
-        giveUpAt = now + MAX_RUN_TIME;
+    private void beginRun(boolean isPush) {
+        push = isPush;
+        connectionId = - ++lastConnectionId;
+        runDeadline = now + MAX_RUN_TIME;
         RsyncTransfer transfer;
         if (push) {
             tally.pushes++;
-            files.change(settings.changes());
+            files.modifyRandomPages(settings.changesPerPush());
             transfer = new RsyncPush(files, tally);
         } else {
             tally.pulls++;
-            transfer = new RsyncPull(files, tally, this::misread);
+            transfer = new RsyncPull(files, tally, this::reportMismatch);
         }
-        session = new RsyncClientSession(settings.module(), conn, push, transfer);
-        actions.add(new NetAction.Connect(conn, settings.address()));
+        session = new RsyncClientSession(settings.module(), connectionId, push, transfer);
+        actions.add(new NetAction.Connect(connectionId, settings.address()));
     }
 
     private void received(ByteBuffer data) {
@@ -132,34 +132,34 @@
             session.received(data, actions);
             if (session.isEnded()) {
                 boolean errors = session.hasErrors();
-                tally.partial += errors ? 1 : 0;
+                tally.completedWithErrors += errors ? 1 : 0;
                 verified = !push && !errors && isStopped();
-                runEnded(!errors);
+                endRun(!errors);
             }
         } catch (ProtocolException e) {
             actions.add(new NetAction.Log(NetAction.Level.WARN, settings.name() + ": " + e.getMessage()));
-            actions.add(new NetAction.Close(conn, true));
-            runEnded(false);
+            actions.add(new NetAction.Close(connectionId, true));
+            endRun(false);
         }
     }
 
-    /** @param complete the goodbye was exchanged and no file failed */
-    private void runEnded(boolean complete) {
+    /** @param complete whether the goodbye exchange completed without errors */
+    private void endRun(boolean complete) {
         if (session == null) {
             return;
         }
         session = null;
-        conn = 0;
-        giveUpAt = Long.MAX_VALUE;
-        nextRunAt = now + (complete ? (long) (-Math.log(1 - random.nextDouble()) * settings.meanRest()) : RETRY_DELAY);
+        connectionId = 0;
+        runDeadline = Long.MAX_VALUE;
+        nextRunAt = now + (complete ? (long) (-Math.log(1 - random.nextDouble()) * settings.meanPause()) : RETRY_DELAY);
         tally.whole += complete ? 1 : 0;
         tally.broken += complete ? 0 : 1;
         if (push) {
-            files.pushed(complete);
+            files.recordPush(complete);
         }
     }
 
-    private void misread(String name, String mismatch) {
+    private void reportMismatch(String name, String mismatch) {
         tally.misread++;
         trace.add(TraceEvent.client(
                 now,
@@ -180,7 +180,7 @@
             return now;
         }
         if (session != null) {
-            return giveUpAt;
+            return runDeadline;
         }
         return isStopped() && verified ? Long.MAX_VALUE : Math.max(now + 1, nextRunAt);
     }
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncLoadSettings.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncLoadSettings.java
@@ -1,20 +1,20 @@
 package garnetreel.testbed.client;
 
 /**
- * The settings of a scripted program that pushes folders into a module, and pulls them back to compare. Times are in
- * microseconds.
+ * Settings of a scripted rsync client that pushes directories into a module and pulls them back to compare. Times are
+ * in microseconds.
  *
  * @param name its name in traces
- * @param module the rsync module that it alone uses
+ * @param module the rsync module, which no other client uses
  * @param gateway number of the gateway that serves the module
- * @param address where that gateway listens for rsync
- * @param files number of files it has
- * @param minBytes smallest size of a file
- * @param maxBytes size below which every file stays
- * @param changes files changed before each push: a page of each, so that most of it is found there already
- * @param meanRest mean time between two runs
- * @param start when it begins, after its first turn
- * @param stop when it begins nothing new any more but a last pull, after its first turn
+ * @param address rsync address of that gateway
+ * @param files number of files
+ * @param minBytes minimum size of a file
+ * @param maxBytes exclusive upper bound of file sizes
+ * @param changesPerPush pages overwritten in random files before each push; the rest matches the server's copy
+ * @param meanPause mean time between runs
+ * @param start start of the load, after its first call of {@code handle}
+ * @param stop end of the load, after its first call of {@code handle}; afterwards only pulls start, until one succeeds
  */
 public record RsyncLoadSettings(
         String name,
@@ -24,7 +24,7 @@
         int files,
         int minBytes,
         int maxBytes,
-        int changes,
-        long meanRest,
+        int changesPerPush,
+        long meanPause,
         long start,
         long stop) {}
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncPull.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncPull.java
@@ -13,17 +13,17 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** A pull: this side takes the list of files, asks for each whole, and compares what comes with what was pushed. */
+/** A pull: receives the file list, requests every file whole, and compares its contents with those pushed. */
 final class RsyncPull implements RsyncTransfer {
-    /** Times that each side ends a phase before the goodbye. */
+    /** Number of phases before the goodbye, each ended by a marker from both sides. */
     private static final int PHASES = 3;
-    /** Numbers in the statistics that the other side sends before the goodbye. */
-    private static final int STATISTICS = 5;
+    /** Number of statistics values that the server sends before the goodbye. */
+    private static final int STATISTICS_COUNT = 5;
 
     private static final int MIN_STATISTIC_BYTES = 3;
 
     private enum State {
-        LIST,
+        FILE_LIST,
         FILES,
         CONTENTS,
         GOODBYE,
@@ -33,18 +33,18 @@
     private final LocalFiles files;
     private final RsyncLoadGenerator.Tally tally;
     private final BiConsumer<String, String> onMismatch;
-    private final FileListCodec list = new FileListCodec(LIST_FORM);
+    private final FileListCodec fileList = new FileListCodec(LIST_FORM);
     private final List<FileItem> items = new ArrayList<>();
-    private State state = State.LIST;
+    private State state = State.FILE_LIST;
     private RsyncIn in;
     private RsyncOut out;
     private int phasesEnded;
     private int index;
-    private int literalLeft;
+    private int literalRemaining;
     private ByteArrayOutputStream contents = new ByteArrayOutputStream();
     private boolean errors;
 
-    /** @param onMismatch takes the name of a file that is not what it should be, and what is wrong with it */
+    /** @param onMismatch receives the name of an unexpected or missing file, and what is wrong with it */
     RsyncPull(LocalFiles files, RsyncLoadGenerator.Tally tally, BiConsumer<String, String> onMismatch) {
         this.files = files;
         this.tally = tally;
@@ -60,19 +60,19 @@
     @Override
     public boolean step() throws RsyncIn.Short, ProtocolException {
         switch (state) {
-            case LIST -> list();
-            case FILES -> file();
+            case FILE_LIST -> readFileList();
+            case FILES -> readFileHeader();
             case CONTENTS -> {
-                return contents();
+                return readContents();
             }
-            case GOODBYE -> goodbye();
-            case ENDED -> throw new IllegalStateException("a step after the goodbye");
+            case GOODBYE -> readGoodbye();
+            case ENDED -> throw new IllegalStateException("step called after the goodbye exchange");
         }
         return true;
     }
 
-    private void list() throws RsyncIn.Short, ProtocolException {
-        FileItem item = list.read(in);
+    private void readFileList() throws RsyncIn.Short, ProtocolException {
+        FileItem item = fileList.read(in);
         if (item != null) {
             items.add(item);
             return;
@@ -80,16 +80,16 @@
         items.sort(FileItem.ORDER);
         for (int i = 0; i < items.size(); i++) {
             if (items.get(i).regular()) {
-                requestWhole(i);
+                requestWholeFile(i);
             }
         }
         out.index(Rsync.DONE).index(Rsync.DONE).index(Rsync.DONE);
-        files.missingFrom(items).forEach(name -> onMismatch.accept(name, "is not there"));
+        files.pushedFilesMissingFrom(items).forEach(name -> onMismatch.accept(name, "is not there"));
         state = State.FILES;
     }
 
-    /** Asks for a file with an empty header of checksums, so that all of it is sent. */
-    private void requestWhole(int file) {
+    /** Requests a file with an empty checksum header, so that the server sends all of it. */
+    private void requestWholeFile(int file) {
         out.index(file)
                 .u16(Rsync.ITEM_TRANSFER | Rsync.ITEM_NEW)
                 .i32(0)
@@ -98,7 +98,7 @@
                 .i32(0);
     }
 
-    private void file() throws RsyncIn.Short, ProtocolException {
+    private void readFileHeader() throws RsyncIn.Short, ProtocolException {
         index = in.index();
         if (index == Rsync.DONE) {
             if (++phasesEnded == PHASES) {
@@ -107,47 +107,47 @@
             return;
         }
         in.u16();
-        // The header of checksums, as it was asked for.
+        // The server repeats the checksum header of the request.
         in.i32();
         in.i32();
         in.i32();
         in.i32();
         contents = new ByteArrayOutputStream();
-        literalLeft = 0;
+        literalRemaining = 0;
         state = State.CONTENTS;
     }
 
-    /** Reads a token or a part of one; false where it needs more bytes. */
-    private boolean contents() throws RsyncIn.Short {
-        if (literalLeft > 0) {
-            int part = Math.min(literalLeft, in.size());
+    /** Reads a token or part of its data; returns false if more bytes are needed. */
+    private boolean readContents() throws RsyncIn.Short {
+        if (literalRemaining > 0) {
+            int part = Math.min(literalRemaining, in.size());
             contents.writeBytes(in.take(part));
-            literalLeft -= part;
+            literalRemaining -= part;
             return part > 0;
         }
         int token = in.i32();
         if (token > 0) {
-            literalLeft = token;
+            literalRemaining = token;
             return true;
         }
         byte[] checksum = in.take(Rsync.STRONG);
-        received(items.get(index).name(), contents.toByteArray(), checksum);
+        verifyFile(items.get(index).name(), contents.toByteArray(), checksum);
         state = State.FILES;
         return true;
     }
 
-    private void received(String name, byte[] bytes, byte[] checksum) {
+    private void verifyFile(String name, byte[] bytes, byte[] checksum) {
         tally.files++;
         tally.bytes += bytes.length;
         if (!Arrays.equals(checksum, Checksums.md5().digest(bytes))) {
-            errors = true; // it could not be read; the checksum says so, and a client keeps nothing of it
-        } else if (!files.mayShow(name, bytes)) {
+            errors = true; // a wrong checksum marks a file that the server could not read; clients discard it
+        } else if (!files.isValidPull(name, bytes)) {
             onMismatch.accept(name, "holds bytes that nobody pushed, or an older version");
         }
     }
 
-    private void goodbye() throws RsyncIn.Short {
-        for (int i = 0; i < STATISTICS; i++) {
+    private void readGoodbye() throws RsyncIn.Short {
+        for (int i = 0; i < STATISTICS_COUNT; i++) {
             try {
                 in.varlong(MIN_STATISTIC_BYTES);
             } catch (ProtocolException e) {
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncPush.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncPush.java
@@ -9,9 +9,9 @@
 import garnetreel.codec.rsync.RsyncOut;
 import java.util.List;
 
-/** A push: this side announces its files, and sends of each that is asked for what the other side lacks. */
+/** A push: sends the file list, and for each file that the server requests the delta to the server's copy. */
 final class RsyncPush implements RsyncTransfer {
-    /** Times that the other side ends a phase before the goodbye. */
+    /** Number of end-of-phase markers from the server before the goodbye. */
     private static final int PHASES = 3;
 
     private enum State {
@@ -23,7 +23,7 @@
 
     private final LocalFiles files;
     private final RsyncLoadGenerator.Tally tally;
-    private final FileListCodec list = new FileListCodec(LIST_FORM);
+    private final FileListCodec fileList = new FileListCodec(LIST_FORM);
     private List<FileItem> items = List.of();
     private State state = State.REQUESTS;
     private RsyncIn in;
@@ -31,7 +31,7 @@
     private int checksumSeed;
     private int phasesEnded;
     private int index;
-    private int flags;
+    private int itemFlags;
     private Delta.Basis basis;
 
     RsyncPush(LocalFiles files, RsyncLoadGenerator.Tally tally) {
@@ -45,26 +45,26 @@
         out = output;
         checksumSeed = seed;
         items = files.items();
-        items.forEach(item -> list.write(out, item));
+        items.forEach(item -> fileList.write(out, item));
         out.u8(0);
     }
 
     @Override
     public boolean step() throws RsyncIn.Short, ProtocolException {
         switch (state) {
-            case REQUESTS -> request();
-            case CHECKSUMS -> checksums();
+            case REQUESTS -> readRequest();
+            case CHECKSUMS -> sendDelta();
             case GOODBYE -> {
                 if (in.index() == Rsync.DONE) {
                     state = State.ENDED;
                 }
             }
-            case ENDED -> throw new IllegalStateException("a step after the goodbye");
+            case ENDED -> throw new IllegalStateException("step called after the goodbye exchange");
         }
         return true;
     }
 
-    private void request() throws RsyncIn.Short, ProtocolException {
+    private void readRequest() throws RsyncIn.Short, ProtocolException {
         index = in.index();
         if (index == Rsync.DONE) {
             out.index(Rsync.DONE);
@@ -73,18 +73,18 @@
             }
             return;
         }
-        flags = in.u16();
+        itemFlags = in.u16();
         basis = new Delta.Basis(in.i32(), in.i32(), in.i32(), in.i32());
         state = State.CHECKSUMS;
     }
 
-    private void checksums() throws RsyncIn.Short {
+    private void sendDelta() throws RsyncIn.Short {
         while (!basis.full()) {
-            // What has been read is kept where the input is short.
+            // Keeps the checksums read so far if the input runs short.
             in.mark();
             basis.read(in);
         }
-        out.index(index).u16(flags);
+        out.index(index).u16(itemFlags);
         basis.writeHead(out);
         byte[] contents = files.contents(items.get(index).name());
         Delta delta = new Delta(basis, checksumSeed, out);
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncTransfer.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncTransfer.java
@@ -5,22 +5,22 @@
 import garnetreel.codec.rsync.RsyncIn;
 import garnetreel.codec.rsync.RsyncOut;
 
-/** What an rsync client does inside the multiplexed stream of a run: a push or a pull. */
+/** The exchange of an rsync client inside the multiplexed stream of a run: a push or a pull. */
 interface RsyncTransfer {
-    /** The form that the list of files has under the options of this client. */
+    /** Form of the file list under the options of this client. */
     FileListCodec.Form LIST_FORM = new FileListCodec.Form(true, false, false, false);
 
-    /** Begins; writes what is sent before anything is read. */
+    /** Starts the transfer, and writes what is sent before anything is read. */
     void begin(RsyncIn input, RsyncOut output, int checksumSeed);
 
     /**
-     * Takes one step; the caller has marked the input, and sets it back where it is short.
+     * Processes the next protocol element. The caller marks the input, and resets it on {@link RsyncIn.Short}.
      *
-     * @return false where it needs more bytes
+     * @return false if more bytes are needed
      */
     boolean step() throws RsyncIn.Short, ProtocolException;
 
-    /** Whether the goodbye has been exchanged. */
+    /** Whether the goodbye exchange is complete. */
     boolean isEnded();
 
     /** Whether a file could not be transferred. */
--- a/testbed/src/main/java/garnetreel/testbed/client/package-info.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/package-info.java
@@ -1,2 +1,2 @@
-/** Load generators: scripted NBD and rsync clients that know what each of their reads may show. */
+/** Load generators: scripted NBD and rsync clients that check all data they read against what they wrote. */
 package garnetreel.testbed.client;
--- a/testbed/src/main/java/garnetreel/testbed/list/FakeNodeList.java
+++ b/testbed/src/main/java/garnetreel/testbed/list/FakeNodeList.java
@@ -25,43 +25,43 @@
 import java.util.TreeMap;
 
 /**
- * A fake node list: nodes register, gateways subscribe or poll, and what it notifies them of lags. It knows a node only
- * by its connection: a silent node stays listed.
+ * A fake node list: nodes register, and gateways subscribe or poll and see changes after a lag. A node is removed when
+ * its connection closes, so a node that only falls silent stays listed.
  */
 public final class FakeNodeList implements StateMachine {
     private static final String LISTENER = "list";
-    /** Between two messages to a subscriber where nothing changes. */
+    /** Microseconds between messages to subscribers while nothing changes. */
     private static final long KEEPALIVE_INTERVAL = 1_000_000;
-    /** A list that starts without entries first lets nodes register, and fails calls meanwhile. */
-    private static final long LEARNING_TIME = 1_000_000;
+    /** Microseconds for which a list that starts empty only lets nodes register, and fails the calls of gateways. */
+    private static final long REGISTRATION_WINDOW = 1_000_000;
 
-    /** Makes the list behave otherwise from now on. */
+    /** Changes the behaviour of the list from now on. */
     public sealed interface ListCommand extends NetEvent.Command {
-        /** Changes become visible so many microseconds late. */
+        /** Sets the delay, in microseconds, after which changes become visible. */
         record SetLag(long micros) implements ListCommand {}
 
-        /** Calls of gateways fail, or no longer. */
+        /** Sets whether the calls of gateways fail. */
         record SetFailing(boolean on) implements ListCommand {}
 
-        /** It sends nothing at all, or sends again. */
+        /** Sets whether the list sends nothing at all. */
         record SetSilent(boolean on) implements ListCommand {}
     }
 
-    /** A connection of a gateway or of a node. */
+    /** A connection from a gateway or a node. */
     private static final class Client {
-        final long conn;
+        final long connectionId;
         final ByteQueue input = new ByteQueue();
-        /** Number of the gateway that called here, else its address. */
+        /** Number of the gateway once it has sent a request, the peer's address before. */
         String name;
 
         boolean subscribed;
-        /** Version that it was last notified of; 0 for none. */
-        long version;
-        /** Address of the node that registered here; null for none. */
-        String node;
+        /** Version of the last update sent here; 0 for none. */
+        long notifiedVersion;
+        /** Address of the node that registered over this connection; null for none. */
+        String nodeAddress;
 
-        Client(long conn, String name) {
-            this.conn = conn;
+        Client(long connectionId, String name) {
+            this.connectionId = connectionId;
             this.name = name;
         }
     }
@@ -71,22 +71,22 @@
     private final Trace trace;
     private final Map<Long, Client> clients = new TreeMap<>();
     private final NodeTable table;
-    /** The connection of each node that is registered. */
+    /** Connection id by address of each registered node. */
     private final Map<String, Long> registrations = new HashMap<>();
 
     private List<NetAction> actions = new ArrayList<>();
     private long now;
     private long keepaliveAt;
-    private long learningUntil;
+    private long registrationWindowEnd;
     private boolean started;
     private boolean failing;
     private boolean silent;
 
     /**
-     * Makes a list that listens from its first turn on.
+     * Creates a list that listens from the first call of {@link #handle} on.
      *
-     * @param entries what is listed from the start
-     * @param lag how late changes become visible, in microseconds
+     * @param entries the initial entries
+     * @param lag delay after which changes become visible, in microseconds
      */
     public FakeNodeList(String name, String listen, List<Entry> entries, long lag, Trace trace) {
         this.name = name;
@@ -102,7 +102,7 @@
         if (!started) {
             started = true;
             keepaliveAt = now + KEEPALIVE_INTERVAL;
-            learningUntil = table.isEmpty() ? now + LEARNING_TIME : 0;
+            registrationWindowEnd = table.isEmpty() ? now + REGISTRATION_WINDOW : 0;
             actions.add(new NetAction.Listen(LISTENER, listen));
         }
         for (NetEvent event : events) {
@@ -120,17 +120,17 @@
             disconnected(clients.remove(closed.connectionId()));
         } else if (event instanceof NetEvent.CommandReceived received
                 && received.command() instanceof ListCommand command) {
-            carryOut(command);
+            apply(command);
         }
     }
 
-    private void carryOut(ListCommand command) {
-        if (command instanceof ListCommand.SetLag lag) {
-            table.setLag(lag.micros());
-        } else if (command instanceof ListCommand.SetFailing fails) {
-            failing = fails.on();
-        } else if (command instanceof ListCommand.SetSilent silence) {
-            silent = silence.on();
+    private void apply(ListCommand command) {
+        if (command instanceof ListCommand.SetLag setLag) {
+            table.setLag(setLag.micros());
+        } else if (command instanceof ListCommand.SetFailing setFailing) {
+            failing = setFailing.on();
+        } else if (command instanceof ListCommand.SetSilent setSilent) {
+            silent = setSilent.on();
         }
     }
 
@@ -145,15 +145,15 @@
             }
         } catch (ProtocolException e) {
             actions.add(new NetAction.Log(NetAction.Level.WARN, name + ": " + e.getMessage()));
-            actions.add(new NetAction.Close(client.conn, true));
-            disconnected(clients.remove(client.conn));
+            actions.add(new NetAction.Close(client.connectionId, true));
+            disconnected(clients.remove(client.connectionId));
         }
     }
 
     private void handle(Client client, NodeListMessage message) throws ProtocolException {
         if (message instanceof Register register) {
-            client.node = register.entry().address();
-            registrations.put(client.node, client.conn);
+            client.nodeAddress = register.entry().address();
+            registrations.put(client.nodeAddress, client.connectionId);
             table.change(register.entry(), now);
         } else if (message instanceof Subscribe subscribe) {
             subscribe(client, subscribe);
@@ -161,7 +161,8 @@
             client.name = Integer.toString(fetch.head());
             write(client, isUnavailable() ? unavailable() : snapshot());
         } else {
-            throw new ProtocolException("a client sent a " + message.getClass().getSimpleName());
+            throw new ProtocolException(
+                    "unexpected message from client: " + message.getClass().getSimpleName());
         }
     }
 
@@ -182,7 +183,7 @@
     }
 
     private boolean isUnavailable() {
-        return failing || now < learningUntil;
+        return failing || now < registrationWindowEnd;
     }
 
     private static NodeListMessage unavailable() {
@@ -193,26 +194,28 @@
         return new News(Kind.ALL, 0, table.version(), table.entries());
     }
 
-    /** A connection ended: the node that registered there is gone, unless it has registered anew elsewhere. */
+    /** Removes the node that registered over a closed connection, unless it has registered again over another. */
     private void disconnected(Client client) {
-        if (client != null && client.node != null && registrations.remove(client.node, client.conn)) {
-            table.remove(client.node, now);
+        if (client != null
+                && client.nodeAddress != null
+                && registrations.remove(client.nodeAddress, client.connectionId)) {
+            table.remove(client.nodeAddress, now);
         }
     }
 
     // ---------------------------------------------------------------- notifications
 
-    /** Notifies all subscribers at once of what has become visible. */
+    /** Sends the changes that have become visible, or a keepalive, to all subscribers. */
     private void notifySubscribers() {
         long since = table.version();
-        List<Entry> shown = table.showDue(now);
-        if (shown.isEmpty() && now < keepaliveAt) {
+        List<Entry> published = table.publishDue(now);
+        if (published.isEmpty() && now < keepaliveAt) {
             return;
         }
         keepaliveAt = now + KEEPALIVE_INTERVAL;
         for (Client client : clients.values()) {
             if (client.subscribed) {
-                write(client, new News(Kind.CHANGES, since, table.version(), shown));
+                write(client, new News(Kind.CHANGES, since, table.version(), published));
             }
         }
     }
@@ -224,19 +227,19 @@
         NodeListMessage sent = message;
         if (message instanceof News news) {
             News update = leavesGap(client, news) ? snapshot() : news;
-            client.version = update.version();
+            client.notifiedVersion = update.version();
             trace(client, update);
             sent = update;
         }
-        actions.add(new NetAction.Write(client.conn, NodeListCodec.frame(sent)));
+        actions.add(new NetAction.Write(client.connectionId, NodeListCodec.frame(sent)));
     }
 
-    /** Whether changes would leave a gap: the list was silent while it changed. */
+    /** Whether the changes do not continue the last update sent, as the list was silent while it changed. */
     private static boolean leavesGap(Client client, News news) {
         return news.kind() == Kind.CHANGES
                 && client.subscribed
-                && client.version != 0
-                && news.since() != client.version;
+                && client.notifiedVersion != 0
+                && news.since() != client.notifiedVersion;
     }
 
     private void trace(Client client, News news) {
--- a/testbed/src/main/java/garnetreel/testbed/list/NodeTable.java
+++ b/testbed/src/main/java/garnetreel/testbed/list/NodeTable.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The entries of a fake node list: what is visible, by version, and the changes that become visible later. */
+/** The entries of a fake node list: the visible ones, versioned, and the changes that become visible later. */
 final class NodeTable {
-    /** Changes kept for gateways that were away; one that missed more gets the whole list. */
+    /** Changes kept for gateways that reconnect; a gateway that missed more gets the whole list. */
     private static final int MAX_HISTORY = 256;
 
     private record PendingChange(long visibleAt, Entry entry) {}
@@ -44,15 +44,15 @@
         lag = micros;
     }
 
-    /** A node's entry changed; that becomes visible after the lag. */
+    /** Adds or replaces a node's entry; the change becomes visible after the lag. */
     void change(Entry entry, long now) {
-        // A later change is never visible before an earlier one, also when the lag shrinks.
+        // A later change never becomes visible before an earlier one, even when the lag is reduced.
         long visibleAt =
                 Math.max(now + lag, pending.isEmpty() ? 0 : pending.peekLast().visibleAt());
         pending.add(new PendingChange(visibleAt, entry));
     }
 
-    /** A node has gone. */
+    /** Removes a node; the change becomes visible after the lag. */
     void remove(String address, long now) {
         Entry last = latest(address);
         if (last != null) {
@@ -72,9 +72,9 @@
         return found;
     }
 
-    /** Makes visible what is due; returns the entries that changed by it. */
-    List<Entry> showDue(long now) {
-        List<Entry> shown = new ArrayList<>();
+    /** Makes the due changes visible, and returns the entries that changed. */
+    List<Entry> publishDue(long now) {
+        List<Entry> published = new ArrayList<>();
         while (nextChangeAt() <= now) {
             Entry entry = pending.poll().entry();
             if (apply(entry)) {
@@ -83,10 +83,10 @@
                 if (history.size() > MAX_HISTORY) {
                     history.poll();
                 }
-                shown.add(entry);
+                published.add(entry);
             }
         }
-        return shown;
+        return published;
     }
 
     private boolean apply(Entry entry) {
@@ -96,14 +96,14 @@
         return !entry.equals(entries.put(entry.address(), entry));
     }
 
-    /** The changes after a version; null where they are no longer known. */
-    List<Entry> changesSince(long known) {
+    /** The changes after a version; null if the history does not cover them. */
+    List<Entry> changesSince(long knownVersion) {
         long oldest = history.isEmpty() ? version + 1 : history.peek().version();
-        if (known <= 0 || known > version || known < oldest - 1) {
+        if (knownVersion <= 0 || knownVersion > version || knownVersion < oldest - 1) {
             return null;
         }
         return history.stream()
-                .filter(change -> change.version() > known)
+                .filter(change -> change.version() > knownVersion)
                 .map(Change::entry)
                 .toList();
     }
--- a/testbed/src/main/java/garnetreel/testbed/list/package-info.java
+++ b/testbed/src/main/java/garnetreel/testbed/list/package-info.java
@@ -1,2 +1,2 @@
-/** The fake node list: what the discovery of storage nodes looks like to gateways, with its lag and its faults. */
+/** A fake node list: the service that gateways discover storage nodes through, with injectable lag and faults. */
 package garnetreel.testbed.list;
--- a/testbed/src/main/java/garnetreel/testbed/peer/ScriptedPeer.java
+++ b/testbed/src/main/java/garnetreel/testbed/peer/ScriptedPeer.java
@@ -18,28 +18,28 @@
 import java.util.regex.Pattern;
 
 /**
- * An upstream endpoint, a client or a discovery service of the operators' platform on loopback sockets, one step a call: a
- * test decides when each step happens, so that a race is forced by what was seen before and not hoped for. It knows no
- * protocol but the end of an HTTP header and a Content-Length. Each wait has a time limit, past which it fails.
+ * An upstream endpoint, client or discovery service of the operators' platform on loopback sockets, one step per call:
+ * the test starts each step once it has seen the previous one's effect, so that races are forced rather than left to
+ * timing. The peer only knows the end of an HTTP header and Content-Length. Each wait fails after a time limit.
  */
 public final class ScriptedPeer implements AutoCloseable {
     private static final int WAIT_MILLIS = 30_000;
-    /** Looks at the tables of connections of the system. */
-    private static final int MAX_LOOKS = 100_000;
+    /** Limit on polls of the kernel's TCP connection tables. */
+    private static final int MAX_POLLS = 100_000;
 
     private static final Charset BYTES = StandardCharsets.ISO_8859_1;
     private static final String END_OF_HEADER = "\r\n\r\n";
     private static final String CONTENT_LENGTH = "\r\nContent-Length: ";
 
-    /** How a connection's other side ended it. */
+    /** How the other side ended a connection. */
     public enum End {
-        /** It ended its sending in order. */
+        /** It shut down sending or closed the connection (FIN). */
         IN_ORDER,
-        /** It reset the connection. */
+        /** It reset the connection (RST). */
         RESET
     }
 
-    /** All that arrived up to the end. */
+    /** Everything received up to the end of the connection, and how it ended. */
     public record Rest(String text, End end) {}
 
     private final ServerSocket server;
@@ -49,7 +49,7 @@
         this.server = server;
     }
 
-    /** Makes one that listens. */
+    /** Creates a peer that listens on a free loopback port. */
     public static ScriptedPeer listening() throws IOException {
         ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
         server.setSoTimeout(WAIT_MILLIS);
@@ -57,22 +57,22 @@
     }
 
     /**
-     * Makes one whose connections are not established: its accept queue of the least length is full, and the system drops
-     * further attempts. They are established after {@link #bringUp} has emptied the queue, at the client's next attempt,
-     * a second after its first.
+     * Creates a listening peer to which no connection gets established: its accept queue of minimum length is full, so
+     * the kernel drops further attempts. After {@link #bringUp} has emptied the queue, a client connects at its next
+     * attempt, a second after its first.
      */
     public static ScriptedPeer busy() throws IOException {
         ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         server.setSoTimeout(WAIT_MILLIS);
         ScriptedPeer peer = new ScriptedPeer(server);
-        // A queue of length n holds n + 1.
+        // A queue of length n holds n + 1 connections.
         for (int i = 0; i < 2; i++) {
             peer.fillers.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
         }
         return peer;
     }
 
-    /** Empties the queue that keeps connections from being established. */
+    /** Empties the accept queue, so that connections can be established. */
     public void bringUp() throws IOException {
         for (Socket filler : fillers) {
             filler.close();
@@ -81,12 +81,12 @@
         fillers.clear();
     }
 
-    /** Where it listens. */
+    /** The address that it listens on. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Takes the next connection. */
+    /** Accepts the next connection. */
     public Line accept() throws IOException {
         return new Line(server.accept());
     }
@@ -121,7 +121,7 @@
         }
     }
 
-    /** One connection. */
+    /** One connection of the peer. */
     public static final class Line implements AutoCloseable {
         private final Socket socket;
         private final InputStream in;
@@ -134,34 +134,36 @@
         }
 
         /**
-         * Waits until the connection is established on the other side too: one that is established here may be a last
-         * segment short of it there, and a listener that is closed just then does not find it in its queue.
+         * Waits until the connection is established on the other side too. It can be established here before the last
+         * handshake segment has arrived there, and a listener that closes at that moment does not find it in its queue.
          */
         public Line untilTheOtherSideStands() throws IOException {
-            Pattern theirs = Pattern.compile(
+            Pattern peerEntry = Pattern.compile(
                     String.format(Locale.ROOT, ":%04X [0-9A-F]+:%04X 01 ", socket.getPort(), socket.getLocalPort()));
-            for (int looks = 0; looks < MAX_LOOKS; looks++) {
+            for (int polls = 0; polls < MAX_POLLS; polls++) {
                 for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
-                    if (theirs.matcher(Files.readString(Path.of(table))).find()) {
+                    if (peerEntry.matcher(Files.readString(Path.of(table))).find()) {
                         return this;
                     }
                 }
             }
-            throw new IOException("the connection is not established on the other side");
+            throw new IOException(
+                    "connection not established on the other side after " + MAX_POLLS + " polls of its state");
         }
 
-        /** Sends text as it is. */
+        /** Sends text unchanged, one byte per character (ISO 8859-1). */
         public Line send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(BYTES));
             return this;
         }
 
-        /** Reads one message: a header, and the body whose length it states. */
+        /** Reads one message: a header, and the body of the length that it states. */
         public String read() throws IOException {
             String header = readHeader();
             byte[] body = in.readNBytes(contentLength(header));
             if (body.length < contentLength(header)) {
-                throw new IOException("ended after " + body.length + " bytes of a body of " + contentLength(header));
+                throw new IOException(
+                        "connection ended after " + body.length + " body bytes, expected " + contentLength(header));
             }
             return header + new String(body, BYTES);
         }
@@ -172,7 +174,7 @@
                     || !text.substring(text.length() - END_OF_HEADER.length()).equals(END_OF_HEADER)) {
                 int next = in.read();
                 if (next < 0) {
-                    throw new IOException("ended after: " + text);
+                    throw new IOException("connection ended within a header: " + text);
                 }
                 text.append((char) next);
             }
@@ -188,22 +190,22 @@
             return Integer.parseInt(header.substring(field + CONTENT_LENGTH.length(), end));
         }
 
-        /** Reads until the other side has ended the connection. */
+        /** Reads until the other side ends the connection. */
         public Rest readToEnd() throws IOException {
-            ByteArrayOutputStream all = new ByteArrayOutputStream();
-            byte[] some = new byte[1 << 16];
+            ByteArrayOutputStream received = new ByteArrayOutputStream();
+            byte[] buffer = new byte[1 << 16];
             End end = End.IN_ORDER;
             try {
-                for (int got = in.read(some); got >= 0; got = in.read(some)) {
-                    all.write(some, 0, got);
+                for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+                    received.write(buffer, 0, count);
                 }
             } catch (SocketException e) {
                 end = End.RESET;
             }
-            return new Rest(all.toString(BYTES), end);
+            return new Rest(received.toString(BYTES), end);
         }
 
-        /** Ends the sending side only. */
+        /** Shuts down the sending direction only. */
         public void endSending() throws IOException {
             socket.shutdownOutput();
         }
@@ -214,7 +216,7 @@
             socket.close();
         }
 
-        /** Ends the connection in order. */
+        /** Closes the connection; unlike {@link #reset}, does not force a reset. */
         @Override
         public void close() throws IOException {
             socket.close();
--- a/testbed/src/main/java/garnetreel/testbed/peer/package-info.java
+++ b/testbed/src/main/java/garnetreel/testbed/peer/package-info.java
@@ -1,2 +1,2 @@
-/** A peer on loopback sockets that does one scripted step at a time, for tests of the operators' platform. */
+/** A loopback peer that performs one scripted step at a time, for tests of the operators' platform. */
 package garnetreel.testbed.peer;
