--- a/core/src/main/java/garnetreel/core/server/rsync/BasisChecksums.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/BasisChecksums.java
@@ -9,106 +9,110 @@
 import java.util.ArrayDeque;
 
 /**
- * Reads the stored version of a file and writes the checksums of its blocks, so that the client sends only what it has
- * otherwise. A block that can't be read gets checksums that nothing matches: it is sent whole.
+ * Reads a basis file, the stored version of a file, and sends its block checksums, so that the client sends only what
+ * differs. A block that can't be read gets a checksum that does not match, so that the client sends its contents.
  */
 final class BasisChecksums {
-    private static final int READ = 128 << 10;
-    private static final int READS_OUT = 4;
-    /** Blocks of small files, and bounds of larger ones: about the square root of the size. */
-    private static final int BLOCK_LEAST = 704;
+    private static final int READ_LENGTH = 128 << 10;
+    private static final int MAX_OUTSTANDING_READS = 4;
+    /** Block length of small files in bytes; that of larger files is about the square root of their size. */
+    private static final int MIN_BLOCK_LENGTH = 704;
 
-    private static final int EIGHT = 8;
+    private static final int BLOCK_LENGTH_MULTIPLE = 8;
 
     private final RsyncSession session;
     private final Volume volume;
     private final FileEntry basis;
     private final int seed;
-    private final int block;
-    private final int strong;
+    private final int blockLength;
+    private final int strongLength;
     private final MessageDigest md5 = Checksums.md5();
-    private final ArrayDeque<Object[]> reads = new ArrayDeque<>();
-    private final byte[] held;
-    private int filled;
-    private long asked;
-    private long summed;
+    private final ArrayDeque<Object[]> pendingReads = new ArrayDeque<>();
+    private final byte[] blockBuffer;
+    private int blockFilled;
+    private long readOffset;
+    private long checksummed;
 
     BasisChecksums(RsyncSession session, Volume volume, FileEntry basis, int seed) {
         this.session = session;
         this.volume = volume;
         this.basis = basis;
         this.seed = seed;
-        this.block = block(basis.size());
-        this.strong = strong(basis.size(), block);
-        this.held = new byte[block];
-        int count = (int) ((basis.size() + block - 1) / block);
-        session.out.i32(count).i32(block).i32(strong).i32((int) (basis.size() % block));
+        this.blockLength = blockLength(basis.size());
+        this.strongLength = strongLength(basis.size(), blockLength);
+        this.blockBuffer = new byte[blockLength];
+        int count = (int) ((basis.size() + blockLength - 1) / blockLength);
+        session.out.i32(count).i32(blockLength).i32(strongLength).i32((int) (basis.size() % blockLength));
     }
 
-    static int block(long size) {
-        long root = (long) Math.sqrt(size) / EIGHT * EIGHT;
-        // No more blocks than a checksum header may tell.
-        long least = Math.max(BLOCK_LEAST, (size >> 20) / EIGHT * EIGHT + EIGHT);
-        return (int) Math.min(Rsync.BLOCK_MOST, Math.max(least, root));
+    static int blockLength(long size) {
+        long root = (long) Math.sqrt(size) / BLOCK_LENGTH_MULTIPLE * BLOCK_LENGTH_MULTIPLE;
+        // Keeps the number of blocks within the limit of a checksum header.
+        long min = Math.max(
+                MIN_BLOCK_LENGTH, (size >> 20) / BLOCK_LENGTH_MULTIPLE * BLOCK_LENGTH_MULTIPLE + BLOCK_LENGTH_MULTIPLE);
+        return (int) Math.min(Rsync.BLOCK_MOST, Math.max(min, root));
     }
 
-    /** Bytes of strong checksum that make a chance match over the whole file unlikely; the file's own sum finds the rest. */
-    private static int strong(long size, int block) {
-        int bits = 10 + 2 * (64 - Long.numberOfLeadingZeros(size)) - (32 - Integer.numberOfLeadingZeros(block));
+    /**
+     * Length in bytes of the strong block checksum that makes a false match within the file unlikely; the checksum of the
+     * whole file detects the remaining ones.
+     */
+    private static int strongLength(long size, int blockLength) {
+        int bits = 10 + 2 * (64 - Long.numberOfLeadingZeros(size)) - (32 - Integer.numberOfLeadingZeros(blockLength));
         return Math.max(2, Math.min(Rsync.STRONG, (bits - 32 + 7) / 8));
     }
 
-    /** Goes on; true when something was done. */
+    /** Starts reads and sends the checksums of blocks that have been read; true if there was progress. */
     boolean step() {
-        boolean moved = false;
-        while (asked < basis.size() && reads.size() < READS_OUT) {
-            Piece piece = basis.locate(asked, READ);
+        boolean progressed = false;
+        while (readOffset < basis.size() && pendingReads.size() < MAX_OUTSTANDING_READS) {
+            Piece piece = basis.locate(readOffset, READ_LENGTH);
             Object[] slot = {null, (int) piece.length()};
-            reads.add(slot);
-            asked += piece.length();
-            moved = true;
-            session.blocks.read(volume, piece.offset(), (int) piece.length(), done -> {
-                slot[0] = done;
+            pendingReads.add(slot);
+            readOffset += piece.length();
+            progressed = true;
+            session.blockIo.read(volume, piece.offset(), (int) piece.length(), result -> {
+                slot[0] = result;
                 session.pump();
             });
         }
-        while (!reads.isEmpty() && reads.peek()[0] != null) {
-            Object[] slot = reads.poll();
-            BlockReader.Done done = (BlockReader.Done) slot[0];
+        while (!pendingReads.isEmpty() && pendingReads.peek()[0] != null) {
+            Object[] slot = pendingReads.poll();
+            BlockIo.Result result = (BlockIo.Result) slot[0];
             byte[] bytes = new byte[(int) slot[1]];
-            if (done.ok()) {
-                done.data().duplicate().get(bytes);
+            if (result.ok()) {
+                result.data().duplicate().get(bytes);
             }
-            sum(bytes, done.ok());
-            moved = true;
+            addBytes(bytes, result.ok());
+            progressed = true;
         }
-        return moved;
+        return progressed;
     }
 
-    private boolean spoiled;
+    private boolean unreadable;
 
-    private void sum(byte[] bytes, boolean read) {
-        for (int at = 0; at < bytes.length; ) {
-            int part = Math.min(block - filled, bytes.length - at);
-            System.arraycopy(bytes, at, held, filled, part);
-            spoiled |= !read;
-            filled += part;
-            at += part;
-            summed += part;
-            if (filled == block || summed == basis.size()) {
-                byte[] sum = Checksums.strong(md5, held, 0, filled, seed);
-                if (spoiled) {
-                    sum[0] ^= 0x5a;
-                    sum[1] ^= 0x5a;
+    private void addBytes(byte[] bytes, boolean readable) {
+        for (int position = 0; position < bytes.length; ) {
+            int copied = Math.min(blockLength - blockFilled, bytes.length - position);
+            System.arraycopy(bytes, position, blockBuffer, blockFilled, copied);
+            unreadable |= !readable;
+            blockFilled += copied;
+            position += copied;
+            checksummed += copied;
+            if (blockFilled == blockLength || checksummed == basis.size()) {
+                byte[] strongSum = Checksums.strong(md5, blockBuffer, 0, blockFilled, seed);
+                if (unreadable) {
+                    strongSum[0] ^= 0x5a;
+                    strongSum[1] ^= 0x5a;
                 }
-                session.out.i32(Checksums.rolling(held, 0, filled)).bytes(sum, 0, strong);
-                filled = 0;
-                spoiled = false;
+                session.out.i32(Checksums.rolling(blockBuffer, 0, blockFilled)).bytes(strongSum, 0, strongLength);
+                blockFilled = 0;
+                unreadable = false;
             }
         }
     }
 
-    boolean done() {
-        return summed == basis.size();
+    boolean isComplete() {
+        return checksummed == basis.size();
     }
 }
--- a/core/src/main/java/garnetreel/core/server/rsync/FileCatalogueStore.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileCatalogueStore.java
@@ -13,58 +13,64 @@
 import java.util.List;
 import java.util.Map;
 
-/** The catalogue of a head's files with its journal: a change is made visible, and told, only once it is durable. */
+/**
+ * The file catalogue of a gateway and its journal. A change becomes visible, and is confirmed, only once it is durable.
+ */
 public final class FileCatalogueStore {
-    /** Changes between two snapshots, and records kept from before one. */
-    private static final int SNAPSHOT_EVERY = 2_000;
+    /** Minimum number of changes between two snapshots. */
+    private static final int SNAPSHOT_INTERVAL = 2_000;
 
-    private static final int KEPT = 16;
+    /** Records before a snapshot that stay in the journal. */
+    private static final int RETAINED_RECORDS = 16;
 
-    /** What an earlier life kept. */
+    /** The snapshot and the journal records of an earlier run. */
     public record StoredCatalogue(byte[] snapshot, List<byte[]> records) {
-        /** A head that never had files. */
+        /** The state of a gateway that has never stored files. */
         public static final StoredCatalogue NOTHING = new StoredCatalogue(null, List.of());
     }
 
-    private record Commit(FileChange change, Runnable done) {}
+    private record PendingCommit(FileChange change, Runnable done) {}
 
-    private record Resting(long until, String module, List<Piece> pieces) {}
+    private record DelayedRelease(long until, String module, List<Piece> pieces) {}
 
     private final Catalogue catalogue;
     private final Map<String, Volume> volumes = new HashMap<>();
-    private final ArrayDeque<Commit> out = new ArrayDeque<>();
-    private final ArrayDeque<Resting> resting = new ArrayDeque<>();
-    private final long longest;
+    private final ArrayDeque<PendingCommit> pendingCommits = new ArrayDeque<>();
+    private final ArrayDeque<DelayedRelease> delayedReleases = new ArrayDeque<>();
+    private final long longestDeadline;
     private List<NetAction> actions = new ArrayList<>();
     private long now;
     private long lastSeq;
-    private long snapshotAt;
+    private long nextSnapshotSeq;
 
-    public FileCatalogueStore(GatewaySettings settings, StoredCatalogue kept) {
-        List<Catalogue.ModuleVolume> places = new ArrayList<>();
+    /** Restores the catalogue from the stored snapshot and records. */
+    public FileCatalogueStore(GatewaySettings settings, StoredCatalogue stored) {
+        List<Catalogue.ModuleVolume> moduleVolumes = new ArrayList<>();
         for (GatewaySettings.Module module : settings.files().modules()) {
             Volume volume = settings.volumes().stream()
                     .filter(v -> v.name().equals(module.volume()))
                     .findFirst()
                     .orElseThrow(() -> new IllegalArgumentException(
-                            "module " + module.name() + " names a volume that this head does not have"));
+                            "module " + module.name() + " names a volume that this gateway does not have"));
             volumes.put(module.name(), volume);
-            places.add(new Catalogue.ModuleVolume(module.name(), volume.id(), volume.size()));
+            moduleVolumes.add(new Catalogue.ModuleVolume(module.name(), volume.id(), volume.size()));
         }
-        catalogue = new Catalogue(places, kept.snapshot(), kept.records());
+        catalogue = new Catalogue(moduleVolumes, stored.snapshot(), stored.records());
         lastSeq = catalogue.seq();
-        snapshotAt = lastSeq + SNAPSHOT_EVERY;
-        longest = settings.scheduling().classes().stream()
+        nextSnapshotSeq = lastSeq + SNAPSHOT_INTERVAL;
+        longestDeadline = settings.scheduling().classes().stream()
                 .mapToLong(c -> c.deadline())
                 .max()
                 .orElse(0);
     }
 
-    public void beginTurn(long time, List<NetAction> to) {
+    /** Begins a turn: its time, and where its actions go. */
+    public void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
-        actions = to;
+        actions = turnActions;
     }
 
+    /** The catalogue, without changes that are not yet durable. */
     public Catalogue catalogue() {
         return catalogue;
     }
@@ -73,46 +79,50 @@
         return volumes.get(module);
     }
 
-    /** Makes a change durable, then visible; {@code done} runs then. Changes come about in the order they are asked for. */
-    void commit(List<FileChange.Name> gone, List<FileEntry> put, Runnable done) {
-        FileChange change = catalogue.change(lastSeq, gone, put);
+    /** Makes a change durable, then visible, then runs {@code done}. Changes take effect in the order of the calls. */
+    void commit(List<FileChange.Name> removed, List<FileEntry> changed, Runnable done) {
+        FileChange change = catalogue.change(lastSeq, removed, changed);
         lastSeq = change.seq();
-        out.add(new Commit(change, done));
+        pendingCommits.add(new PendingCommit(change, done));
         actions.add(new NetAction.Append(change.seq(), change.bytes()));
     }
 
-    /** A record is durable. */
+    /** All records up to this sequence number are durable. */
     public void appended(long seq) {
-        while (!out.isEmpty() && out.peek().change().seq() <= seq) {
-            Commit commit = out.poll();
+        while (!pendingCommits.isEmpty() && pendingCommits.peek().change().seq() <= seq) {
+            PendingCommit commit = pendingCommits.poll();
             catalogue.apply(commit.change());
             commit.done().run();
         }
-        if (out.isEmpty() && catalogue.seq() >= snapshotAt) {
-            snapshotAt = catalogue.seq() + Math.max(SNAPSHOT_EVERY, catalogue.size());
-            actions.add(new NetAction.Snapshot(catalogue.seq(), catalogue.snapshot(), KEPT));
+        if (pendingCommits.isEmpty() && catalogue.seq() >= nextSnapshotSeq) {
+            nextSnapshotSeq = catalogue.seq() + Math.max(SNAPSHOT_INTERVAL, catalogue.size());
+            actions.add(new NetAction.Snapshot(catalogue.seq(), catalogue.snapshot(), RETAINED_RECORDS));
         }
     }
 
     /**
-     * Gives back room that writes of unknown fate were sent to, after they can have no effect any more. Guards against a
-     * write that is still in work at a node and lands on what another file has been given meanwhile. It costs the room for
-     * twice the longest deadline.
+     * Releases space to which writes of unknown outcome were sent, once these can no longer take effect. Otherwise a write
+     * that a node is still executing could overwrite a file that was given the space meanwhile. The space stays unusable
+     * for twice the longest deadline.
      */
     void releaseLater(String module, List<Piece> pieces) {
         if (!pieces.isEmpty()) {
-            resting.add(new Resting(now + 2 * longest, module, List.copyOf(pieces)));
+            delayedReleases.add(new DelayedRelease(now + 2 * longestDeadline, module, List.copyOf(pieces)));
         }
     }
 
+    /** Releases the space whose delay is over. */
     public void expire() {
-        while (!resting.isEmpty() && now >= resting.peek().until()) {
-            Resting rested = resting.poll();
-            catalogue.release(rested.module(), rested.pieces());
+        while (!delayedReleases.isEmpty() && now >= delayedReleases.peek().until()) {
+            DelayedRelease expired = delayedReleases.poll();
+            catalogue.release(expired.module(), expired.pieces());
         }
     }
 
+    /** When {@link #expire} is due next; {@link Long#MAX_VALUE} if nothing is delayed. */
     public long nextDeadline() {
-        return resting.isEmpty() ? Long.MAX_VALUE : resting.peek().until();
+        return delayedReleases.isEmpty()
+                ? Long.MAX_VALUE
+                : delayedReleases.peek().until();
     }
 }
--- a/core/src/main/java/garnetreel/core/server/rsync/FileNames.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileNames.java
@@ -3,36 +3,37 @@
 import garnetreel.codec.ProtocolException;
 import garnetreel.codec.rsync.Rsync;
 
-/** Names of a client and names of a module. Nothing outside a module can be named. */
+/** Validates and converts path names of clients, so that none can refer to anything outside its module. */
 final class FileNames {
     private FileNames() {}
 
-    /** A path within a module from an argument such as {@code module/dir/}; "" is the module's root. */
-    static String argument(String module, String word) throws ProtocolException {
-        String path =
-                word.equals(module) ? "" : word.startsWith(module + "/") ? word.substring(module.length() + 1) : word;
-        StringBuilder clean = new StringBuilder();
-        for (String part : path.split("/")) {
-            if (part.equals("..")) {
-                throw new ProtocolException("the path \"" + word + "\" leaves its module");
+    /** Converts an argument such as {@code module/dir/} to a path within the module; "" is the module's root. */
+    static String modulePath(String module, String argument) throws ProtocolException {
+        String path = argument.equals(module)
+                ? ""
+                : argument.startsWith(module + "/") ? argument.substring(module.length() + 1) : argument;
+        StringBuilder normalized = new StringBuilder();
+        for (String component : path.split("/")) {
+            if (component.equals("..")) {
+                throw new ProtocolException("the path \"" + argument + "\" leaves its module");
             }
-            if (!part.isEmpty() && !part.equals(".")) {
-                clean.append(clean.isEmpty() ? "" : "/").append(part);
+            if (!component.isEmpty() && !component.equals(".")) {
+                normalized.append(normalized.isEmpty() ? "" : "/").append(component);
             }
         }
-        return clean.toString();
+        return normalized.toString();
     }
 
-    /** @throws ProtocolException where a name of a file list is no plain relative one */
-    static void check(String name) throws ProtocolException {
+    /** @throws ProtocolException if a name of a file list is not a normalized relative path */
+    static void checkSafe(String name) throws ProtocolException {
         if (name.equals(".")) {
             return;
         }
         if (name.isEmpty() || name.length() > Rsync.NAME_MOST || name.startsWith("/") || name.indexOf('\0') >= 0) {
             throw new ProtocolException("ABORTING due to unsafe pathname from sender: " + printable(name));
         }
-        for (String part : name.split("/", -1)) {
-            if (part.isEmpty() || part.equals("..") || part.equals(".")) {
+        for (String component : name.split("/", -1)) {
+            if (component.isEmpty() || component.equals("..") || component.equals(".")) {
                 throw new ProtocolException("ABORTING due to unsafe pathname from sender: " + printable(name));
             }
         }
@@ -42,7 +43,7 @@
         return name.equals(".") ? directory : directory.isEmpty() ? name : directory + "/" + name;
     }
 
-    static String last(String path) {
+    static String baseName(String path) {
         return path.substring(path.lastIndexOf('/') + 1);
     }
 
@@ -51,7 +52,7 @@
         return slash < 0 ? "" : path.substring(0, slash);
     }
 
-    /** A name for a message: control characters as octal numbers. */
+    /** A name as shown in messages: control characters are written as octal numbers. */
     static String printable(String name) {
         StringBuilder text = new StringBuilder();
         for (char c : name.toCharArray()) {
--- a/core/src/main/java/garnetreel/core/server/rsync/FileReceiver.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileReceiver.java
@@ -21,33 +21,36 @@
 import java.util.TreeSet;
 
 /**
- * A push: takes the client's list, asks for what differs from what the module has, and makes each file visible whole once
- * its contents are durable and match their checksum.
+ * The receiver and generator of a push: reads the client's file list, requests the files that differ from those of the
+ * module, and makes each file visible as a whole once its contents are durable and match their checksum.
  */
 final class FileReceiver implements Transfer {
-    private static final int LIST_MOST = 1_000_000;
-    /** Files asked for whose contents have not all come. */
-    private static final int REQUESTS_OUT = 32;
+    /** Maximum number of entries of a file list. */
+    private static final int MAX_FILES = 1_000_000;
+    /** Maximum number of files requested but not completely received. */
+    private static final int MAX_OUTSTANDING_REQUESTS = 32;
+
+    /** Number of directories and links after which a change of the catalogue is committed. */
+    private static final int MAX_ENTRIES_PER_CHANGE = 500;
 
-    private static final int NAMES_A_CHANGE = 500;
     private static final int LAST_PHASE = 3;
 
     private enum State {
         FILTERS,
         LIST,
-        USERS,
-        GROUPS,
-        ITEMS,
-        HEAD,
+        USER_NAMES,
+        GROUP_NAMES,
+        REPLIES,
+        CHECKSUM_HEADER,
         CONTENTS,
         GOODBYE
     }
 
-    /** A name and when it came: one that is listed twice keeps two places, as the client counts them. */
-    private record Listed(FileItem item, int number) {}
+    /** An entry and its position in the received list; a name listed twice keeps two indexes, as on the client. */
+    private record Listed(FileItem item, int position) {}
 
-    /** A file that was asked for. */
-    private record Wanted(int index, FileEntry basis, boolean again) {}
+    /** A requested file; the basis is null if no block checksums were sent. */
+    private record FileRequest(int index, FileEntry basis, boolean retry) {}
 
     private final RsyncSession session;
     private final GatewaySettings.Module module;
@@ -55,29 +58,33 @@
     private final int seed;
     private final Catalogue catalogue;
     private final FilterRules filters = new FilterRules();
-    private final FileListCodec list;
-    /** The list while it comes: put in order name by name, as to sort a long one at its end would hold up the head. */
+    private final FileListCodec listCodec;
+    /** The list as it arrives, sorted entry by entry: sorting a long list at its end would block the gateway's thread. */
     private final TreeSet<Listed> sorted =
-            new TreeSet<>(Comparator.comparing(Listed::item, FileItem.ORDER).thenComparingInt(Listed::number));
+            new TreeSet<>(Comparator.comparing(Listed::item, FileItem.ORDER).thenComparingInt(Listed::position));
 
     private final List<FileItem> items = new ArrayList<>();
     private String directory = "";
-    private String single;
+    private String singleFilePath;
     private State state;
-    private int next;
+    private int nextIndex;
+    /** Phases that the client has ended. */
     private int phase;
-    private int told;
-    private int commits;
-    private final Map<Integer, Wanted> wanted = new HashMap<>();
+
+    /** Phases whose end has been sent to the client. */
+    private int phaseEndsSent;
+
+    private int pendingCommits;
+    private final Map<Integer, FileRequest> outstanding = new HashMap<>();
     private final ArrayDeque<Integer> redo = new ArrayDeque<>();
-    private final Set<Integer> tried = new HashSet<>();
-    private final Set<FileEntry> opened = new HashSet<>();
-    private BasisChecksums summing;
-    private Wanted incoming;
-    /** A request was made in this step, whatever came of the client's bytes. */
-    private boolean made;
+    private final Set<Integer> retried = new HashSet<>();
+    private final Set<FileEntry> openedBases = new HashSet<>();
+    private BasisChecksums basisChecksums;
+    private FileRequest currentRequest;
+    /** Whether the generator progressed in this step, even if the input was incomplete. */
+    private boolean generatorProgressed;
 
-    private IncomingFile file;
+    private IncomingFile incomingFile;
 
     FileReceiver(RsyncSession session, GatewaySettings.Module module, TransferOptions options, int seed)
             throws ProtocolException {
@@ -85,40 +92,40 @@
         this.module = module;
         this.options = options;
         this.seed = seed;
-        this.catalogue = session.front.files.catalogue();
-        this.list = new FileListCodec(
+        this.catalogue = session.server.files.catalogue();
+        this.listCodec = new FileListCodec(
                 new FileListCodec.Form(options.links, options.owner, options.group, options.checksum));
-        this.state = options.delete || options.prune ? State.FILTERS : State.LIST;
+        this.state = options.delete || options.pruneEmptyDirs ? State.FILTERS : State.LIST;
         if (options.paths.size() != 1) {
             throw new ProtocolException("a push has one destination");
         }
-        directory = FileNames.argument(module.name(), options.paths.get(0));
+        directory = FileNames.modulePath(module.name(), options.paths.get(0));
     }
 
     @Override
     public boolean step() throws ProtocolException {
         session.in.mark();
-        made = false;
+        generatorProgressed = false;
         try {
             return switch (state) {
-                case FILTERS -> filter();
-                case LIST -> item();
-                case USERS -> ids(State.GROUPS);
-                case GROUPS -> ids(State.ITEMS);
-                case ITEMS -> (made = generate()) | reply();
-                case HEAD -> head();
-                case CONTENTS -> (made = generate()) | contents();
-                case GOODBYE -> goodbye();
+                case FILTERS -> readFilterRule();
+                case LIST -> readListEntry();
+                case USER_NAMES -> skipIdNames(State.GROUP_NAMES);
+                case GROUP_NAMES -> skipIdNames(State.REPLIES);
+                case REPLIES -> (generatorProgressed = generate()) | readReply();
+                case CHECKSUM_HEADER -> readChecksumHeader();
+                case CONTENTS -> (generatorProgressed = generate()) | receiveContents();
+                case GOODBYE -> sendGoodbye();
             };
         } catch (RsyncIn.Short e) {
             session.in.reset();
-            return made;
+            return generatorProgressed;
         }
     }
 
-    // ---------------------------------------------------------------- the list
+    // ---------------------------------------------------------------- file list
 
-    private boolean filter() throws RsyncIn.Short, ProtocolException {
+    private boolean readFilterRule() throws RsyncIn.Short, ProtocolException {
         int length = session.in.i32();
         if (length < 0 || length > Rsync.NAME_MOST) {
             throw new ProtocolException("a filter rule of " + length + " bytes");
@@ -131,72 +138,72 @@
         return true;
     }
 
-    private boolean item() throws RsyncIn.Short, ProtocolException {
-        FileItem item = list.read(session.in);
+    private boolean readListEntry() throws RsyncIn.Short, ProtocolException {
+        FileItem item = listCodec.read(session.in);
         if (item == null) {
             state = options.numericIds
-                    ? State.ITEMS
-                    : options.owner ? State.USERS : options.group ? State.GROUPS : State.ITEMS;
-            if (state == State.ITEMS) {
-                listed();
+                    ? State.REPLIES
+                    : options.owner ? State.USER_NAMES : options.group ? State.GROUP_NAMES : State.REPLIES;
+            if (state == State.REPLIES) {
+                completeList();
             }
             return true;
         }
-        FileNames.check(item.name());
-        if (sorted.size() >= LIST_MOST) {
-            throw new ProtocolException("a list of more than " + LIST_MOST + " files");
+        FileNames.checkSafe(item.name());
+        if (sorted.size() >= MAX_FILES) {
+            throw new ProtocolException("a list of more than " + MAX_FILES + " files");
         }
         sorted.add(new Listed(item, sorted.size()));
         return true;
     }
 
-    /** Owners are not kept; their names are passed over. */
-    private boolean ids(State then) throws RsyncIn.Short, ProtocolException {
-        if (state == State.GROUPS && !options.group) {
-            state = then;
-            listed();
+    /** Skips the list of user or group names; ownership is not stored. */
+    private boolean skipIdNames(State nextState) throws RsyncIn.Short, ProtocolException {
+        if (state == State.GROUP_NAMES && !options.group) {
+            state = nextState;
+            completeList();
             return true;
         }
         if (session.in.varint() != 0) {
             session.in.text(session.in.u8());
             return true;
         }
-        state = then;
-        if (state == State.ITEMS) {
-            listed();
+        state = nextState;
+        if (state == State.REPLIES) {
+            completeList();
         }
         return true;
     }
 
-    private void listed() throws ProtocolException {
-        sorted.forEach(l -> items.add(l.item()));
+    private void completeList() throws ProtocolException {
+        sorted.forEach(listed -> items.add(listed.item()));
         sorted.clear();
         FileEntry destination = directory.isEmpty() ? null : catalogue.get(module.name(), directory);
-        boolean one = items.size() == 1 && !items.get(0).directory();
-        if (destination != null && !destination.isDirectory() && !one) {
+        boolean singleFile = items.size() == 1 && !items.get(0).directory();
+        if (destination != null && !destination.isDirectory() && !singleFile) {
             throw new ProtocolException("the destination \"" + FileNames.printable(directory) + "\" is no directory");
         }
-        if (one
+        if (singleFile
                 && !directory.isEmpty()
                 && !options.paths.get(0).endsWith("/")
                 && (destination == null || !destination.isDirectory())) {
-            single = directory; // one file under another name
+            singleFilePath = directory; // a single file that is stored under another name
         }
-        makeDirectories();
+        createDirectoriesAndLinks();
         if (options.delete && options.recursive) {
-            delete();
+            deleteExtraneous();
         }
     }
 
     private String path(FileItem item) {
-        return single != null ? single : FileNames.join(directory, item.name());
+        return singleFilePath != null ? singleFilePath : FileNames.join(directory, item.name());
     }
 
-    /** All directories become visible first, together with the links; both are names without contents. */
-    private void makeDirectories() {
-        List<FileEntry> put = new ArrayList<>();
-        Set<String> made = new HashSet<>();
-        parents(put, made, directory, single != null);
+    /** Creates all directories and symbolic links before any file is requested; neither has contents. */
+    private void createDirectoriesAndLinks() {
+        List<FileEntry> changed = new ArrayList<>();
+        Set<String> addedPaths = new HashSet<>();
+        addMissingParents(changed, addedPaths, directory, singleFilePath != null);
         for (FileItem item : items) {
             String path = path(item);
             if (options.dryRun || path.isEmpty()) {
@@ -207,159 +214,162 @@
                 if (options.existing && old == null) {
                     continue;
                 }
-                parents(put, made, FileNames.parent(path), false);
+                addMissingParents(changed, addedPaths, FileNames.parent(path), false);
                 FileEntry entry = item.directory()
                         ? FileEntry.directory(module.name(), path, mode(item, old, 0755), time(item))
                         : FileEntry.link(module.name(), path, item.mode(), time(item), item.target());
-                boolean same = old != null
+                boolean unchanged = old != null
                         && old.mode() == entry.mode()
                         && old.target().equals(entry.target())
                         && (!options.times || old.modified() == entry.modified());
-                if (!same && made.add(path)) {
-                    put.add(entry);
+                if (!unchanged && addedPaths.add(path)) {
+                    changed.add(entry);
                 }
             } else if (!item.regular()) {
-                session.tell(Rsync.INFO, "skipping non-regular file \"" + FileNames.printable(item.name()) + "\"\n");
+                session.sendMessage(
+                        Rsync.INFO, "skipping non-regular file \"" + FileNames.printable(item.name()) + "\"\n");
             }
-            if (put.size() >= NAMES_A_CHANGE) {
-                commit(List.of(), put);
-                put = new ArrayList<>();
+            if (changed.size() >= MAX_ENTRIES_PER_CHANGE) {
+                commit(List.of(), changed);
+                changed = new ArrayList<>();
             }
         }
-        if (!put.isEmpty() && !options.dryRun) {
-            commit(List.of(), put);
+        if (!changed.isEmpty() && !options.dryRun) {
+            commit(List.of(), changed);
         }
     }
 
-    private void parents(List<FileEntry> put, Set<String> made, String path, boolean ofFile) {
-        String at = ofFile ? FileNames.parent(path) : path;
-        if (at.isEmpty() || made.contains(at)) {
+    private void addMissingParents(List<FileEntry> changed, Set<String> addedPaths, String path, boolean pathIsFile) {
+        String directoryPath = pathIsFile ? FileNames.parent(path) : path;
+        if (directoryPath.isEmpty() || addedPaths.contains(directoryPath)) {
             return;
         }
-        FileEntry old = catalogue.get(module.name(), at);
+        FileEntry old = catalogue.get(module.name(), directoryPath);
         if (old == null || !old.isDirectory()) {
-            parents(put, made, FileNames.parent(at), false);
-            made.add(at);
-            put.add(FileEntry.directory(module.name(), at, 0755, session.front.time() / 1_000_000));
+            addMissingParents(changed, addedPaths, FileNames.parent(directoryPath), false);
+            addedPaths.add(directoryPath);
+            changed.add(FileEntry.directory(module.name(), directoryPath, 0755, session.server.time() / 1_000_000));
         }
     }
 
-    private int mode(FileItem item, FileEntry old, int otherwise) {
+    private int mode(FileItem item, FileEntry old, int defaultMode) {
         return options.perms
                 ? item.mode()
                 : item.mode() & Rsync.KIND
-                        | (old != null ? old.mode() & 07777 : item.directory() ? otherwise : item.mode() & 0777);
+                        | (old != null ? old.mode() & 07777 : item.directory() ? defaultMode : item.mode() & 0777);
     }
 
     private long time(FileItem item) {
-        return options.times ? item.modified() : session.front.time() / 1_000_000;
+        return options.times ? item.modified() : session.server.time() / 1_000_000;
     }
 
-    /** Takes away what the client's directories do not hold, unless the client could not read them all. */
-    private void delete() {
-        if (list.failed() || session.peerFailed()) {
-            session.tell(Rsync.INFO, "IO error encountered -- skipping file deletion\n");
+    /** Deletes entries that the client's directories do not contain, unless the client failed to read all of them. */
+    private void deleteExtraneous() {
+        if (listCodec.failed() || session.peerIoError()) {
+            session.sendMessage(Rsync.INFO, "IO error encountered -- skipping file deletion\n");
             return;
         }
-        Set<String> held = new HashSet<>();
+        Set<String> listedPaths = new HashSet<>();
         Set<String> directories = new HashSet<>();
         for (FileItem item : items) {
-            held.add(path(item));
+            listedPaths.add(path(item));
             if (item.directory()) {
                 directories.add(path(item));
             }
         }
-        List<FileChange.Name> gone = new ArrayList<>();
-        Set<String> goneDirectories = new HashSet<>();
-        Set<String> kept = new HashSet<>();
-        List<FileEntry> all = catalogue.entriesBelow(module.name(), directory);
-        for (FileEntry entry : all) {
+        List<FileChange.Name> removed = new ArrayList<>();
+        Set<String> removedDirectories = new HashSet<>();
+        Set<String> keptDirectories = new HashSet<>();
+        List<FileEntry> entries = catalogue.entriesBelow(module.name(), directory);
+        for (FileEntry entry : entries) {
             String parent = FileNames.parent(entry.path());
-            boolean candidate =
-                    goneDirectories.contains(parent) || directories.contains(parent) && !held.contains(entry.path());
+            boolean candidate = removedDirectories.contains(parent)
+                    || directories.contains(parent) && !listedPaths.contains(entry.path());
             if (!candidate) {
                 continue;
             }
             String name = directory.isEmpty() ? entry.path() : entry.path().substring(directory.length() + 1);
             if (!options.deleteExcluded && filters.protects(name, entry.isDirectory())) {
-                for (String up = parent; goneDirectories.contains(up); up = FileNames.parent(up)) {
-                    kept.add(up); // a directory that holds something protected stays
+                for (String ancestor = parent;
+                        removedDirectories.contains(ancestor);
+                        ancestor = FileNames.parent(ancestor)) {
+                    keptDirectories.add(ancestor); // a directory with a protected entry in it is kept
                 }
                 continue;
             }
             if (entry.isDirectory()) {
-                goneDirectories.add(entry.path());
+                removedDirectories.add(entry.path());
             }
-            gone.add(new FileChange.Name(module.name(), entry.path()));
+            removed.add(new FileChange.Name(module.name(), entry.path()));
         }
-        gone.removeIf(n -> kept.contains(n.path()));
+        removed.removeIf(n -> keptDirectories.contains(n.path()));
         if (options.verbose > 0) {
-            gone.forEach(n -> session.tell(
+            removed.forEach(n -> session.sendMessage(
                     Rsync.DELETED,
                     n.path().substring(directory.isEmpty() ? 0 : directory.length() + 1)
-                            + (goneDirectories.contains(n.path()) ? "\0" : "")));
+                            + (removedDirectories.contains(n.path()) ? "\0" : "")));
         }
-        if (!gone.isEmpty() && !options.dryRun) {
-            commit(gone, List.of());
+        if (!removed.isEmpty() && !options.dryRun) {
+            commit(removed, List.of());
         }
     }
 
-    private void commit(List<FileChange.Name> gone, List<FileEntry> put) {
-        commits++;
-        session.front.files.commit(gone, put, () -> {
-            commits--;
+    private void commit(List<FileChange.Name> removed, List<FileEntry> changed) {
+        pendingCommits++;
+        session.server.files.commit(removed, changed, () -> {
+            pendingCommits--;
             session.pump();
         });
     }
 
-    // ---------------------------------------------------------------- the generator
+    // ---------------------------------------------------------------- generator
 
-    /** Asks for files while there is room for their requests. True when something was done. */
+    /** Requests the next file if the limits allow it; true if there was progress. */
     private boolean generate() {
-        if (summing != null) {
-            return summing.step() && finishSums();
+        if (basisChecksums != null) {
+            return basisChecksums.step() && finishChecksums();
         }
-        if (wanted.size() >= REQUESTS_OUT || !session.mayWrite()) {
+        if (outstanding.size() >= MAX_OUTSTANDING_REQUESTS || !session.canWrite()) {
             return false;
         }
-        if (phase == 0 && next < items.size()) {
-            int index = next++;
+        if (phase == 0 && nextIndex < items.size()) {
+            int index = nextIndex++;
             FileItem item = items.get(index);
             if (item.regular()) {
-                consider(index, item);
+                requestIfChanged(index, item);
             }
             return true;
         }
-        if (phase > 0 && phase < LAST_PHASE && !redo.isEmpty() && told == phase) {
-            ask(redo.poll(), null, true);
+        if (phase > 0 && phase < LAST_PHASE && !redo.isEmpty() && phaseEndsSent == phase) {
+            request(redo.poll(), null, true);
             return true;
         }
-        if (told == phase && told < LAST_PHASE && redo.isEmpty()) {
+        if (phaseEndsSent == phase && phaseEndsSent < LAST_PHASE && redo.isEmpty()) {
             session.out.index(Rsync.DONE);
             session.flush();
-            told++;
+            phaseEndsSent++;
             return true;
         }
         return false;
     }
 
-    private void consider(int index, FileItem item) {
+    private void requestIfChanged(int index, FileItem item) {
         FileEntry old = catalogue.get(module.name(), path(item));
-        FileEntry same = old != null && old.isRegularFile() ? old : null;
+        FileEntry oldFile = old != null && old.isRegularFile() ? old : null;
         if (options.existing && old == null
                 || options.ignoreExisting && old != null
-                || options.update && same != null && same.modified() > item.modified()) {
+                || options.update && oldFile != null && oldFile.modified() > item.modified()) {
             return;
         }
-        if (same != null && same.size() == item.size() && unchanged(same, item)) {
-            int mode = mode(item, same, 0);
-            long time = options.times ? item.modified() : same.modified();
-            if (!options.dryRun && (mode != same.mode() || time != same.modified())) {
-                commit(List.of(), List.of(same.withAttributes(mode, time)));
+        if (oldFile != null && oldFile.size() == item.size() && unchanged(oldFile, item)) {
+            int mode = mode(item, oldFile, 0);
+            long time = options.times ? item.modified() : oldFile.modified();
+            if (!options.dryRun && (mode != oldFile.mode() || time != oldFile.modified())) {
+                commit(List.of(), List.of(oldFile.withAttributes(mode, time)));
             }
             return;
         }
-        ask(index, same, false);
+        request(index, oldFile, false);
     }
 
     private boolean unchanged(FileEntry old, FileItem item) {
@@ -368,10 +378,10 @@
                 : options.sizeOnly || !options.ignoreTimes && old.modified() == item.modified();
     }
 
-    private void ask(int index, FileEntry basis, boolean again) {
-        boolean delta = basis != null && basis.size() > 0 && !options.whole && !options.dryRun;
-        Wanted want = new Wanted(index, delta ? basis : null, again);
-        wanted.put(index, want);
+    private void request(int index, FileEntry basis, boolean retry) {
+        boolean delta = basis != null && basis.size() > 0 && !options.wholeFile && !options.dryRun;
+        FileRequest request = new FileRequest(index, delta ? basis : null, retry);
+        outstanding.put(index, request);
         session.out.index(index).u16(Rsync.ITEM_TRANSFER | (basis == null ? Rsync.ITEM_NEW : 0));
         if (options.dryRun) {
             session.flush();
@@ -379,36 +389,36 @@
         }
         if (delta) {
             catalogue.open(basis);
-            opened.add(basis);
-            summing = new BasisChecksums(session, session.front.files.volume(module.name()), basis, seed);
-            summing.step();
-            finishSums();
+            openedBases.add(basis);
+            basisChecksums = new BasisChecksums(session, session.server.files.volume(module.name()), basis, seed);
+            basisChecksums.step();
+            finishChecksums();
         } else {
             session.out.i32(0).i32(0).i32(0).i32(0);
             session.flush();
         }
     }
 
-    /** The checksums of a basis follow its request once all of it has been read; nothing else may come between. */
-    private boolean finishSums() {
-        if (summing.done()) {
-            summing = null;
+    /** Ends a request once all block checksums of its basis file are sent; until then no other request may be sent. */
+    private boolean finishChecksums() {
+        if (basisChecksums.isComplete()) {
+            basisChecksums = null;
             session.flush();
         }
         return true;
     }
 
-    // ---------------------------------------------------------------- what the client sends
+    // ---------------------------------------------------------------- receiver
 
-    private boolean reply() throws RsyncIn.Short, ProtocolException {
+    private boolean readReply() throws RsyncIn.Short, ProtocolException {
         session.in.mark();
-        if (file != null) {
+        if (incomingFile != null) {
             return false;
         }
         int index = session.in.index();
         if (index == Rsync.DONE) {
             phase++;
-            if (phase > told) {
+            if (phase > phaseEndsSent) {
                 throw new ProtocolException("a phase ended that had not begun");
             }
             if (phase == LAST_PHASE) {
@@ -424,119 +434,131 @@
             session.in.vstring();
         }
         if (index == items.size() && flags == Rsync.ITEM_NEW) {
-            return true; // a sign of life
+            return true; // a keep-alive
         }
-        incoming = wanted.get(index);
-        if (incoming == null) {
+        currentRequest = outstanding.get(index);
+        if (currentRequest == null) {
             throw new ProtocolException("index " + index + ", which was not asked for");
         }
         if (options.dryRun) {
-            wanted.remove(index);
+            outstanding.remove(index);
             return true;
         }
         if ((flags & Rsync.ITEM_TRANSFER) == 0) {
             throw new ProtocolException("index " + index + " without its contents");
         }
-        state = State.HEAD;
+        state = State.CHECKSUM_HEADER;
         return true;
     }
 
-    private boolean head() throws RsyncIn.Short, ProtocolException {
-        int count = session.in.i32();
-        int block = session.in.i32();
+    private boolean readChecksumHeader() throws RsyncIn.Short, ProtocolException {
+        int blockCount = session.in.i32();
+        int blockLength = session.in.i32();
         session.in.i32();
-        int rest = session.in.i32();
-        if (count < 0 || block < 0 || block > Rsync.BLOCK_MOST || rest < 0 || rest > block) {
-            throw new ProtocolException(
-                    "a checksum header of " + count + " blocks of " + block + " bytes, the last of " + rest);
-        }
-        file = new IncomingFile(
-                session, module.name(), items.get(incoming.index()), incoming.basis(), count, block, rest);
+        int lastBlockLength = session.in.i32();
+        if (blockCount < 0
+                || blockLength < 0
+                || blockLength > Rsync.BLOCK_MOST
+                || lastBlockLength < 0
+                || lastBlockLength > blockLength) {
+            throw new ProtocolException("a checksum header of " + blockCount + " blocks of " + blockLength
+                    + " bytes, the last of " + lastBlockLength);
+        }
+        incomingFile = new IncomingFile(
+                session,
+                module.name(),
+                items.get(currentRequest.index()),
+                currentRequest.basis(),
+                blockCount,
+                blockLength,
+                lastBlockLength);
         state = State.CONTENTS;
         return true;
     }
 
-    private boolean contents() throws RsyncIn.Short, ProtocolException {
-        if (!file.step()) {
+    private boolean receiveContents() throws RsyncIn.Short, ProtocolException {
+        if (!incomingFile.step()) {
             return false;
         }
-        if (!file.complete()) {
+        if (!incomingFile.isComplete()) {
             return true;
         }
-        done();
+        completeFile();
         return true;
     }
 
-    private void done() {
-        Wanted want = incoming;
-        IncomingFile ended = file;
-        incoming = null;
-        file = null;
-        wanted.remove(want.index());
-        state = State.ITEMS;
-        if (want.basis() != null && opened.remove(want.basis())) {
-            catalogue.close(want.basis());
-        }
-        FileItem item = items.get(want.index());
-        String shown = FileNames.printable(item.name());
-        if (ended.error() != null) {
-            ended.discard();
-            session.tell(
+    private void completeFile() {
+        FileRequest request = currentRequest;
+        IncomingFile received = incomingFile;
+        currentRequest = null;
+        incomingFile = null;
+        outstanding.remove(request.index());
+        state = State.REPLIES;
+        if (request.basis() != null && openedBases.remove(request.basis())) {
+            catalogue.close(request.basis());
+        }
+        FileItem item = items.get(request.index());
+        String printableName = FileNames.printable(item.name());
+        if (received.error() != null) {
+            received.discard();
+            session.sendMessage(
                     Rsync.ERROR_XFER,
-                    "rsync: write failed on \"/" + shown + "\" (in " + module.name() + "): " + ended.error() + "\n");
-        } else if (!ended.matches()) {
-            ended.discard();
-            if (tried.add(want.index()) && phase < 2) {
-                redo.add(want.index());
+                    "rsync: write failed on \"/" + printableName + "\" (in " + module.name() + "): " + received.error()
+                            + "\n");
+        } else if (!received.sumMatches()) {
+            received.discard();
+            if (retried.add(request.index()) && phase < 2) {
+                redo.add(request.index());
             } else {
-                session.tell(Rsync.ERROR_XFER, "ERROR: " + shown + " failed verification -- update discarded.\n");
+                session.sendMessage(
+                        Rsync.ERROR_XFER, "ERROR: " + printableName + " failed verification -- update discarded.\n");
             }
         } else {
             String path = path(item);
             FileEntry old = catalogue.get(module.name(), path);
             commit(
-                    replaced(old),
+                    entriesReplacedBy(old),
                     List.of(new FileEntry(
                             module.name(),
                             path,
                             0,
                             mode(item, old, 0),
-                            ended.size(),
+                            received.size(),
                             time(item),
-                            ended.sum(),
-                            ended.keep(),
+                            received.actualSum(),
+                            received.takePieces(),
                             "")));
         }
     }
 
-    /** A directory that a file takes the place of goes with all it holds. */
-    private List<FileChange.Name> replaced(FileEntry old) {
+    /** The entries to remove when a file replaces a directory: all that it contains. */
+    private List<FileChange.Name> entriesReplacedBy(FileEntry old) {
         if (old == null || !old.isDirectory()) {
             return List.of();
         }
-        List<FileChange.Name> gone = new ArrayList<>();
+        List<FileChange.Name> removed = new ArrayList<>();
         catalogue
                 .entriesBelow(module.name(), old.path())
-                .forEach(e -> gone.add(new FileChange.Name(module.name(), e.path())));
-        return gone;
+                .forEach(e -> removed.add(new FileChange.Name(module.name(), e.path())));
+        return removed;
     }
 
-    /** All has come. The goodbye is said when all of it is durable and visible. */
-    private boolean goodbye() {
-        if (commits > 0) {
+    /** Sends the goodbye once all files are durable and visible. */
+    private boolean sendGoodbye() {
+        if (pendingCommits > 0) {
             return false;
         }
         session.out.index(Rsync.DONE);
-        session.finished();
+        session.finish();
         return false;
     }
 
     @Override
-    public void gone() {
-        if (file != null) {
-            file.discard();
+    public void disconnected() {
+        if (incomingFile != null) {
+            incomingFile.discard();
         }
-        opened.forEach(catalogue::close);
-        opened.clear();
+        openedBases.forEach(catalogue::close);
+        openedBases.clear();
     }
 }
--- a/core/src/main/java/garnetreel/core/server/rsync/FileSender.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileSender.java
@@ -20,27 +20,29 @@
 import java.util.List;
 import java.util.Set;
 
-/** A pull: lists what was asked for, then sends what the client's generator requests, as delta against what it has. */
+/** The sender of a pull: sends the file list, then each file that the client's generator requests, as a delta. */
 final class FileSender implements Transfer {
-    /** Bytes of a block that is read, and blocks under way for one client. */
-    private static final int READ = 128 << 10;
+    /** Length of a read in bytes. */
+    private static final int READ_LENGTH = 128 << 10;
+
+    /** Maximum number of reads in progress for one client. */
+    private static final int MAX_OUTSTANDING_READS = 4;
 
-    private static final int READS_OUT = 4;
     private static final int LAST_PHASE = 2;
-    private static final int ENTRIES_A_STEP = 256;
+    private static final int ENTRIES_PER_STEP = 256;
 
     private enum State {
         FILTERS,
         COLLECT,
         LIST,
         REQUESTS,
-        HEAD,
-        SUMS,
-        SENDING,
+        CHECKSUM_HEADER,
+        BLOCK_CHECKSUMS,
+        CONTENTS,
         GOODBYE
     }
 
-    /** A directory whose names are being listed, and directories in it that a filter hides. */
+    /** A directory that is being listed, and the directories in it that filter rules hide. */
     private record Walk(String path, String root, Iterator<FileEntry> entries, Set<String> hidden) {}
 
     private final RsyncSession session;
@@ -49,37 +51,37 @@
     private final int seed;
     private final Volume volume;
     private final FilterRules filters = new FilterRules();
-    private final FileListCodec list;
+    private final FileListCodec listCodec;
     private final List<FileItem> items = new ArrayList<>();
     private final List<FileEntry> entries = new ArrayList<>();
     private final ArrayDeque<Walk> walks = new ArrayDeque<>();
-    private final List<FileItem> found = new ArrayList<>();
-    private final List<FileEntry> from = new ArrayList<>();
+    private final List<FileItem> foundItems = new ArrayList<>();
+    private final List<FileEntry> foundEntries = new ArrayList<>();
     private final Set<String> names = new HashSet<>();
     private State state = State.FILTERS;
-    private int listed;
+    private int sentEntries;
     private int phase;
-    private long total;
-    private boolean failed;
+    private long totalSize;
+    private boolean ioError;
     private int index;
     private int flags;
-    private int basisKind;
-    private String otherName = "";
+    private int basisType;
+    private String alternateName = "";
     private Delta.Basis basis;
-    private FileEntry sending;
+    private FileEntry currentFile;
     private Delta delta;
-    private long asked;
-    private long sent;
+    private long readOffset;
+    private long sentBytes;
     private String error;
-    private final ArrayDeque<BlockReader.Done[]> reads = new ArrayDeque<>();
+    private final ArrayDeque<BlockIo.Result[]> pendingReads = new ArrayDeque<>();
 
     FileSender(RsyncSession session, GatewaySettings.Module module, TransferOptions options, int seed) {
         this.session = session;
         this.module = module;
         this.options = options;
         this.seed = seed;
-        this.volume = session.front.files.volume(module.name());
-        this.list = new FileListCodec(
+        this.volume = session.server.files.volume(module.name());
+        this.listCodec = new FileListCodec(
                 new FileListCodec.Form(options.links, options.owner, options.group, options.checksum));
     }
 
@@ -88,14 +90,14 @@
         session.in.mark();
         try {
             return switch (state) {
-                case FILTERS -> filter();
-                case COLLECT -> walk();
-                case LIST -> list();
-                case REQUESTS -> request();
-                case HEAD -> head();
-                case SUMS -> sums();
-                case SENDING -> send();
-                case GOODBYE -> goodbye();
+                case FILTERS -> readFilterRule();
+                case COLLECT -> collectEntries();
+                case LIST -> sendList();
+                case REQUESTS -> readRequest();
+                case CHECKSUM_HEADER -> readChecksumHeader();
+                case BLOCK_CHECKSUMS -> readBlockChecksums();
+                case CONTENTS -> sendContents();
+                case GOODBYE -> readGoodbye();
             };
         } catch (RsyncIn.Short e) {
             session.in.reset();
@@ -103,9 +105,9 @@
         }
     }
 
-    // ---------------------------------------------------------------- the list
+    // ---------------------------------------------------------------- file list
 
-    private boolean filter() throws RsyncIn.Short, ProtocolException {
+    private boolean readFilterRule() throws RsyncIn.Short, ProtocolException {
         int length = session.in.i32();
         if (length < 0 || length > Rsync.NAME_MOST) {
             throw new ProtocolException("a filter rule of " + length + " bytes");
@@ -114,38 +116,38 @@
             filters.add(session.in.text(length));
             return true;
         }
-        collect();
+        resolvePaths();
         state = State.COLLECT;
         return true;
     }
 
-    /** Looks up what was asked for; what directories hold follows in steps. */
-    private void collect() throws ProtocolException {
-        for (String word : options.paths) {
-            String path = FileNames.argument(module.name(), word);
+    /** Looks up the requested paths; the contents of directories are added in later steps. */
+    private void resolvePaths() throws ProtocolException {
+        for (String argument : options.paths) {
+            String path = FileNames.modulePath(module.name(), argument);
             FileEntry entry = path.isEmpty()
                     ? FileEntry.directory(module.name(), "", 0755, 0)
-                    : session.front.files.catalogue().get(module.name(), path);
+                    : session.server.files.catalogue().get(module.name(), path);
             if (entry == null) {
-                failed = true;
-                session.tell(
+                ioError = true;
+                session.sendMessage(
                         Rsync.ERROR_XFER,
                         "rsync: link_stat \"/" + FileNames.printable(path) + "\" (in " + module.name()
                                 + ") failed: No such file or directory (2)\n");
                 continue;
             }
-            boolean contents = path.isEmpty() || word.endsWith("/") || word.endsWith("/.");
+            boolean contents = path.isEmpty() || argument.endsWith("/") || argument.endsWith("/.");
             String root = contents ? path : FileNames.parent(path);
             if (!entry.isDirectory()) {
-                add(entry, FileNames.last(path));
+                add(entry, FileNames.baseName(path));
                 continue;
             }
             if (!options.recursive && !options.dirs) {
-                session.tell(
+                session.sendMessage(
                         Rsync.INFO, "skipping directory " + (path.isEmpty() ? "." : FileNames.printable(path)) + "\n");
                 continue;
             }
-            add(entry, contents ? "." : FileNames.last(path));
+            add(entry, contents ? "." : FileNames.baseName(path));
             if (options.recursive || contents) {
                 walks.add(new Walk(
                         path,
@@ -156,42 +158,44 @@
         }
     }
 
-    /** Some names of the directories that were asked for; when there are none left, the order of the list. */
-    private boolean walk() {
+    /** Adds some entries of the requested directories; sorts the list once there are none left. */
+    private boolean collectEntries() {
         if (!walks.isEmpty()) {
             Walk walk = walks.peek();
-            for (int left = ENTRIES_A_STEP; left > 0 && walk.entries().hasNext(); left--) {
-                below(walk, walk.entries().next());
+            for (int remaining = ENTRIES_PER_STEP;
+                    remaining > 0 && walk.entries().hasNext();
+                    remaining--) {
+                addBelow(walk, walk.entries().next());
             }
             if (!walk.entries().hasNext()) {
                 walks.poll();
             }
             return true;
         }
-        List<Integer> order = new ArrayList<>();
-        for (int i = 0; i < found.size(); i++) {
-            order.add(i);
+        List<Integer> sortedIndexes = new ArrayList<>();
+        for (int i = 0; i < foundItems.size(); i++) {
+            sortedIndexes.add(i);
         }
-        Collections.sort(order, (a, b) -> FileItem.ORDER.compare(found.get(a), found.get(b)));
-        for (int at : order) {
-            items.add(found.get(at));
-            entries.add(from.get(at));
+        Collections.sort(sortedIndexes, (a, b) -> FileItem.ORDER.compare(foundItems.get(a), foundItems.get(b)));
+        for (int position : sortedIndexes) {
+            items.add(foundItems.get(position));
+            entries.add(foundEntries.get(position));
         }
-        found.clear();
-        from.clear();
+        foundItems.clear();
+        foundEntries.clear();
         names.clear();
         state = State.LIST;
         return true;
     }
 
-    private void below(Walk walk, FileEntry entry) {
+    private void addBelow(Walk walk, FileEntry entry) {
         String name = walk.root().isEmpty()
                 ? entry.path()
                 : entry.path().substring(walk.root().length() + 1);
         if (!options.recursive && !FileNames.parent(entry.path()).equals(walk.path())) {
             return;
         }
-        // What a hidden directory holds is hidden with it; the catalogue gives a directory before what it holds.
+        // The contents of a hidden directory are hidden too; the catalogue returns a directory before its contents.
         if (walk.hidden().contains(FileNames.parent(name)) || filters.hides(name, entry.isDirectory())) {
             if (entry.isDirectory()) {
                 walk.hidden().add(name);
@@ -202,33 +206,33 @@
     }
 
     private Catalogue catalogue() {
-        return session.front.files.catalogue();
+        return session.server.files.catalogue();
     }
 
     private void add(FileEntry entry, String name) {
-        boolean link = !entry.isDirectory() && !entry.isRegularFile();
-        if (link && !options.links || !names.add(name)) {
+        boolean symlink = !entry.isDirectory() && !entry.isRegularFile();
+        if (symlink && !options.links || !names.add(name)) {
             return;
         }
-        total += entry.isRegularFile() ? entry.size() : 0;
-        found.add(new FileItem(
+        totalSize += entry.isRegularFile() ? entry.size() : 0;
+        foundItems.add(new FileItem(
                 name,
                 entry.mode(),
                 entry.size(),
                 entry.modified(),
                 entry.target(),
                 entry.isRegularFile() ? entry.md5() : null));
-        from.add(entry);
+        foundEntries.add(entry);
     }
 
-    private boolean list() {
-        if (!session.mayWrite()) {
+    private boolean sendList() {
+        if (!session.canWrite()) {
             return false;
         }
-        for (int end = Math.min(items.size(), listed + ENTRIES_A_STEP); listed < end; listed++) {
-            list.write(session.out, items.get(listed));
+        for (int end = Math.min(items.size(), sentEntries + ENTRIES_PER_STEP); sentEntries < end; sentEntries++) {
+            listCodec.write(session.out, items.get(sentEntries));
         }
-        if (listed == items.size()) {
+        if (sentEntries == items.size()) {
             session.out.u8(0);
             if (options.owner && !options.numericIds) {
                 session.out.varint(0);
@@ -236,8 +240,8 @@
             if (options.group && !options.numericIds) {
                 session.out.varint(0);
             }
-            if (failed) {
-                session.tell(Rsync.IO_ERROR, 1);
+            if (ioError) {
+                session.sendMessage(Rsync.IO_ERROR, 1);
             }
             state = State.REQUESTS;
         }
@@ -247,8 +251,8 @@
 
     // ---------------------------------------------------------------- requests
 
-    private boolean request() throws RsyncIn.Short, ProtocolException {
-        if (!session.mayWrite()) {
+    private boolean readRequest() throws RsyncIn.Short, ProtocolException {
+        if (!session.canWrite()) {
             return false;
         }
         index = session.in.index();
@@ -256,9 +260,9 @@
             session.out.index(Rsync.DONE);
             if (++phase > LAST_PHASE) {
                 session.out
-                        .varlong(session.heard(), 3)
-                        .varlong(session.told(), 3)
-                        .varlong(total, 3)
+                        .varlong(session.bytesReceived(), 3)
+                        .varlong(session.bytesSent(), 3)
+                        .varlong(totalSize, 3)
                         .varlong(0, 3)
                         .varlong(0, 3);
                 state = State.GOODBYE;
@@ -267,137 +271,139 @@
             return true;
         }
         flags = session.in.u16();
-        basisKind = (flags & Rsync.ITEM_BASIS) != 0 ? session.in.u8() : 0;
-        otherName = (flags & Rsync.ITEM_XNAME) != 0 ? session.in.vstring() : "";
+        basisType = (flags & Rsync.ITEM_BASIS) != 0 ? session.in.u8() : 0;
+        alternateName = (flags & Rsync.ITEM_XNAME) != 0 ? session.in.vstring() : "";
         if (index == items.size() && flags == Rsync.ITEM_NEW) {
-            return true; // a sign of life
+            return true; // a keep-alive
         }
         if (index < 0 || index >= items.size()) {
             throw new ProtocolException("index " + index + " of a list of " + items.size());
         }
         if ((flags & Rsync.ITEM_TRANSFER) == 0 || options.dryRun) {
-            item();
+            echoItem();
             return true;
         }
         if (!items.get(index).regular()) {
             throw new ProtocolException("index " + index + " is no regular file");
         }
-        state = State.HEAD;
+        state = State.CHECKSUM_HEADER;
         return true;
     }
 
-    private void item() {
+    private void echoItem() {
         session.out.index(index).u16(flags);
         if ((flags & Rsync.ITEM_BASIS) != 0) {
-            session.out.u8(basisKind);
+            session.out.u8(basisType);
         }
         if ((flags & Rsync.ITEM_XNAME) != 0) {
-            session.out.vstring(otherName);
+            session.out.vstring(alternateName);
         }
     }
 
-    private boolean head() throws RsyncIn.Short, ProtocolException {
+    private boolean readChecksumHeader() throws RsyncIn.Short, ProtocolException {
         basis = new Delta.Basis(session.in.i32(), session.in.i32(), session.in.i32(), session.in.i32());
-        state = State.SUMS;
+        state = State.BLOCK_CHECKSUMS;
         return true;
     }
 
-    private boolean sums() throws RsyncIn.Short {
+    private boolean readBlockChecksums() throws RsyncIn.Short {
         while (!basis.full()) {
             session.in.mark();
             basis.read(session.in);
         }
-        // Guards against a file that was replaced since it was listed: the room of that version may be another file's
-        // by
-        // now. What is there at this moment is sent, as by a sender whose files change under it.
-        FileEntry listedAs = entries.get(index);
-        FileEntry current = session.front.files.catalogue().get(module.name(), listedAs.path());
+        // The file may have been replaced since it was listed, and the space of that version reused by another file.
+        // Therefore the current version is sent, as any sender does whose files change during a transfer.
+        FileEntry listedEntry = entries.get(index);
+        FileEntry current = session.server.files.catalogue().get(module.name(), listedEntry.path());
         if (current == null || !current.isRegularFile()) {
-            session.tell(
+            session.sendMessage(
                     Rsync.WARNING,
-                    "file has vanished: \"/" + FileNames.printable(listedAs.path()) + "\" (in " + module.name()
+                    "file has vanished: \"/" + FileNames.printable(listedEntry.path()) + "\" (in " + module.name()
                             + ")\n");
-            session.tell(Rsync.NO_SEND, index);
+            session.sendMessage(Rsync.NO_SEND, index);
             state = State.REQUESTS;
             return true;
         }
-        sending = current;
-        session.front.files.catalogue().open(sending);
-        item();
+        currentFile = current;
+        session.server.files.catalogue().open(currentFile);
+        echoItem();
         basis.writeHead(session.out);
         delta = new Delta(basis, seed, session.out);
-        asked = 0;
-        sent = 0;
+        readOffset = 0;
+        sentBytes = 0;
         error = null;
-        state = State.SENDING;
+        state = State.CONTENTS;
         return true;
     }
 
-    private boolean send() {
-        boolean moved = false;
-        while (error == null && asked < sending.size() && reads.size() < READS_OUT && session.mayWrite()) {
-            Piece piece = sending.locate(asked, READ);
-            BlockReader.Done[] slot = new BlockReader.Done[1];
-            reads.add(slot);
-            asked += piece.length();
-            moved = true;
-            session.blocks.read(volume, piece.offset(), (int) piece.length(), done -> {
-                slot[0] = done;
+    private boolean sendContents() {
+        boolean progressed = false;
+        while (error == null
+                && readOffset < currentFile.size()
+                && pendingReads.size() < MAX_OUTSTANDING_READS
+                && session.canWrite()) {
+            Piece piece = currentFile.locate(readOffset, READ_LENGTH);
+            BlockIo.Result[] result = new BlockIo.Result[1];
+            pendingReads.add(result);
+            readOffset += piece.length();
+            progressed = true;
+            session.blockIo.read(volume, piece.offset(), (int) piece.length(), completed -> {
+                result[0] = completed;
                 session.pump();
             });
         }
-        while (!reads.isEmpty() && reads.peek()[0] != null) {
-            BlockReader.Done done = reads.poll()[0];
-            moved = true;
-            if (error == null && done.ok()) {
-                byte[] bytes = new byte[done.data().remaining()];
-                done.data().duplicate().get(bytes);
+        while (!pendingReads.isEmpty() && pendingReads.peek()[0] != null) {
+            BlockIo.Result read = pendingReads.poll()[0];
+            progressed = true;
+            if (error == null && read.ok()) {
+                byte[] bytes = new byte[read.data().remaining()];
+                read.data().duplicate().get(bytes);
                 delta.add(bytes, 0, bytes.length);
-                sent += bytes.length;
+                sentBytes += bytes.length;
                 session.flush();
             } else if (error == null) {
-                error = done.error();
+                error = read.error();
             }
         }
-        if (reads.isEmpty() && (error != null || sent == sending.size())) {
-            finish();
+        if (pendingReads.isEmpty() && (error != null || sentBytes == currentFile.size())) {
+            finishFile();
             return true;
         }
-        return moved;
+        return progressed;
     }
 
-    /** Ends a file. One that can't be read whole ends with a checksum that it does not have, so nobody keeps it. */
-    private void finish() {
+    /** Ends a file. If it could not be read or is damaged, its checksum is falsified, so that the client discards it. */
+    private void finishFile() {
         byte[] sum = delta.end();
-        boolean damaged = error == null && !Arrays.equals(sum, sending.md5());
-        session.front.files.catalogue().close(sending);
+        boolean damaged = error == null && !Arrays.equals(sum, currentFile.md5());
+        session.server.files.catalogue().close(currentFile);
         if (error != null || damaged) {
-            String why = damaged ? "its contents do not match their checksum" : error;
+            String reason = damaged ? "its contents do not match their checksum" : error;
             session.out.spoil(Rsync.STRONG);
-            session.tell(
+            session.sendMessage(
                     Rsync.ERROR_XFER,
-                    "rsync: read errors mapping \"/" + FileNames.printable(sending.path()) + "\" (in " + module.name()
-                            + "): " + why + "\n");
-            session.tell(Rsync.IO_ERROR, 1);
+                    "rsync: read errors mapping \"/" + FileNames.printable(currentFile.path()) + "\" (in "
+                            + module.name() + "): " + reason + "\n");
+            session.sendMessage(Rsync.IO_ERROR, 1);
         }
-        sending = null;
+        currentFile = null;
         session.flush();
         state = State.REQUESTS;
     }
 
-    private boolean goodbye() throws RsyncIn.Short, ProtocolException {
+    private boolean readGoodbye() throws RsyncIn.Short, ProtocolException {
         if (session.in.index() != Rsync.DONE) {
             throw new ProtocolException("something else than a goodbye");
         }
-        session.finished();
+        session.finish();
         return false;
     }
 
     @Override
-    public void gone() {
-        if (sending != null) {
-            session.front.files.catalogue().close(sending);
-            sending = null;
+    public void disconnected() {
+        if (currentFile != null) {
+            session.server.files.catalogue().close(currentFile);
+            currentFile = null;
         }
     }
 }
--- a/core/src/main/java/garnetreel/core/server/rsync/FilterRules.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FilterRules.java
@@ -5,29 +5,29 @@
 import java.util.List;
 
 /**
- * Rules of a client about names: the first that matches decides. Patterns as in rsync's manual: a leading slash ties to
- * the root of the transfer, a trailing one to directories, {@code *} stays within a part of a name, {@code **} does not,
- * and a pattern without a slash is matched against the last part.
+ * The filter rules of a client; the first rule that matches a name decides. Patterns follow rsync's manual: a leading
+ * slash anchors a pattern at the root of the transfer, a trailing one restricts it to directories, {@code *} does not
+ * match a slash, {@code **} does, and a pattern without a slash is matched against the last path component.
  */
 final class FilterRules {
-    /** Rules a client may send. */
-    private static final int MOST = 10_000;
+    /** Maximum number of rules that a client may send. */
+    private static final int MAX_RULES = 10_000;
 
     private record Rule(
             boolean include,
-            boolean sending,
-            boolean receiving,
-            boolean directories,
-            boolean tied,
-            boolean whole,
+            boolean sender,
+            boolean receiver,
+            boolean directoryOnly,
+            boolean anchored,
+            boolean fullPath,
             String pattern) {}
 
     private final List<Rule> rules = new ArrayList<>();
 
-    /** Adds a rule as it stands on the wire. */
+    /** Parses and adds a rule in its wire form. */
     void add(String text) throws ProtocolException {
-        if (rules.size() >= MOST) {
-            throw new ProtocolException("more than " + MOST + " filter rules");
+        if (rules.size() >= MAX_RULES) {
+            throw new ProtocolException("more than " + MAX_RULES + " filter rules");
         }
         if (text.equals("!")) {
             rules.clear();
@@ -37,33 +37,39 @@
         if (space < 1 || space == text.length() - 1) {
             throw new ProtocolException("the filter rule \"" + text + "\" is not understood");
         }
-        char kind = text.charAt(0);
-        boolean sending = kind == '-' || kind == '+' || kind == 'H' || kind == 'S';
-        boolean receiving = kind == '-' || kind == '+' || kind == 'P' || kind == 'R';
-        if (!sending && !receiving) {
-            throw new ProtocolException("filter rules of the kind \"" + kind + "\" are not offered here");
+        char type = text.charAt(0);
+        boolean sender = type == '-' || type == '+' || type == 'H' || type == 'S';
+        boolean receiver = type == '-' || type == '+' || type == 'P' || type == 'R';
+        if (!sender && !receiver) {
+            throw new ProtocolException("filter rules of the kind \"" + type + "\" are not offered here");
         }
         for (char modifier : text.substring(1, space).toCharArray()) {
             switch (modifier) {
                 case '/', ',', '_' -> {}
-                case 's' -> receiving = false;
-                case 'r' -> sending = false;
-                case 'p' -> receiving = false;
+                case 's' -> receiver = false;
+                case 'r' -> sender = false;
+                case 'p' -> receiver = false;
                 default -> throw new ProtocolException(
                         "the filter rule \"" + text + "\" has a modifier that is not " + "offered here");
             }
         }
         String pattern = text.substring(space + 1);
-        boolean directories = pattern.endsWith("/") && pattern.length() > 1;
-        pattern = directories ? pattern.substring(0, pattern.length() - 1) : pattern;
-        boolean tied = pattern.startsWith("/");
-        pattern = tied ? pattern.substring(1) : pattern;
-        boolean whole = tied || pattern.contains("/") || pattern.contains("**");
+        boolean directoryOnly = pattern.endsWith("/") && pattern.length() > 1;
+        pattern = directoryOnly ? pattern.substring(0, pattern.length() - 1) : pattern;
+        boolean anchored = pattern.startsWith("/");
+        pattern = anchored ? pattern.substring(1) : pattern;
+        boolean fullPath = anchored || pattern.contains("/") || pattern.contains("**");
         rules.add(new Rule(
-                kind == '+' || kind == 'S' || kind == 'R', sending, receiving, directories, tied, whole, pattern));
+                type == '+' || type == 'S' || type == 'R',
+                sender,
+                receiver,
+                directoryOnly,
+                anchored,
+                fullPath,
+                pattern));
     }
 
-    /** Whether the sender leaves a name out. */
+    /** Whether the sender omits a name from the file list. */
     boolean hides(String name, boolean directory) {
         return excluded(name, directory, true);
     }
@@ -73,10 +79,10 @@
         return excluded(name, directory, false);
     }
 
-    private boolean excluded(String name, boolean directory, boolean sending) {
+    private boolean excluded(String name, boolean directory, boolean sender) {
         for (Rule rule : rules) {
-            if ((sending ? rule.sending() : rule.receiving())
-                    && (!rule.directories() || directory)
+            if ((sender ? rule.sender() : rule.receiver())
+                    && (!rule.directoryOnly() || directory)
                     && matches(rule, name)) {
                 return !rule.include();
             }
@@ -85,76 +91,78 @@
     }
 
     private static boolean matches(Rule rule, String name) {
-        if (!rule.whole()) {
+        if (!rule.fullPath()) {
             return match(rule.pattern(), 0, name.substring(name.lastIndexOf('/') + 1), 0);
         }
-        if (rule.tied()) {
+        if (rule.anchored()) {
             return match(rule.pattern(), 0, name, 0);
         }
-        for (int at = 0; at >= 0 && at <= name.length(); ) {
-            if (match(rule.pattern(), 0, name, at)) {
+        for (int start = 0; start >= 0 && start <= name.length(); ) {
+            if (match(rule.pattern(), 0, name, start)) {
                 return true;
             }
-            int slash = name.indexOf('/', at);
-            at = slash < 0 ? -1 : slash + 1;
+            int slash = name.indexOf('/', start);
+            start = slash < 0 ? -1 : slash + 1;
         }
         return false;
     }
 
-    /** Whether a pattern from a place on matches a name from a place on, to the end of both. */
-    private static boolean match(String pattern, int p, String name, int n) {
-        while (p < pattern.length()) {
-            char c = pattern.charAt(p);
+    /** Whether the rest of a pattern matches the whole rest of a name. */
+    private static boolean match(String pattern, int patternIndex, String name, int nameIndex) {
+        while (patternIndex < pattern.length()) {
+            char c = pattern.charAt(patternIndex);
             if (c == '*') {
-                boolean crosses = p + 1 < pattern.length() && pattern.charAt(p + 1) == '*';
-                int after = crosses ? p + 2 : p + 1;
-                for (int to = n; to <= name.length(); to++) {
-                    if (match(pattern, after, name, to)) {
+                boolean crossesSlashes = patternIndex + 1 < pattern.length() && pattern.charAt(patternIndex + 1) == '*';
+                int nextPatternIndex = crossesSlashes ? patternIndex + 2 : patternIndex + 1;
+                for (int end = nameIndex; end <= name.length(); end++) {
+                    if (match(pattern, nextPatternIndex, name, end)) {
                         return true;
                     }
-                    if (to < name.length() && name.charAt(to) == '/' && !crosses) {
+                    if (end < name.length() && name.charAt(end) == '/' && !crossesSlashes) {
                         return false;
                     }
                 }
                 return false;
             }
-            if (n >= name.length()) {
+            if (nameIndex >= name.length()) {
                 return false;
             }
             if (c == '[') {
-                int end = pattern.indexOf(']', p + 2);
-                if (end < 0 || name.charAt(n) == '/' || !inSet(pattern.substring(p + 1, end), name.charAt(n))) {
+                int closing = pattern.indexOf(']', patternIndex + 2);
+                if (closing < 0
+                        || name.charAt(nameIndex) == '/'
+                        || !matchesClass(pattern.substring(patternIndex + 1, closing), name.charAt(nameIndex))) {
                     return false;
                 }
-                p = end + 1;
-                n++;
+                patternIndex = closing + 1;
+                nameIndex++;
                 continue;
             }
-            if (c == '\\' && p + 1 < pattern.length()) {
-                c = pattern.charAt(++p);
+            if (c == '\\' && patternIndex + 1 < pattern.length()) {
+                c = pattern.charAt(++patternIndex);
             } else if (c == '?') {
-                c = name.charAt(n) == '/' ? 0 : name.charAt(n);
+                c = name.charAt(nameIndex) == '/' ? 0 : name.charAt(nameIndex);
             }
-            if (c != name.charAt(n)) {
+            if (c != name.charAt(nameIndex)) {
                 return false;
             }
-            p++;
-            n++;
+            patternIndex++;
+            nameIndex++;
         }
-        return n == name.length();
+        return nameIndex == name.length();
     }
 
-    private static boolean inSet(String set, char c) {
-        boolean not = set.startsWith("!") || set.startsWith("^");
-        boolean in = false;
-        for (int i = not ? 1 : 0; i < set.length(); i++) {
-            if (i + 2 < set.length() && set.charAt(i + 1) == '-') {
-                in |= c >= set.charAt(i) && c <= set.charAt(i + 2);
+    private static boolean matchesClass(String charClass, char c) {
+        boolean negated = charClass.startsWith("!") || charClass.startsWith("^");
+        boolean member = false;
+        for (int i = negated ? 1 : 0; i < charClass.length(); i++) {
+            if (i + 2 < charClass.length() && charClass.charAt(i + 1) == '-') {
+                member |= c >= charClass.charAt(i) && c <= charClass.charAt(i + 2);
                 i += 2;
             } else {
-                in |= c == set.charAt(i);
+                member |= c == charClass.charAt(i);
             }
         }
-        return in != not;
+        return member != negated;
     }
 }
--- a/core/src/main/java/garnetreel/core/server/rsync/IncomingFile.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/IncomingFile.java
@@ -13,187 +13,199 @@
 import java.util.List;
 
 /**
- * One file as its contents come: literals and blocks of the stored version, put together, summed, and written durably to
- * room of its own. After an error the rest is read past, so that the stream can be followed.
+ * A file being received: assembles literals and blocks of the basis file, computes the checksum, and writes the contents
+ * durably to newly reserved space. After an error the rest of the file is read and discarded to stay in sync with the
+ * token stream.
  */
 final class IncomingFile {
-    private static final int WRITE = 128 << 10;
-    private static final int WRITES_OUT = 4;
-    /** Longest literal taken; clients send 32 KiB at a time. */
-    private static final int LITERAL_MOST = 1 << 20;
+    private static final int WRITE_LENGTH = 128 << 10;
+    private static final int MAX_OUTSTANDING_WRITES = 4;
+    /** Largest literal accepted; clients send 32 KiB at a time. */
+    private static final int MAX_LITERAL_LENGTH = 1 << 20;
 
     private final RsyncSession session;
     private final String module;
     private final Volume volume;
     private final FileEntry basis;
-    private final int count;
-    private final int block;
-    private final int rest;
+    private final int blockCount;
+    private final int blockLength;
+    private final int lastBlockLength;
     private final MessageDigest md5 = Checksums.md5();
     private final List<Piece> pieces = new ArrayList<>();
-    private final byte[] buffer = new byte[WRITE];
-    private int filled;
+    private final byte[] buffer = new byte[WRITE_LENGTH];
+    private int buffered;
     private long size;
-    private int literal;
-    private boolean reading;
-    private boolean ended;
-    private byte[] expected;
-    private byte[] sum;
+    private int literalLeft;
+    private boolean basisReadPending;
+    private boolean endTokenRead;
+    private byte[] expectedSum;
+    private byte[] actualSum;
     private String error;
-    private boolean kept;
-
-    IncomingFile(RsyncSession session, String module, FileItem item, FileEntry basis, int count, int block, int rest)
+    private boolean spaceHandedOver;
+
+    IncomingFile(
+            RsyncSession session,
+            String module,
+            FileItem item,
+            FileEntry basis,
+            int blockCount,
+            int blockLength,
+            int lastBlockLength)
             throws ProtocolException {
         this.session = session;
         this.module = module;
-        this.volume = session.front.files.volume(module);
+        this.volume = session.server.files.volume(module);
         this.basis = basis;
-        this.count = count;
-        this.block = block;
-        this.rest = rest;
-        if (count > 0 && (basis == null || (long) (count - 1) * block + (rest == 0 ? block : rest) != basis.size())) {
+        this.blockCount = blockCount;
+        this.blockLength = blockLength;
+        this.lastBlockLength = lastBlockLength;
+        if (blockCount > 0
+                && (basis == null
+                        || (long) (blockCount - 1) * blockLength
+                                        + (lastBlockLength == 0 ? blockLength : lastBlockLength)
+                                != basis.size())) {
             throw new ProtocolException("blocks of a file that has none, or others: " + item.name());
         }
     }
 
-    /** Goes one token on; false when bytes or blocks are waited for. */
+    /** Processes the next token or part of a literal; false while it waits for input or block operations. */
     boolean step() throws RsyncIn.Short, ProtocolException {
-        if (reading || error == null && session.blocks.out() >= WRITES_OUT) {
+        if (basisReadPending || error == null && session.blockIo.outstanding() >= MAX_OUTSTANDING_WRITES) {
             return false;
         }
-        if (ended) {
-            return expected == null ? last() : session.blocks.out() == 0;
+        if (endTokenRead) {
+            return expectedSum == null ? readFileSum() : session.blockIo.outstanding() == 0;
         }
-        if (literal > 0) {
-            int part = Math.min(literal, Math.min(session.in.size(), WRITE - filled));
-            if (part == 0) {
+        if (literalLeft > 0) {
+            int chunk = Math.min(literalLeft, Math.min(session.in.size(), WRITE_LENGTH - buffered));
+            if (chunk == 0) {
                 return false;
             }
-            add(session.in.take(part));
-            literal -= part;
+            append(session.in.take(chunk));
+            literalLeft -= chunk;
             return true;
         }
         int token = session.in.i32();
-        if (token > LITERAL_MOST) {
+        if (token > MAX_LITERAL_LENGTH) {
             throw new ProtocolException("a literal of " + token + " bytes");
         }
         if (token > 0) {
-            literal = token;
+            literalLeft = token;
         } else if (token == 0) {
-            ended = true;
+            endTokenRead = true;
         } else {
-            copy(-(token + 1));
+            copyBlock(-(token + 1));
         }
         return true;
     }
 
-    private boolean last() throws RsyncIn.Short {
-        expected = session.in.take(16);
-        sum = md5.digest();
-        if (filled > 0) {
-            write();
+    private boolean readFileSum() throws RsyncIn.Short {
+        expectedSum = session.in.take(16);
+        actualSum = md5.digest();
+        if (buffered > 0) {
+            flushBuffer();
         }
         return true;
     }
 
-    private void copy(int index) throws ProtocolException {
-        if (index >= count) {
-            throw new ProtocolException("block " + index + " of " + count);
+    private void copyBlock(int index) throws ProtocolException {
+        if (index >= blockCount) {
+            throw new ProtocolException("block " + index + " of " + blockCount);
         }
-        int length = index == count - 1 && rest > 0 ? rest : block;
-        read((long) index * block, length);
+        int length = index == blockCount - 1 && lastBlockLength > 0 ? lastBlockLength : blockLength;
+        readBasis((long) index * blockLength, length);
     }
 
-    private void read(long offset, int length) {
+    private void readBasis(long offset, int length) {
         if (error != null) {
             return;
         }
         Piece piece = basis.locate(offset, length);
-        reading = true;
-        session.blocks.read(volume, piece.offset(), (int) piece.length(), done -> {
-            reading = false;
-            if (!done.ok()) {
-                error = "the stored version can't be read: " + done.error();
+        basisReadPending = true;
+        session.blockIo.read(volume, piece.offset(), (int) piece.length(), result -> {
+            basisReadPending = false;
+            if (!result.ok()) {
+                error = "the stored version can't be read: " + result.error();
             } else {
-                byte[] bytes = new byte[done.data().remaining()];
-                done.data().duplicate().get(bytes);
-                add(bytes);
+                byte[] bytes = new byte[result.data().remaining()];
+                result.data().duplicate().get(bytes);
+                append(bytes);
                 if (piece.length() < length) {
-                    read(offset + piece.length(), length - (int) piece.length());
+                    readBasis(offset + piece.length(), length - (int) piece.length());
                 }
             }
             session.pump();
         });
     }
 
-    private void add(byte[] bytes) {
+    private void append(byte[] bytes) {
         md5.update(bytes);
-        for (int at = 0; at < bytes.length; ) {
-            int part = Math.min(WRITE - filled, bytes.length - at);
-            System.arraycopy(bytes, at, buffer, filled, part);
-            filled += part;
-            at += part;
-            if (filled == WRITE) {
-                write();
+        for (int position = 0; position < bytes.length; ) {
+            int chunk = Math.min(WRITE_LENGTH - buffered, bytes.length - position);
+            System.arraycopy(bytes, position, buffer, buffered, chunk);
+            buffered += chunk;
+            position += chunk;
+            if (buffered == WRITE_LENGTH) {
+                flushBuffer();
             }
         }
     }
 
-    private void write() {
-        byte[] data = Arrays.copyOf(buffer, filled);
-        filled = 0;
+    private void flushBuffer() {
+        byte[] data = Arrays.copyOf(buffer, buffered);
+        buffered = 0;
         if (error != null) {
             return;
         }
-        List<Piece> room = session.front.files.catalogue().reserve(module, data.length);
-        if (room == null) {
+        List<Piece> space = session.server.files.catalogue().reserve(module, data.length);
+        if (space == null) {
             error = "No space left on device (28)";
             return;
         }
         size += data.length;
-        int at = 0;
-        for (Piece piece : room) {
+        int position = 0;
+        for (Piece piece : space) {
             pieces.add(piece);
-            byte[] part = Arrays.copyOfRange(data, at, at + (int) piece.length());
-            at += part.length;
-            session.blocks.write(volume, piece.offset(), part, done -> {
-                if (!done.ok() && error == null) {
-                    error = done.error();
+            byte[] chunk = Arrays.copyOfRange(data, position, position + (int) piece.length());
+            position += chunk.length;
+            session.blockIo.write(volume, piece.offset(), chunk, result -> {
+                if (!result.ok() && error == null) {
+                    error = result.error();
                 }
                 session.pump();
             });
         }
     }
 
-    /** All has come, and nothing is being written any more. */
-    boolean complete() {
-        return expected != null && session.blocks.out() == 0;
+    /** Whether the whole file has been received and no write is outstanding. */
+    boolean isComplete() {
+        return expectedSum != null && session.blockIo.outstanding() == 0;
     }
 
     String error() {
         return error;
     }
 
-    boolean matches() {
-        return Arrays.equals(expected, sum);
+    boolean sumMatches() {
+        return Arrays.equals(expectedSum, actualSum);
     }
 
-    byte[] sum() {
-        return sum;
+    byte[] actualSum() {
+        return actualSum;
     }
 
     long size() {
         return size;
     }
 
-    /** The contents' places, which from now on are somebody else's to give back. Neighbours become one. */
-    List<Piece> keep() {
-        kept = true;
+    /** Hands over the pieces that hold the contents, adjacent ones merged; from now on the caller has to release them. */
+    List<Piece> takePieces() {
+        spaceHandedOver = true;
         List<Piece> joined = new ArrayList<>();
         for (Piece piece : pieces) {
-            Piece last = joined.isEmpty() ? null : joined.get(joined.size() - 1);
-            if (last != null && last.offset() + last.length() == piece.offset()) {
-                joined.set(joined.size() - 1, new Piece(last.offset(), last.length() + piece.length()));
+            Piece previous = joined.isEmpty() ? null : joined.get(joined.size() - 1);
+            if (previous != null && previous.offset() + previous.length() == piece.offset()) {
+                joined.set(joined.size() - 1, new Piece(previous.offset(), previous.length() + piece.length()));
             } else {
                 joined.add(piece);
             }
@@ -201,16 +213,16 @@
         return joined;
     }
 
-    /** The contents are not kept: their room is given back, after a rest where a write may still be on its way. */
+    /** Discards the contents: releases their space, delayed if a write may still take effect there. */
     void discard() {
-        if (kept) {
+        if (spaceHandedOver) {
             return;
         }
-        kept = true;
-        if (session.blocks.unsettled()) {
-            session.front.files.releaseLater(module, pieces);
+        spaceHandedOver = true;
+        if (session.blockIo.writeOutcomeUnknown()) {
+            session.server.files.releaseLater(module, pieces);
         } else {
-            session.front.files.catalogue().release(module, pieces);
+            session.server.files.catalogue().release(module, pieces);
         }
     }
 }
--- a/core/src/main/java/garnetreel/core/server/rsync/RsyncServer.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/RsyncServer.java
@@ -11,24 +11,26 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** All rsync connections of a head, and the modules they may open. */
+/** Serves the rsync connections of a gateway; its modules are given by the settings. */
 public final class RsyncServer extends ProtocolServer<RsyncSession> {
-    /** Tags of blocks of files, which no NBD client gives. */
-    private static final long TAGS = 1L << 62;
+    /** Marks the operation tags of rsync sessions; NBD clients do not use this bit. */
+    private static final long TAG_BASE = 1L << 62;
 
-    private static final long LIVES = (1L << 28) - 1;
-    /** Between two looks for connections on which nothing happens. */
-    private static final long LOOK_EVERY = 1_000_000;
+    private static final long INCARNATION_MASK = (1L << 28) - 1;
+    /** Interval between two checks for idle connections. */
+    private static final long IDLE_CHECK_INTERVAL_US = 1_000_000;
 
     final BlockBackend backend;
     final FileCatalogueStore files;
-    private final TreeMap<Long, List<Runnable>> later = new TreeMap<>();
-    private long tags;
-    private long challenges;
-    private long lookAt;
+    private final TreeMap<Long, List<Runnable>> scheduled = new TreeMap<>();
+    private long lastTag;
+    private long nonceCount;
+    private long nextIdleCheck;
 
-    public RsyncServer(GatewaySettings settings, BlockBackend backend, ByteBudget room, FileCatalogueStore files) {
-        super(settings, room);
+    /** A server without connections. */
+    public RsyncServer(
+            GatewaySettings settings, BlockBackend backend, ByteBudget byteBudget, FileCatalogueStore files) {
+        super(settings, byteBudget);
         this.backend = backend;
         this.files = files;
     }
@@ -37,7 +39,7 @@
         return settings;
     }
 
-    ByteBudget room() {
+    ByteBudget byteBudget() {
         return room;
     }
 
@@ -46,10 +48,10 @@
     }
 
     long nextTag() {
-        // No other life of any head gives the same: its start in milliseconds leads.
-        return TAGS
-                | ((settings.incarnation() >> 10) * 31 + settings.gatewayNumber() & LIVES) << 32
-                | ++tags & 0xffffffffL;
+        // Unique across gateways and their restarts: the incarnation, a start time in milliseconds, comes first.
+        return TAG_BASE
+                | ((settings.incarnation() >> 10) * 31 + settings.gatewayNumber() & INCARNATION_MASK) << 32
+                | ++lastTag & 0xffffffffL;
     }
 
     GatewaySettings.Module module(String name) {
@@ -59,19 +61,20 @@
                 .orElse(null);
     }
 
-    /** Bytes that nobody can foretell and that never come again. */
+    /** Unpredictable bytes that are never repeated. */
     byte[] nonce() {
         MessageDigest md5 = Checksums.md5();
         md5.update(settings.files().challengeSecret());
         return md5.digest(ByteBuffer.allocate(24)
                 .putLong(settings.incarnation())
-                .putLong(++challenges)
+                .putLong(++nonceCount)
                 .putLong(now())
                 .array());
     }
 
-    void later(long micros, Runnable what) {
-        later.computeIfAbsent(now() + micros, any -> new ArrayList<>(1)).add(what);
+    /** Runs a task after a delay in microseconds. */
+    void schedule(long micros, Runnable task) {
+        scheduled.computeIfAbsent(now() + micros, time -> new ArrayList<>(1)).add(task);
     }
 
     @Override
@@ -81,19 +84,20 @@
 
     @Override
     public long nextDeadline() {
-        long next = connections() == 0 ? Long.MAX_VALUE : Math.max(now(), lookAt);
-        return Math.min(Math.min(next, super.nextDeadline()), later.isEmpty() ? Long.MAX_VALUE : later.firstKey());
+        long next = connections() == 0 ? Long.MAX_VALUE : Math.max(now(), nextIdleCheck);
+        return Math.min(
+                Math.min(next, super.nextDeadline()), scheduled.isEmpty() ? Long.MAX_VALUE : scheduled.firstKey());
     }
 
     @Override
     public void expire() {
         super.expire();
-        while (!later.isEmpty() && later.firstKey() <= now()) {
-            later.pollFirstEntry().getValue().forEach(Runnable::run);
+        while (!scheduled.isEmpty() && scheduled.firstKey() <= now()) {
+            scheduled.pollFirstEntry().getValue().forEach(Runnable::run);
         }
-        if (now() >= lookAt) {
-            lookAt = now() + LOOK_EVERY;
-            sessions().forEach(RsyncSession::look);
+        if (now() >= nextIdleCheck) {
+            nextIdleCheck = now() + IDLE_CHECK_INTERVAL_US;
+            sessions().forEach(RsyncSession::checkIdle);
         }
     }
 }
--- a/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
@@ -17,112 +17,113 @@
 import java.util.List;
 
 /**
- * One rsync connection in daemon mode: greeting, module, perhaps a challenge, arguments, then a {@link Transfer}. Bytes
- * that can't be followed end it with a message; a file that can't be read or kept does not.
+ * One rsync connection in daemon mode: greeting, module, authentication if the module has users, arguments, then a
+ * {@link Transfer}. A protocol error closes the connection with a message; an error with a single file does not.
  */
 final class RsyncSession extends ProtocolServer.Session {
-    private static final int LINE_MOST = 1024;
-    private static final int ARGUMENT_MOST = 8 << 10;
-    private static final int ARGUMENTS_MOST = 1_000;
-    /** Bytes written that have not left, and bytes come that are not handled, past which no more are made or read. */
-    static final int OUT_MOST = 1 << 20;
-
-    private static final int IN_MOST = 1 << 20;
-    /** Steps of a session in one turn; each handles a message, a block, or some hundred names. */
-    private static final int STEPS_A_TURN = 32;
-    /** Nothing from a peer for so long ends its connection; in the middle a peer may be busy with its own disk. */
-    private static final long SILENCE = 600_000_000;
-    /** Nothing told to a peer for so long sends it a sign of life, as while a refused block is waited out. */
-    private static final long SIGN_OF_LIFE = 15_000_000;
+    private static final int MAX_LINE_LENGTH = 1024;
+    private static final int MAX_ARGUMENT_LENGTH = 8 << 10;
+    private static final int MAX_ARGUMENTS = 1_000;
+    /** Limit in bytes of unsent output, past which no more is produced. */
+    static final int MAX_OUTBOUND = 1 << 20;
+
+    /** Limit in bytes of unprocessed input, past which the socket is not read. */
+    private static final int MAX_INBOUND = 1 << 20;
+    /** Maximum number of steps in one turn; each processes a message, a block, or some hundred names. */
+    private static final int MAX_STEPS_PER_TURN = 32;
+    /** Idle time after which a connection is closed; a peer may be busy with its own disk during a transfer. */
+    private static final long IDLE_TIMEOUT_US = 600_000_000;
+    /** Time without output after which a keep-alive is sent, for example while a rejected block is retried. */
+    private static final long KEEP_ALIVE_INTERVAL_US = 15_000_000;
 
     private enum Phase {
         GREETING,
         MODULE,
-        CHALLENGED,
+        AUTHENTICATION,
         ARGUMENTS,
         TRANSFER,
         CLOSING,
-        ENDED
+        CLOSED
     }
 
-    final RsyncServer front;
+    final RsyncServer server;
     final RsyncIn in = new RsyncIn();
     final RsyncOut out = new RsyncOut();
-    final BlockReader blocks;
-    private final MultiplexedFrames frames = new MultiplexedFrames();
+    final BlockIo blockIo;
+    private final MultiplexedFrames demultiplexer = new MultiplexedFrames();
     private final List<String> arguments = new ArrayList<>();
     private Phase phase = Phase.GREETING;
     private GatewaySettings.Module module;
     private Transfer transfer;
     private String challenge = "";
-    private boolean reading = true;
+    private boolean readInterest = true;
     private boolean pumping;
-    private boolean again;
+    private boolean pumpAgain;
     private int steps;
-    private boolean resting;
+    private boolean continuationScheduled;
     private long outbound;
     private long inbound;
-    private long heardBytes;
-    private long toldBytes;
-    private long heardAt;
-    private long toldAt;
-    private boolean peerFailed;
+    private long receivedBytes;
+    private long sentBytes;
+    private long lastReceivedAt;
+    private long lastSentAt;
+    private boolean peerIoError;
 
-    RsyncSession(RsyncServer front, long conn, boolean rejected, long handshakeDeadline) {
+    RsyncSession(RsyncServer server, long conn, boolean rejected, long handshakeDeadline) {
         super(conn, rejected, handshakeDeadline);
-        this.front = front;
-        this.blocks = new BlockReader(front);
-        heardAt = front.time();
-        toldAt = front.time();
+        this.server = server;
+        this.blockIo = new BlockIo(server);
+        lastReceivedAt = server.time();
+        lastSentAt = server.time();
     }
 
     @Override
     public void greet() {
         if (rejected) {
-            sorry("max connections (" + front.settings().bounds().connections() + ") reached -- try again later");
+            sendError("max connections (" + server.settings().bounds().connections() + ") reached -- try again later");
         } else {
-            say("@RSYNCD: " + Rsync.VERSION + ".0\n");
+            sendText("@RSYNCD: " + Rsync.VERSION + ".0\n");
         }
     }
 
     @Override
     public void received(ByteBuffer data) {
-        heardAt = front.time();
-        heardBytes += data.remaining();
+        lastReceivedAt = server.time();
+        receivedBytes += data.remaining();
         if (phase == Phase.CLOSING) {
             return;
         }
         try {
             if (phase == Phase.TRANSFER) {
-                frames.add(data, in, this::message);
+                demultiplexer.add(data, in, this::handleMessage);
             } else {
                 in.add(data);
             }
         } catch (ProtocolException e) {
-            broken(e.getMessage());
+            fail(e.getMessage());
         }
         pump();
     }
 
-    private void message(int kind, byte[] body) {
+    private void handleMessage(int kind, byte[] body) {
         if (kind == Rsync.IO_ERROR) {
-            peerFailed = true;
+            peerIoError = true;
         }
         if (kind == Rsync.ERROR || kind == Rsync.ERROR_XFER) {
-            front.emit(new NetAction.Log(
+            server.emit(new NetAction.Log(
                     NetAction.Level.DEBUG, "rsync client: " + new String(body, StandardCharsets.ISO_8859_1).strip()));
         }
     }
 
-    /** Whether the peer could not read all it was to list, so that nothing may be taken for gone there. */
-    boolean peerFailed() {
-        return peerFailed;
+    /** Whether the peer reported an I/O error: its file list may be incomplete, so nothing may be deleted. */
+    boolean peerIoError() {
+        return peerIoError;
     }
 
     @Override
     public void drained(int bytes) {
         outbound -= bytes;
-        front.room().release(bytes);
+        server.byteBudget().release(bytes);
         pump();
     }
 
@@ -133,26 +134,26 @@
 
     @Override
     public void disconnected() {
-        phase = Phase.ENDED;
-        blocks.abandon();
+        phase = Phase.CLOSED;
+        blockIo.abandon();
         if (transfer != null) {
-            transfer.gone();
+            transfer.disconnected();
         }
-        front.room().release(outbound + inbound);
+        server.byteBudget().release(outbound + inbound);
         outbound = 0;
         inbound = 0;
-        front.ended(this);
+        server.ended(this);
     }
 
     @Override
     public void end(boolean abort) {
-        if (phase != Phase.ENDED) {
-            front.emit(new NetAction.Close(conn, abort));
+        if (phase != Phase.CLOSED) {
+            server.emit(new NetAction.Close(conn, abort));
             disconnected();
         }
     }
 
-    /** A transfer that is under way goes on to its end; a handshake does not. */
+    /** Closes the connection unless a transfer is in progress, which runs to its end. */
     @Override
     public void closeGracefully() {
         if (phase != Phase.TRANSFER) {
@@ -160,67 +161,69 @@
         }
     }
 
-    /** Once a second: ends what is silent, and tells the peer that this side lives. */
-    void look() {
-        if (front.time() - heardAt > SILENCE) {
-            front.emit(new NetAction.Log(
+    /** Called once a second: closes an idle connection, or sends a keep-alive if one is due. */
+    void checkIdle() {
+        if (server.time() - lastReceivedAt > IDLE_TIMEOUT_US) {
+            server.emit(new NetAction.Log(
                     NetAction.Level.INFO,
-                    "rsync client said nothing for " + SILENCE / 1_000_000 + " s; connection closed"));
+                    "rsync client idle for " + IDLE_TIMEOUT_US / 1_000_000 + " s; connection closed"));
             end(true);
-        } else if (phase == Phase.TRANSFER && front.time() - toldAt > SIGN_OF_LIFE) {
+        } else if (phase == Phase.TRANSFER && server.time() - lastSentAt > KEEP_ALIVE_INTERVAL_US) {
             write(RsyncOut.frame(Rsync.DATA, new byte[0], 0));
         }
     }
 
-    // ---------------------------------------------------------------- out
+    // ---------------------------------------------------------------- output
 
     private void write(ByteBuffer data) {
-        if (data != null && phase != Phase.ENDED) {
+        if (data != null && phase != Phase.CLOSED) {
             outbound += data.remaining();
-            toldBytes += data.remaining();
-            front.room().release(-data.remaining());
-            toldAt = front.time();
-            front.emit(new NetAction.Write(conn, data));
+            sentBytes += data.remaining();
+            server.byteBudget().release(-data.remaining());
+            lastSentAt = server.time();
+            server.emit(new NetAction.Write(conn, data));
         }
     }
 
-    private void say(String text) {
+    private void sendText(String text) {
         write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    private void sorry(String text) {
-        say("@ERROR: " + text + "\n");
+    private void sendError(String text) {
+        sendText("@ERROR: " + text + "\n");
         phase = Phase.CLOSING;
         end(false);
     }
 
-    /** Bytes that came from the peer so far, and bytes told to it. */
-    long heard() {
-        return heardBytes;
+    /** Bytes received from the peer so far. */
+    long bytesReceived() {
+        return receivedBytes;
     }
 
-    long told() {
-        return toldBytes + out.size();
+    /** Bytes produced for the peer so far, unsent ones included. */
+    long bytesSent() {
+        return sentBytes + out.size();
     }
 
-    /** Whether more may be made for the peer. */
-    boolean mayWrite() {
-        return outbound + out.size() < OUT_MOST;
+    /** Whether there is capacity for more output. */
+    boolean canWrite() {
+        return outbound + out.size() < MAX_OUTBOUND;
     }
 
-    /** Sends what was collected. */
+    /** Sends the collected output as one frame of data. */
     void flush() {
         write(out.takeFrame());
     }
 
-    /** A line for the user; it goes out behind what was collected before it. */
-    void tell(int kind, String text) {
+    /** Sends a multiplexed message with a text, after the output collected so far. */
+    void sendMessage(int kind, String text) {
         flush();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         write(RsyncOut.frame(kind, bytes, bytes.length));
     }
 
-    void tell(int kind, int number) {
+    /** Sends a multiplexed message with a number, after the output collected so far. */
+    void sendMessage(int kind, int number) {
         flush();
         write(RsyncOut.frame(
                 kind,
@@ -228,76 +231,76 @@
                 4));
     }
 
-    /** The transfer can't go on: says why, as clients print it, and closes. */
-    private void broken(String why) {
-        front.emit(new NetAction.Log(NetAction.Level.DEBUG, "rsync: " + why + "; connection closed"));
+    /** Closes the connection after a protocol error, with a message that clients print. */
+    private void fail(String reason) {
+        server.emit(new NetAction.Log(NetAction.Level.DEBUG, "rsync: " + reason + "; connection closed"));
         if (phase == Phase.TRANSFER) {
-            tell(Rsync.ERROR, "garnetreel: " + why + "\n");
+            sendMessage(Rsync.ERROR, "garnetreel: " + reason + "\n");
             phase = Phase.CLOSING;
             end(false);
-        } else if (phase != Phase.ENDED && phase != Phase.CLOSING) {
-            sorry(why);
+        } else if (phase != Phase.CLOSED && phase != Phase.CLOSING) {
+            sendError(reason);
         }
     }
 
-    /** The transfer is over: closes once all has left. */
-    void finished() {
+    /** Ends a completed transfer: closes the connection once all output has been sent. */
+    void finish() {
         flush();
         phase = Phase.CLOSING;
         end(false);
     }
 
-    // ---------------------------------------------------------------- in
+    // ---------------------------------------------------------------- input
 
-    /** Goes on as far as bytes, blocks and bounds allow, then sets whether the socket is read. */
+    /** Runs steps as far as input, block operations and limits allow, then sets whether the socket is read. */
     void pump() {
         if (pumping) {
-            again = true;
+            pumpAgain = true;
             return;
         }
         pumping = true;
-        steps = resting ? steps : 0;
+        steps = continuationScheduled ? steps : 0;
         try {
             do {
-                again = false;
-                boolean more = true;
-                while (more && phase != Phase.ENDED && phase != Phase.CLOSING && steps < STEPS_A_TURN) {
-                    more = step();
+                pumpAgain = false;
+                boolean progressed = true;
+                while (progressed && phase != Phase.CLOSED && phase != Phase.CLOSING && steps < MAX_STEPS_PER_TURN) {
+                    progressed = step();
                     steps++;
                 }
-                if (more && steps >= STEPS_A_TURN) {
-                    rest();
+                if (progressed && steps >= MAX_STEPS_PER_TURN) {
+                    scheduleContinuation();
                     break;
                 }
-            } while (again);
+            } while (pumpAgain);
         } catch (ProtocolException e) {
-            broken(e.getMessage());
+            fail(e.getMessage());
         } finally {
             pumping = false;
         }
-        if (phase != Phase.ENDED) {
+        if (phase != Phase.CLOSED) {
             flush();
-            front.room().release(inbound - in.size());
+            server.byteBudget().release(inbound - in.size());
             inbound = in.size();
-            boolean read = in.size() < IN_MOST && front.room().hasCapacity(this);
-            if (read != reading) {
-                reading = read;
-                front.emit(new NetAction.SetReadInterest(conn, read));
+            boolean read = in.size() < MAX_INBOUND && server.byteBudget().hasCapacity(this);
+            if (read != readInterest) {
+                readInterest = read;
+                server.emit(new NetAction.SetReadInterest(conn, read));
             }
         }
     }
 
     /**
-     * Guards the head's other clients against one with very much at hand, such as a list of 200,000 names, which held them
-     * up for half a second: it goes on in a turn of its own. It costs that client a turn for each few steps.
+     * Schedules the remaining steps in a turn of their own, so that a client with much buffered input does not delay the
+     * others: a list of 200,000 names held them up for half a second. It costs that client a turn for each few steps.
      */
-    private void rest() {
-        if (!resting) {
-            resting = true;
-            front.later(1, () -> {
-                resting = false;
+    private void scheduleContinuation() {
+        if (!continuationScheduled) {
+            continuationScheduled = true;
+            server.schedule(1, () -> {
+                continuationScheduled = false;
                 steps = 0;
-                if (phase != Phase.ENDED) {
+                if (phase != Phase.CLOSED) {
                     pump();
                 }
             });
@@ -306,17 +309,17 @@
 
     private boolean step() throws ProtocolException {
         return switch (phase) {
-            case GREETING -> greeting();
-            case MODULE -> module();
-            case CHALLENGED -> answer();
-            case ARGUMENTS -> argument();
+            case GREETING -> readGreeting();
+            case MODULE -> readModule();
+            case AUTHENTICATION -> authenticate();
+            case ARGUMENTS -> readArgument();
             case TRANSFER -> transfer.step();
             default -> false;
         };
     }
 
-    private boolean greeting() throws ProtocolException {
-        String line = in.until('\n', LINE_MOST);
+    private boolean readGreeting() throws ProtocolException {
+        String line = in.until('\n', MAX_LINE_LENGTH);
         if (line == null) {
             return false;
         }
@@ -332,15 +335,18 @@
         return true;
     }
 
-    private boolean module() throws ProtocolException {
-        String line = in.until('\n', LINE_MOST);
+    private boolean readModule() throws ProtocolException {
+        String line = in.until('\n', MAX_LINE_LENGTH);
         if (line == null) {
             return false;
         }
         String name = line.strip();
         if (name.isEmpty() || name.equals("#list")) {
-            front.settings().files().modules().forEach(m -> say(String.format("%-15s\t%s\n", m.name(), m.comment())));
-            say("@RSYNCD: EXIT\n");
+            server.settings()
+                    .files()
+                    .modules()
+                    .forEach(m -> sendText(String.format("%-15s\t%s\n", m.name(), m.comment())));
+            sendText("@RSYNCD: EXIT\n");
             phase = Phase.CLOSING;
             end(false);
             return false;
@@ -348,16 +354,16 @@
         if (name.startsWith("#")) {
             throw new ProtocolException("Unknown command '" + name + "'");
         }
-        module = front.module(name);
+        module = server.module(name);
         if (module == null) {
             throw new ProtocolException("Unknown module '" + name + "'");
         }
         if (module.users().isEmpty()) {
-            arguments();
+            beginArguments();
         } else {
-            challenge = base64(front.nonce());
-            say("@RSYNCD: AUTHREQD " + challenge + "\n");
-            phase = Phase.CHALLENGED;
+            challenge = base64(server.nonce());
+            sendText("@RSYNCD: AUTHREQD " + challenge + "\n");
+            phase = Phase.AUTHENTICATION;
         }
         return true;
     }
@@ -366,54 +372,55 @@
         return Base64.getEncoder().withoutPadding().encodeToString(bytes);
     }
 
-    private boolean answer() throws ProtocolException {
-        String line = in.until('\n', LINE_MOST);
+    private boolean authenticate() throws ProtocolException {
+        String line = in.until('\n', MAX_LINE_LENGTH);
         if (line == null) {
             return false;
         }
         int space = line.indexOf(' ');
         String user = space < 0 ? line : line.substring(0, space);
-        // A user who does not exist is compared as well, so that the time it takes tells nothing.
+        // Unknown users are compared as well, so that the time taken does not reveal which users exist.
         String password = module.users().getOrDefault(user, "");
         MessageDigest md5 = Checksums.md5();
         md5.update(password.getBytes(StandardCharsets.UTF_8));
         md5.update(challenge.getBytes(StandardCharsets.US_ASCII));
         byte[] expected = base64(md5.digest()).getBytes(StandardCharsets.US_ASCII);
-        byte[] given = line.substring(space + 1).getBytes(StandardCharsets.ISO_8859_1);
-        if (!MessageDigest.isEqual(expected, given) || !module.users().containsKey(user)) {
-            front.emit(new NetAction.Log(NetAction.Level.WARN, "rsync: auth failed on module " + module.name()));
+        byte[] response = line.substring(space + 1).getBytes(StandardCharsets.ISO_8859_1);
+        if (!MessageDigest.isEqual(expected, response) || !module.users().containsKey(user)) {
+            server.emit(new NetAction.Log(NetAction.Level.WARN, "rsync: auth failed on module " + module.name()));
             throw new ProtocolException("auth failed on module " + module.name());
         }
-        arguments();
+        beginArguments();
         return true;
     }
 
-    private void arguments() {
-        say("@RSYNCD: OK\n");
+    private void beginArguments() {
+        sendText("@RSYNCD: OK\n");
         phase = Phase.ARGUMENTS;
     }
 
-    private boolean argument() throws ProtocolException {
-        String word = in.until('\0', ARGUMENT_MOST);
-        if (word == null) {
+    private boolean readArgument() throws ProtocolException {
+        String argument = in.until('\0', MAX_ARGUMENT_LENGTH);
+        if (argument == null) {
             return false;
         }
-        if (!word.isEmpty()) {
-            if (arguments.size() >= ARGUMENTS_MOST) {
-                throw new ProtocolException("more than " + ARGUMENTS_MOST + " arguments");
+        if (!argument.isEmpty()) {
+            if (arguments.size() >= MAX_ARGUMENTS) {
+                throw new ProtocolException("more than " + MAX_ARGUMENTS + " arguments");
             }
-            arguments.add(word);
+            arguments.add(argument);
             return true;
         }
-        front.handshakeCompleted(this);
+        server.handshakeCompleted(this);
         phase = Phase.TRANSFER;
-        // No flag is set: no incremental list, no negotiated checksums, so MD5 and the forms of version 30 hold.
-        byte[] nonce = front.nonce();
+        // No compatibility flag is set: no incremental file list and no negotiated checksums, so that MD5 and the
+        // encodings of protocol version 30 apply.
+        byte[] nonce = server.nonce();
         int seed = ByteBuffer.wrap(nonce).getInt() | 1;
         out.varint(0).i32(seed);
         write(out.take());
-        RsyncIn early = new RsyncIn();
-        byte[] rest = left();
+        RsyncIn demultiplexed = new RsyncIn();
+        byte[] buffered = takeInput();
         TransferOptions options = TransferOptions.parse(arguments);
         if (!options.sender && module.readOnly()) {
             throw new ProtocolException("module " + module.name() + " is read only");
@@ -421,16 +428,16 @@
         transfer = options.sender
                 ? new FileSender(this, module, options, seed)
                 : new FileReceiver(this, module, options, seed);
-        frames.add(ByteBuffer.wrap(rest), early, this::message);
-        in.add(ByteBuffer.wrap(all(early)));
+        demultiplexer.add(ByteBuffer.wrap(buffered), demultiplexed, this::handleMessage);
+        in.add(ByteBuffer.wrap(takeAll(demultiplexed)));
         return true;
     }
 
-    private byte[] left() {
-        return all(in);
+    private byte[] takeInput() {
+        return takeAll(in);
     }
 
-    private static byte[] all(RsyncIn from) {
+    private static byte[] takeAll(RsyncIn from) {
         try {
             return from.take(from.size());
         } catch (RsyncIn.Short e) {
--- a/core/src/main/java/garnetreel/core/server/rsync/Transfer.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/Transfer.java
@@ -2,11 +2,11 @@
 
 import garnetreel.codec.ProtocolException;
 
-/** What a session does once its arguments are known. */
+/** The transfer phase of a session, in one direction; it begins once the arguments have been parsed. */
 interface Transfer {
-    /** Goes one step on; false when bytes, blocks or room are waited for. */
+    /** Advances by one step; false while it waits for input, block operations or output capacity. */
     boolean step() throws ProtocolException;
 
-    /** The peer is gone. */
-    void gone();
+    /** Releases what the transfer holds; the connection has closed. */
+    void disconnected();
 }
--- a/core/src/main/java/garnetreel/core/server/rsync/TransferOptions.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/TransferOptions.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /**
- * What a client asks for, from the arguments that it gives the server. An option that changes what is sent and is not
- * offered is refused in words; one that only concerns the client's side is passed over.
+ * The options and paths of a transfer, parsed from the arguments that a client passes to the server. An unsupported option
+ * that affects the protocol is rejected with a message; one that concerns only the client's side is ignored.
  */
 final class TransferOptions {
-    private static final Set<String> PASSED = Set.of(
+    private static final Set<String> IGNORED = Set.of(
             "--partial",
             "--inplace",
             "--ignore-errors",
@@ -34,7 +34,7 @@
             "--msgs2stderr",
             "--no-msgs2stderr",
             "--fsync");
-    private static final List<String> PASSED_WITH_VALUE = List.of(
+    private static final List<String> IGNORED_PREFIXES = List.of(
             "--log-format=",
             "--out-format=",
             "--info=",
@@ -68,31 +68,31 @@
     boolean ignoreTimes;
     boolean sizeOnly;
     boolean update;
-    boolean whole;
+    boolean wholeFile;
     boolean existing;
     boolean ignoreExisting;
     boolean numericIds;
     boolean delete;
     boolean deleteExcluded;
-    boolean prune;
+    boolean pruneEmptyDirs;
     int verbose;
     final List<String> paths = new ArrayList<>();
 
-    /** @throws ProtocolException naming what is not offered */
-    static TransferOptions parse(List<String> words) throws ProtocolException {
+    /** @throws ProtocolException if an option is not supported; the message names it */
+    static TransferOptions parse(List<String> arguments) throws ProtocolException {
         TransferOptions options = new TransferOptions();
-        boolean ended = false;
-        for (String word : words) {
-            if (ended || !word.startsWith("-") || word.equals("-")) {
-                ended = true;
-                options.paths.add(word);
-            } else if (word.startsWith("--")) {
-                options.longOption(word);
+        boolean optionsEnded = false;
+        for (String argument : arguments) {
+            if (optionsEnded || !argument.startsWith("-") || argument.equals("-")) {
+                optionsEnded = true;
+                options.paths.add(argument);
+            } else if (argument.startsWith("--")) {
+                options.parseLongOption(argument);
             } else {
-                options.letters(word);
+                options.parseShortOptions(argument);
             }
         }
-        // The first word that is no option stands for the directory to work in.
+        // The first argument that is not an option stands for the working directory.
         if (options.paths.isEmpty() || !options.paths.get(0).equals(".")) {
             throw new ProtocolException("arguments without \".\" before the paths");
         }
@@ -100,8 +100,8 @@
         return options;
     }
 
-    private void longOption(String word) throws ProtocolException {
-        switch (word) {
+    private void parseLongOption(String argument) throws ProtocolException {
+        switch (argument) {
             case "--server", "--daemon" -> {}
             case "--sender" -> sender = true;
             case "--delete", "--delete-before", "--delete-during", "--delete-after", "--delete-delay" -> delete = true;
@@ -115,18 +115,18 @@
             case "--ignore-existing" -> ignoreExisting = true;
             case "--dirs" -> dirs = true;
             case "--no-r", "--no-recursive" -> recursive = false;
-            case "--prune-empty-dirs" -> prune = true;
+            case "--prune-empty-dirs" -> pruneEmptyDirs = true;
             default -> {
-                if (!PASSED.contains(word) && PASSED_WITH_VALUE.stream().noneMatch(word::startsWith)) {
-                    throw new ProtocolException("the option " + word + " is not offered here");
+                if (!IGNORED.contains(argument) && IGNORED_PREFIXES.stream().noneMatch(argument::startsWith)) {
+                    throw new ProtocolException("the option " + argument + " is not offered here");
                 }
             }
         }
     }
 
-    private void letters(String word) throws ProtocolException {
-        for (int i = 1; i < word.length(); i++) {
-            switch (word.charAt(i)) {
+    private void parseShortOptions(String argument) throws ProtocolException {
+        for (int i = 1; i < argument.length(); i++) {
+            switch (argument.charAt(i)) {
                 case 'v' -> verbose++;
                 case 'r' -> recursive = true;
                 case 'd' -> dirs = true;
@@ -139,18 +139,18 @@
                 case 'n' -> dryRun = true;
                 case 'I' -> ignoreTimes = true;
                 case 'u' -> update = true;
-                case 'W' -> whole = true;
-                case 'm' -> prune = true;
+                case 'W' -> wholeFile = true;
+                case 'm' -> pruneEmptyDirs = true;
                 case 'D', 'O', 'J', 'S', 'x', 'q', 'E', 'i', 'h', 'P', 'K', 'U', 'N' -> {}
                 case 'e' -> {
-                    return; // what the client can do follows, up to the end of the word
+                    return; // the client's capabilities follow, up to the end of the argument
                 }
                 case 'z' -> throw new ProtocolException("compression (-z) is not offered here; leave it out");
                 case 'H' -> throw new ProtocolException("hard links (-H) are not offered here");
                 case 'A', 'X' -> throw new ProtocolException("ACLs and attributes (-A, -X) are not offered here");
                 case 'R' -> throw new ProtocolException("relative names (-R) are not offered here");
                 case 's' -> throw new ProtocolException("protected arguments (-s) are not offered here");
-                default -> throw new ProtocolException("the option -" + word.charAt(i) + " is not offered here");
+                default -> throw new ProtocolException("the option -" + argument.charAt(i) + " is not offered here");
             }
         }
     }
