--- a/codec/src/main/java/garnetreel/codec/rsync/Delta.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/Delta.java
@@ -7,188 +7,207 @@
 import java.util.Map;
 
 /**
- * Finds blocks of a basis in new contents that come piece by piece, and writes literals and references to blocks. Holds one
- * block and one piece at most, whatever the size of the file.
+ * Computes a delta: searches new contents, which are added in pieces, for blocks of a basis file, and writes literals and
+ * block references. Buffers one block and one piece at most, regardless of the size of the file.
  */
 public final class Delta {
-    /** Blocks of a basis that are told at most; a peer whose files need more must use larger blocks. */
-    public static final int BLOCKS_MOST = 1 << 20;
+    /** Maximum number of blocks of a basis; for a larger file the peer has to use larger blocks. */
+    public static final int MAX_BLOCKS = 1 << 20;
 
-    /** What a receiver told of its basis. */
+    /** The block checksums that a receiver sent of its basis file. */
     public static final class Basis {
         final int count;
-        final int block;
-        final int strong;
-        final int rest;
-        private final int[] rolling;
-        private final byte[] strongs;
-        private final Map<Integer, Integer> firstOf = new HashMap<>();
-        private final int[] nextOf;
-        private int filled;
-
-        /** @throws ProtocolException where the head can't be right */
-        public Basis(int count, int block, int strong, int rest) throws ProtocolException {
+        final int blockLength;
+        final int strongLength;
+        final int lastBlockLength;
+        private final int[] rollingSums;
+        private final byte[] strongSums;
+        private final Map<Integer, Integer> firstIndexByRolling = new HashMap<>();
+        private final int[] nextIndexWithSameRolling;
+        private int blocksRead;
+
+        /**
+         * Starts from a checksum header; the block checksums follow.
+         *
+         * @param count number of blocks
+         * @param blockLength length of a block in bytes
+         * @param strongLength length of a strong checksum in bytes
+         * @param lastBlockLength length of the last block in bytes; 0 if it is as long as the others
+         * @throws ProtocolException if the values are invalid
+         */
+        public Basis(int count, int blockLength, int strongLength, int lastBlockLength) throws ProtocolException {
             if (count < 0
-                    || count > BLOCKS_MOST
-                    || block < 0
-                    || block > Rsync.BLOCK_MOST
-                    || strong < 0
-                    || strong > Rsync.STRONG
-                    || rest < 0
-                    || rest > block
-                    || count > 0 && (block == 0 || strong == 0)) {
-                throw new ProtocolException("a checksum header of " + count + " blocks of " + block + " bytes, "
-                        + strong + " bytes of checksum each, the last of " + rest);
+                    || count > MAX_BLOCKS
+                    || blockLength < 0
+                    || blockLength > Rsync.MAX_BLOCK_LENGTH
+                    || strongLength < 0
+                    || strongLength > Rsync.STRONG
+                    || lastBlockLength < 0
+                    || lastBlockLength > blockLength
+                    || count > 0 && (blockLength == 0 || strongLength == 0)) {
+                throw new ProtocolException("a checksum header of " + count + " blocks of " + blockLength + " bytes, "
+                        + strongLength + " bytes of checksum each, the last of " + lastBlockLength);
             }
             this.count = count;
-            this.block = block;
-            this.strong = strong;
-            this.rest = rest;
-            rolling = new int[count];
-            nextOf = new int[count];
-            strongs = new byte[count * strong];
+            this.blockLength = blockLength;
+            this.strongLength = strongLength;
+            this.lastBlockLength = lastBlockLength;
+            rollingSums = new int[count];
+            nextIndexWithSameRolling = new int[count];
+            strongSums = new byte[count * strongLength];
         }
 
-        /** Adds the next block; true when it was the last. */
+        /** Reads the checksums of the next block; true if it was the last one. */
         public boolean read(RsyncIn in) throws RsyncIn.Short {
-            rolling[filled] = in.i32();
-            System.arraycopy(in.take(strong), 0, strongs, filled * strong, strong);
-            filled++;
+            rollingSums[blocksRead] = in.i32();
+            System.arraycopy(in.take(strongLength), 0, strongSums, blocksRead * strongLength, strongLength);
+            blocksRead++;
             if (full()) {
                 for (int i = count - 1; i >= 0; i--) {
-                    Integer next = firstOf.put(rolling[i], i);
-                    nextOf[i] = next == null ? -1 : next;
+                    Integer next = firstIndexByRolling.put(rollingSums[i], i);
+                    nextIndexWithSameRolling[i] = next == null ? -1 : next;
                 }
             }
             return full();
         }
 
+        /** Whether the checksums of all blocks have been read. */
         public boolean full() {
-            return filled == count;
+            return blocksRead == count;
         }
 
         int length(int index) {
-            return index == count - 1 && rest > 0 ? rest : block;
+            return index == count - 1 && lastBlockLength > 0 ? lastBlockLength : blockLength;
         }
 
-        /** The head, as it is told back. */
+        /** Writes the checksum header, which the sender echoes to the receiver. */
         public void writeHead(RsyncOut out) {
-            out.i32(count).i32(block).i32(strong).i32(rest);
+            out.i32(count).i32(blockLength).i32(strongLength).i32(lastBlockLength);
         }
     }
 
     private final Basis basis;
     private final int seed;
     private final RsyncOut out;
-    private final MessageDigest whole = Checksums.md5();
-    private final MessageDigest each = Checksums.md5();
+    private final MessageDigest fileDigest = Checksums.md5();
+    private final MessageDigest blockDigest = Checksums.md5();
     private byte[] window = new byte[0];
-    /** Bytes of the window: sent up to {@code literal}, looked at up to {@code at}. */
-    private int literal;
+    /** Start of the bytes in the window that are not yet sent. */
+    private int literalStart;
+
+    /** Start of the bytes in the window that are not yet searched. */
+    private int searchStart;
 
-    private int at;
     private int end;
-    private int sum;
-    private boolean summed;
-    private long matched;
+    private int rollingSum;
+    private boolean rollingSumValid;
+    private long matchedBytes;
 
+    /** A delta against a basis whose checksums have all been read. */
     public Delta(Basis basis, int seed, RsyncOut out) {
         this.basis = basis;
         this.seed = seed;
         this.out = out;
     }
 
-    /** The next piece of the new contents. */
+    /** Adds the next piece of the new contents. */
     public void add(byte[] data, int from, int length) {
-        whole.update(data, from, length);
+        fileDigest.update(data, from, length);
         if (basis.count == 0) {
-            literals(data, from, length);
+            writeLiteral(data, from, length);
             return;
         }
-        int held = end - literal;
-        byte[] next = window.length >= held + length ? window : new byte[held + length + basis.block];
-        System.arraycopy(window, literal, next, 0, held);
-        System.arraycopy(data, from, next, held, length);
-        at -= literal;
+        int pending = end - literalStart;
+        byte[] next = window.length >= pending + length ? window : new byte[pending + length + basis.blockLength];
+        System.arraycopy(window, literalStart, next, 0, pending);
+        System.arraycopy(data, from, next, pending, length);
+        searchStart -= literalStart;
         window = next;
-        literal = 0;
-        end = held + length;
-        search(basis.block);
+        literalStart = 0;
+        end = pending + length;
+        searchBlocks(basis.blockLength);
     }
 
-    private void search(int size) {
-        while (end - at >= size && size > 0) {
-            if (!summed) {
-                sum = Checksums.rolling(window, at, size);
-                summed = true;
+    private void searchBlocks(int size) {
+        while (end - searchStart >= size && size > 0) {
+            if (!rollingSumValid) {
+                rollingSum = Checksums.rolling(window, searchStart, size);
+                rollingSumValid = true;
             }
-            int found = find(size);
-            if (found >= 0) {
-                literals(window, literal, at - literal);
-                out.i32(-(found + 1));
-                matched += size;
-                at += size;
-                literal = at;
-                summed = false;
+            int index = findBlock(size);
+            if (index >= 0) {
+                writeLiteral(window, literalStart, searchStart - literalStart);
+                out.i32(-(index + 1));
+                matchedBytes += size;
+                searchStart += size;
+                literalStart = searchStart;
+                rollingSumValid = false;
             } else {
-                if (end - at > size) {
-                    sum = Checksums.roll(sum, window[at], window[at + size], size);
+                if (end - searchStart > size) {
+                    rollingSum = Checksums.roll(rollingSum, window[searchStart], window[searchStart + size], size);
                 } else {
-                    summed = false;
+                    rollingSumValid = false;
                 }
-                at++;
-                if (at - literal >= Rsync.LITERAL_MOST) {
-                    literals(window, literal, at - literal);
-                    literal = at;
+                searchStart++;
+                if (searchStart - literalStart >= Rsync.MAX_LITERAL_LENGTH) {
+                    writeLiteral(window, literalStart, searchStart - literalStart);
+                    literalStart = searchStart;
                 }
             }
         }
     }
 
-    private int find(int size) {
-        byte[] strong = null;
-        for (Integer block = basis.firstOf.get(sum); block != null && block >= 0; block = basis.nextOf[block]) {
-            if (basis.length(block) != size) {
+    private int findBlock(int size) {
+        byte[] blockSum = null;
+        for (Integer candidate = basis.firstIndexByRolling.get(rollingSum);
+                candidate != null && candidate >= 0;
+                candidate = basis.nextIndexWithSameRolling[candidate]) {
+            if (basis.length(candidate) != size) {
                 continue;
             }
-            strong = strong == null ? Checksums.strong(each, window, at, size, seed) : strong;
+            blockSum = blockSum == null ? Checksums.strong(blockDigest, window, searchStart, size, seed) : blockSum;
             if (Arrays.equals(
-                    strong, 0, basis.strong, basis.strongs, block * basis.strong, (block + 1) * basis.strong)) {
-                return block;
+                    blockSum,
+                    0,
+                    basis.strongLength,
+                    basis.strongSums,
+                    candidate * basis.strongLength,
+                    (candidate + 1) * basis.strongLength)) {
+                return candidate;
             }
         }
         return -1;
     }
 
-    private void literals(byte[] data, int from, int length) {
-        for (int done = 0; done < length; ) {
-            int part = Math.min(Rsync.LITERAL_MOST, length - done);
-            out.i32(part).bytes(data, from + done, part);
-            done += part;
+    private void writeLiteral(byte[] data, int from, int length) {
+        for (int written = 0; written < length; ) {
+            int chunk = Math.min(Rsync.MAX_LITERAL_LENGTH, length - written);
+            out.i32(chunk).bytes(data, from + written, chunk);
+            written += chunk;
         }
     }
 
-    /** The contents are complete: what is left, the end, and the checksum of the whole. Returns that checksum. */
+    /** Ends the contents: writes the remaining literals, the end token and the file checksum, which is returned. */
     public byte[] end() {
-        if (basis.count > 0 && basis.rest > 0 && end - at >= basis.rest) {
-            // The last block is shorter: it can only be what the contents end with.
-            int tail = end - basis.rest;
-            int before = at;
-            at = tail;
-            summed = false;
-            if (tail >= before) {
-                search(basis.rest);
+        if (basis.count > 0 && basis.lastBlockLength > 0 && end - searchStart >= basis.lastBlockLength) {
+            // The last block is shorter than the others and can match only the end of the contents.
+            int lastBlockStart = end - basis.lastBlockLength;
+            int searchedTo = searchStart;
+            searchStart = lastBlockStart;
+            rollingSumValid = false;
+            if (lastBlockStart >= searchedTo) {
+                searchBlocks(basis.lastBlockLength);
             }
         }
-        literals(window, literal, end - literal);
+        writeLiteral(window, literalStart, end - literalStart);
         out.i32(0);
-        byte[] sums = whole.digest();
-        out.bytes(sums);
-        return sums;
+        byte[] fileSum = fileDigest.digest();
+        out.bytes(fileSum);
+        return fileSum;
     }
 
-    /** Bytes found in the basis. */
+    /** Number of bytes that were found in the basis. */
     public long matched() {
-        return matched;
+        return matchedBytes;
     }
 }
--- a/codec/src/main/java/garnetreel/codec/rsync/FileListCodec.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/FileListCodec.java
@@ -2,57 +2,63 @@
 
 import garnetreel.codec.ProtocolException;
 
-/** Entries of a file list to bytes and back; each builds on the one before. One instance a list. */
+/**
+ * Encodes and decodes the entries of one file list. An entry omits the fields that equal those of the previous one, so
+ * that an instance serves one list only.
+ */
 public final class FileListCodec {
-    private static final int SHORT_MOST = 255;
+    private static final int MAX_ONE_BYTE_LENGTH = 255;
 
-    /** What both sides agreed on, which tells the fields that an entry has. */
+    /** The negotiated options that determine which fields an entry has. */
     public record Form(boolean links, boolean owner, boolean group, boolean sums) {}
 
     private final Form form;
-    private String lastName = "";
-    private int lastMode;
-    private long lastTime;
+    private String previousName = "";
+    private int previousMode;
+    private long previousTime;
     private boolean first = true;
     private boolean ended;
     private boolean failed;
 
+    /** A codec at the start of a list. */
     public FileListCodec(Form form) {
         this.form = form;
     }
 
-    /** Writes an entry. Owners are not kept: all are told as 0. */
+    /** Writes an entry. Ownership is not stored: all user and group ids are sent as 0. */
     public void write(RsyncOut out, FileItem item) {
         int flags = item.name().equals(".") ? Rsync.TOP_DIR : 0;
-        int shared = 0;
-        int most = Math.min(SHORT_MOST, Math.min(lastName.length(), item.name().length()));
-        while (shared < most && lastName.charAt(shared) == item.name().charAt(shared)) {
-            shared++;
-        }
-        int rest = item.name().length() - shared;
-        flags |= shared > 0 ? Rsync.SAME_NAME : 0;
-        flags |= rest > SHORT_MOST ? Rsync.LONG_NAME : 0;
-        flags |= !first && item.mode() == lastMode ? Rsync.SAME_MODE : 0;
-        flags |= !first && item.modified() == lastTime ? Rsync.SAME_TIME : 0;
+        int prefixLength = 0;
+        int maxPrefix = Math.min(
+                MAX_ONE_BYTE_LENGTH, Math.min(previousName.length(), item.name().length()));
+        while (prefixLength < maxPrefix
+                && previousName.charAt(prefixLength) == item.name().charAt(prefixLength)) {
+            prefixLength++;
+        }
+        int suffixLength = item.name().length() - prefixLength;
+        flags |= prefixLength > 0 ? Rsync.SAME_NAME : 0;
+        flags |= suffixLength > MAX_ONE_BYTE_LENGTH ? Rsync.LONG_NAME : 0;
+        flags |= !first && item.mode() == previousMode ? Rsync.SAME_MODE : 0;
+        flags |= !first && item.modified() == previousTime ? Rsync.SAME_TIME : 0;
         flags |= !form.owner() || !first ? Rsync.SAME_UID : 0;
         flags |= !form.group() || !first ? Rsync.SAME_GID : 0;
         if (flags == 0 && !item.directory()) {
-            flags |= Rsync.TOP_DIR; // no entry may begin with 0, and this one says nothing of a file
+            flags |= Rsync.TOP_DIR; // flags may not be 0, and this flag has no meaning for a file
         }
         if (flags == 0) {
             out.u16(flags | Rsync.EXTENDED);
         } else {
             out.u8(flags);
         }
-        if (shared > 0) {
-            out.u8(shared);
+        if (prefixLength > 0) {
+            out.u8(prefixLength);
         }
-        if (rest > SHORT_MOST) {
-            out.varint(rest);
+        if (suffixLength > MAX_ONE_BYTE_LENGTH) {
+            out.varint(suffixLength);
         } else {
-            out.u8(rest);
+            out.u8(suffixLength);
         }
-        out.text(item.name().substring(shared)).varlong(item.size(), 3);
+        out.text(item.name().substring(prefixLength)).varlong(item.size(), 3);
         if ((flags & Rsync.SAME_TIME) == 0) {
             out.varlong(item.modified(), 4);
         }
@@ -71,17 +77,17 @@
         if (form.sums() && item.regular()) {
             out.bytes(item.sum() == null ? new byte[Rsync.STRONG] : item.sum());
         }
-        remember(item.name(), item.mode(), item.modified());
+        setPrevious(item.name(), item.mode(), item.modified());
     }
 
-    private void remember(String name, int mode, long time) {
-        lastName = name;
-        lastMode = mode;
-        lastTime = time;
+    private void setPrevious(String name, int mode, long time) {
+        previousName = name;
+        previousMode = mode;
+        previousTime = time;
         first = false;
     }
 
-    /** Reads an entry; null at the end of the list. */
+    /** Reads an entry; returns null at the end of the list. */
     public FileItem read(RsyncIn in) throws RsyncIn.Short, ProtocolException {
         int flags = in.u8();
         if (flags == 0) {
@@ -100,40 +106,42 @@
         if ((flags & Rsync.HARD_LINKED) != 0) {
             throw new ProtocolException("hard links are not offered");
         }
-        int shared = (flags & Rsync.SAME_NAME) != 0 ? in.u8() : 0;
-        int rest = (flags & Rsync.LONG_NAME) != 0 ? in.varint() : in.u8();
-        if (shared > lastName.length() || rest < 0 || shared + rest > Rsync.NAME_MOST) {
-            throw new ProtocolException("a name of " + shared + " and " + rest + " bytes");
+        int prefixLength = (flags & Rsync.SAME_NAME) != 0 ? in.u8() : 0;
+        int suffixLength = (flags & Rsync.LONG_NAME) != 0 ? in.varint() : in.u8();
+        if (prefixLength > previousName.length()
+                || suffixLength < 0
+                || prefixLength + suffixLength > Rsync.MAX_NAME_LENGTH) {
+            throw new ProtocolException("a name of " + prefixLength + " and " + suffixLength + " bytes");
         }
-        String name = lastName.substring(0, shared) + in.text(rest);
+        String name = previousName.substring(0, prefixLength) + in.text(suffixLength);
         long size = in.varlong(3);
-        long time = (flags & Rsync.SAME_TIME) != 0 ? lastTime : in.varlong(4);
-        int mode = (flags & Rsync.SAME_MODE) != 0 ? lastMode : in.i32();
+        long time = (flags & Rsync.SAME_TIME) != 0 ? previousTime : in.varlong(4);
+        int mode = (flags & Rsync.SAME_MODE) != 0 ? previousMode : in.i32();
         if (form.owner() && (flags & Rsync.SAME_UID) == 0) {
-            owner(in, (flags & Rsync.USER_NAME) != 0);
+            skipOwner(in, (flags & Rsync.USER_NAME) != 0);
         }
         if (form.group() && (flags & Rsync.SAME_GID) == 0) {
-            owner(in, (flags & Rsync.GROUP_NAME) != 0);
+            skipOwner(in, (flags & Rsync.GROUP_NAME) != 0);
         }
         String target = "";
-        if (form.links() && (mode & Rsync.KIND) == Rsync.SYMLINK) {
+        if (form.links() && (mode & Rsync.FILE_TYPE_MASK) == Rsync.SYMLINK) {
             int length = in.varint();
-            if (length <= 0 || length > Rsync.NAME_MOST) {
+            if (length <= 0 || length > Rsync.MAX_NAME_LENGTH) {
                 throw new ProtocolException("a link's target of " + length + " bytes");
             }
             target = in.text(length);
         }
-        byte[] sum = form.sums() && (mode & Rsync.KIND) == Rsync.REGULAR ? in.take(Rsync.STRONG) : null;
+        byte[] sum = form.sums() && (mode & Rsync.FILE_TYPE_MASK) == Rsync.REGULAR ? in.take(Rsync.STRONG) : null;
         if (size < 0) {
             throw new ProtocolException("a file of " + size + " bytes");
         }
-        remember(name, mode, time);
+        setPrevious(name, mode, time);
         return new FileItem(name, mode, size, time, target, sum);
     }
 
-    private static void owner(RsyncIn in, boolean named) throws RsyncIn.Short, ProtocolException {
+    private static void skipOwner(RsyncIn in, boolean withName) throws RsyncIn.Short, ProtocolException {
         in.varint();
-        if (named) {
+        if (withName) {
             in.text(in.u8());
         }
     }
@@ -143,7 +151,7 @@
         return ended;
     }
 
-    /** Whether its sender could not read all that it was to list. */
+    /** Whether the sender reported an I/O error, so that the list may be incomplete. */
     public boolean failed() {
         return failed;
     }
--- a/codec/src/main/java/garnetreel/codec/rsync/MultiplexedFrames.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/MultiplexedFrames.java
@@ -3,50 +3,51 @@
 import garnetreel.codec.ProtocolException;
 import java.nio.ByteBuffer;
 
-/** Takes multiplexed frames apart: data goes on, messages are handed out. */
+/** Demultiplexes frames: passes data on and delivers messages. */
 public final class MultiplexedFrames {
-    /** Longest message; data frames have no bound but their 24 bits, as they are passed on in pieces. */
-    private static final int MESSAGE_MOST = 64 << 10;
+    /** Longest message in bytes; data frames are limited only by their 24-bit length, as they are passed on in pieces. */
+    private static final int MAX_MESSAGE_LENGTH = 64 << 10;
 
-    /** Takes messages of the peer. */
-    public interface Messages {
+    /** Receives the messages of the peer. */
+    public interface MessageHandler {
+        /** A message has arrived. */
         void message(int kind, byte[] body) throws ProtocolException;
     }
 
-    private final RsyncIn raw = new RsyncIn();
+    private final RsyncIn input = new RsyncIn();
     private int kind;
-    private int left;
+    private int remaining;
 
-    /** Takes bytes from the socket; data are added to {@code data}. */
-    public void add(ByteBuffer bytes, RsyncIn data, Messages messages) throws ProtocolException {
-        raw.add(bytes);
+    /** Processes bytes received from the socket; the contents of data frames are added to {@code data}. */
+    public void add(ByteBuffer bytes, RsyncIn data, MessageHandler messageHandler) throws ProtocolException {
+        input.add(bytes);
         try {
-            while (raw.size() > 0) {
-                if (left == 0) {
-                    raw.mark();
-                    int header = raw.i32();
-                    kind = (header >>> 24) - Rsync.BASE;
-                    left = header & Rsync.FRAME_MOST;
-                    if (kind < 0 || kind != Rsync.DATA && left > MESSAGE_MOST) {
-                        throw new ProtocolException("a frame of kind " + kind + " and " + left + " bytes");
+            while (input.size() > 0) {
+                if (remaining == 0) {
+                    input.mark();
+                    int header = input.i32();
+                    kind = (header >>> 24) - Rsync.KIND_BASE;
+                    remaining = header & Rsync.MAX_FRAME_LENGTH;
+                    if (kind < 0 || kind != Rsync.DATA && remaining > MAX_MESSAGE_LENGTH) {
+                        throw new ProtocolException("a frame of kind " + kind + " and " + remaining + " bytes");
                     }
-                    if (left == 0 && kind != Rsync.DATA) {
-                        messages.message(kind, new byte[0]);
+                    if (remaining == 0 && kind != Rsync.DATA) {
+                        messageHandler.message(kind, new byte[0]);
                     }
                 } else if (kind == Rsync.DATA) {
-                    int part = Math.min(left, raw.size());
-                    raw.mark();
-                    data.add(ByteBuffer.wrap(raw.take(part)));
-                    left -= part;
+                    int chunk = Math.min(remaining, input.size());
+                    input.mark();
+                    data.add(ByteBuffer.wrap(input.take(chunk)));
+                    remaining -= chunk;
                 } else {
-                    raw.mark();
-                    byte[] body = raw.take(left);
-                    left = 0;
-                    messages.message(kind, body);
+                    input.mark();
+                    byte[] body = input.take(remaining);
+                    remaining = 0;
+                    messageHandler.message(kind, body);
                 }
             }
         } catch (RsyncIn.Short e) {
-            raw.reset();
+            input.reset();
         }
     }
 }
--- a/codec/src/main/java/garnetreel/codec/rsync/RsyncIn.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/RsyncIn.java
@@ -6,14 +6,14 @@
 import java.util.Arrays;
 
 /**
- * Bytes of an rsync peer, read as the numbers of protocol 30. A unit is read between {@link #mark} and the end of its
- * reading; where bytes are missing {@link Short} is thrown and {@link #reset} goes back, so units may come byte by byte.
+ * Input buffer that decodes the primitive types of rsync protocol 30. A unit of input starts with {@link #mark}; if it is
+ * incomplete, {@link Short} is thrown and the caller returns to its start with {@link #reset}, to retry with more bytes.
  *
- * <p>Integers are little-endian; varint, varlong and index forms are those of rsync's io.c as its documentation and
- * captures show them.
+ * <p>Integers are little-endian; the varint, varlong and index encodings are those of rsync's io.c as its documentation
+ * and captures show them.
  */
 public final class RsyncIn {
-    /** The unit has not all come. */
+    /** Thrown if the input ends within a unit. */
     public static final class Short extends Exception {
         private static final long serialVersionUID = 1;
         private static final Short INSTANCE = new Short();
@@ -23,150 +23,162 @@
         }
     }
 
-    private static final int FIRST_ROOM = 4096;
+    private static final int INITIAL_CAPACITY = 4096;
 
-    private byte[] bytes = new byte[FIRST_ROOM];
-    private int from;
-    private int to;
-    private int marked;
-    private int lastIndex = -1;
-    private int lastNegative = 1;
-    private int markedIndex;
-    private int markedNegative;
+    private byte[] bytes = new byte[INITIAL_CAPACITY];
+    private int readPosition;
+    private int writePosition;
+    private int markedPosition;
+    private int previousIndex = -1;
+    private int previousNegativeIndex = 1;
+    private int markedPreviousIndex;
+    private int markedPreviousNegativeIndex;
 
-    /** Bytes that are not yet read. */
+    /** Number of unread bytes. */
     public int size() {
-        return to - from;
+        return writePosition - readPosition;
     }
 
-    /** Adds bytes that were received. */
+    /** Appends received bytes. */
     public void add(ByteBuffer data) {
-        room(data.remaining());
+        ensureCapacity(data.remaining());
         int length = data.remaining();
-        data.get(bytes, to, length);
-        to += length;
+        data.get(bytes, writePosition, length);
+        writePosition += length;
     }
 
-    private void room(int more) {
-        if (to + more <= bytes.length) {
+    private void ensureCapacity(int additional) {
+        if (writePosition + additional <= bytes.length) {
             return;
         }
-        int held = size();
-        byte[] next = held + more > bytes.length ? new byte[Math.max(2 * bytes.length, held + more)] : bytes;
-        System.arraycopy(bytes, from, next, 0, held);
+        int unread = size();
+        byte[] next =
+                unread + additional > bytes.length ? new byte[Math.max(2 * bytes.length, unread + additional)] : bytes;
+        System.arraycopy(bytes, readPosition, next, 0, unread);
         bytes = next;
-        from = 0;
-        to = held;
+        readPosition = 0;
+        writePosition = unread;
     }
 
-    /** A unit begins. */
+    /** Marks the start of a unit. */
     public void mark() {
-        marked = from;
-        markedIndex = lastIndex;
-        markedNegative = lastNegative;
+        markedPosition = readPosition;
+        markedPreviousIndex = previousIndex;
+        markedPreviousNegativeIndex = previousNegativeIndex;
     }
 
-    /** Back to where the unit began. */
+    /** Returns to the start of the unit. */
     public void reset() {
-        from = marked;
-        lastIndex = markedIndex;
-        lastNegative = markedNegative;
+        readPosition = markedPosition;
+        previousIndex = markedPreviousIndex;
+        previousNegativeIndex = markedPreviousNegativeIndex;
     }
 
-    private int need(int count) throws Short {
+    private int advance(int count) throws Short {
         if (size() < count) {
             throw Short.INSTANCE;
         }
-        from += count;
-        return from - count;
+        readPosition += count;
+        return readPosition - count;
     }
 
+    /** Reads an unsigned 8-bit number. */
     public int u8() throws Short {
-        return bytes[need(1)] & 0xff;
+        return bytes[advance(1)] & 0xff;
     }
 
+    /** Reads an unsigned 16-bit number. */
     public int u16() throws Short {
-        int at = need(2);
-        return bytes[at] & 0xff | (bytes[at + 1] & 0xff) << 8;
+        int start = advance(2);
+        return bytes[start] & 0xff | (bytes[start + 1] & 0xff) << 8;
     }
 
+    /** Reads a 32-bit number. */
     public int i32() throws Short {
-        return (int) little(need(4), 4);
+        return (int) littleEndian(advance(4), 4);
     }
 
-    private long little(int at, int count) {
+    private long littleEndian(int start, int count) {
         long value = 0;
         for (int i = count - 1; i >= 0; i--) {
-            value = value << 8 | bytes[at + i] & 0xff;
+            value = value << 8 | bytes[start + i] & 0xff;
         }
         return value;
     }
 
+    /** Reads so many bytes. */
     public byte[] take(int count) throws Short {
-        int at = need(count);
-        return Arrays.copyOfRange(bytes, at, at + count);
+        int start = advance(count);
+        return Arrays.copyOfRange(bytes, start, start + count);
     }
 
-    /** Bytes that follow the first of a variable number, by its leading bits. */
-    private static int extra(int first) {
+    /** Number of bytes that follow the first byte of a variable-length number, given by its leading bits. */
+    private static int extraBytes(int first) {
         return first < 0x80
                 ? 0
                 : first < 0xc0 ? 1 : first < 0xe0 ? 2 : first < 0xf0 ? 3 : first < 0xf8 ? 4 : first < 0xfc ? 5 : 6;
     }
 
-    /** A number of 32 bits in the protocol's variable-length form. */
+    /** Reads a 32-bit number in the variable-length encoding. */
     public int varint() throws Short, ProtocolException {
         int first = u8();
-        int extra = extra(first);
-        if (extra > 4) {
-            throw new ProtocolException("number of " + (extra + 1) + " bytes where 32 bits are expected");
+        int extraBytes = extraBytes(first);
+        if (extraBytes > 4) {
+            throw new ProtocolException("number of " + (extraBytes + 1) + " bytes where 32 bits are expected");
         }
-        long value = little(need(extra), extra);
-        return (int) (value | (long) (first & (1 << 8 - extra) - 1 & 0xff) << 8 * extra);
+        long value = littleEndian(advance(extraBytes), extraBytes);
+        return (int) (value | (long) (first & (1 << 8 - extraBytes) - 1 & 0xff) << 8 * extraBytes);
     }
 
-    /** @param least bytes the number has at least, as writer and reader agree on */
-    public long varlong(int least) throws Short, ProtocolException {
+    /**
+     * Reads a 64-bit number in the variable-length encoding.
+     *
+     * @param minLength minimum length of the number in bytes, which the writer must use too
+     */
+    public long varlong(int minLength) throws Short, ProtocolException {
         int first = u8();
-        int extra = extra(first);
-        if (least + extra > 9) {
-            throw new ProtocolException("number of " + (least + extra) + " bytes");
+        int extraBytes = extraBytes(first);
+        if (minLength + extraBytes > 9) {
+            throw new ProtocolException("number of " + (minLength + extraBytes) + " bytes");
         }
-        int low = least - 1 + extra;
-        long value = little(need(low), low);
-        long top = first & (1 << 8 - extra) - 1 & 0xff;
-        return low >= 8 ? value : value | top << 8 * low;
+        int lowBytes = minLength - 1 + extraBytes;
+        long value = littleEndian(advance(lowBytes), lowBytes);
+        long high = first & (1 << 8 - extraBytes) - 1 & 0xff;
+        return lowBytes >= 8 ? value : value | high << 8 * lowBytes;
     }
 
-    /** An index of the file list; {@link Rsync#DONE} for the end of a phase. Each is told by its distance from the last. */
+    /** Reads a file index, sent as its difference from the previous one; {@link Rsync#DONE} at the end of a phase. */
     public int index() throws Short {
         int first = u8();
         if (first == 0) {
             return Rsync.DONE;
         }
         boolean negative = first == 0xff;
-        int step = negative ? u8() : first;
-        int value = step + (negative ? lastNegative : lastIndex);
-        if (step == 0xfe) {
-            int at = need(2);
-            int high = bytes[at] & 0xff;
-            int low = bytes[at + 1] & 0xff;
-            if ((high & 0x80) != 0) {
-                int more = need(2);
-                value = low | (bytes[more] & 0xff) << 8 | (bytes[more + 1] & 0xff) << 16 | (high & 0x7f) << 24;
+        int difference = negative ? u8() : first;
+        int value = difference + (negative ? previousNegativeIndex : previousIndex);
+        if (difference == 0xfe) {
+            int start = advance(2);
+            int firstByte = bytes[start] & 0xff;
+            int secondByte = bytes[start + 1] & 0xff;
+            if ((firstByte & 0x80) != 0) {
+                int following = advance(2);
+                value = secondByte
+                        | (bytes[following] & 0xff) << 8
+                        | (bytes[following + 1] & 0xff) << 16
+                        | (firstByte & 0x7f) << 24;
             } else {
-                value = (high << 8) + low + (negative ? lastNegative : lastIndex);
+                value = (firstByte << 8) + secondByte + (negative ? previousNegativeIndex : previousIndex);
             }
         }
         if (negative) {
-            lastNegative = value;
+            previousNegativeIndex = value;
             return -value;
         }
-        lastIndex = value;
+        previousIndex = value;
         return value;
     }
 
-    /** A string whose length is one byte, or two with the top bit set in the first. */
+    /** Reads a string after its length, which has one byte, or two if the top bit of the first is set. */
     public String vstring() throws Short {
         int length = u8();
         if ((length & 0x80) != 0) {
@@ -175,23 +187,23 @@
         return text(length);
     }
 
-    /** Bytes as a string that holds each as one character, so that any name comes back as it was. */
+    /** Reads so many bytes as a string of one character per byte, so that any name is preserved. */
     public String text(int length) throws Short {
-        int at = need(length);
-        return new String(bytes, at, length, StandardCharsets.ISO_8859_1);
+        int start = advance(length);
+        return new String(bytes, start, length, StandardCharsets.ISO_8859_1);
     }
 
-    /** A line or word up to a byte, which is taken along; null while that has not come. */
-    public String until(char end, int most) throws ProtocolException {
-        for (int i = from; i < to; i++) {
+    /** Reads a string up to a terminator, which is consumed; null while the terminator has not arrived. */
+    public String until(char end, int maxLength) throws ProtocolException {
+        for (int i = readPosition; i < writePosition; i++) {
             if (bytes[i] == end) {
-                String text = new String(bytes, from, i - from, StandardCharsets.ISO_8859_1);
-                from = i + 1;
+                String text = new String(bytes, readPosition, i - readPosition, StandardCharsets.ISO_8859_1);
+                readPosition = i + 1;
                 return text;
             }
         }
-        if (size() > most) {
-            throw new ProtocolException("a line of more than " + most + " bytes");
+        if (size() > maxLength) {
+            throw new ProtocolException("a line of more than " + maxLength + " bytes");
         }
         return null;
     }
--- a/codec/src/main/java/garnetreel/codec/rsync/RsyncOut.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/RsyncOut.java
@@ -4,131 +4,134 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Bytes to an rsync peer: numbers of protocol 30, collected and framed when they are taken. */
+/** Output buffer that encodes the primitive types of rsync protocol 30; its contents are taken bare or as a frame. */
 public final class RsyncOut {
     private byte[] bytes = new byte[1024];
     private int size;
-    private int lastIndex = -1;
-    private int lastNegative = 1;
+    private int previousIndex = -1;
+    private int previousNegativeIndex = 1;
 
+    /** Number of collected bytes. */
     public int size() {
         return size;
     }
 
-    private void room(int more) {
-        if (size + more > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + more));
+    private void ensureCapacity(int additional) {
+        if (size + additional > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + additional));
         }
     }
 
+    /** Writes an 8-bit number. */
     public RsyncOut u8(int value) {
-        room(1);
+        ensureCapacity(1);
         bytes[size++] = (byte) value;
         return this;
     }
 
-    /** A number of 16 bits, least significant byte first. */
+    /** Writes a 16-bit number, least significant byte first. */
     public RsyncOut u16(int value) {
         return u8(value).u8(value >> 8);
     }
 
-    /** A number of 32 bits, least significant byte first. */
+    /** Writes a 32-bit number, least significant byte first. */
     public RsyncOut i32(int value) {
         return u16(value).u16(value >> 16);
     }
 
-    /** Some bytes of an array, as they are. */
-    public RsyncOut bytes(byte[] from, int at, int length) {
-        room(length);
-        System.arraycopy(from, at, bytes, size, length);
+    /** Writes a part of an array. */
+    public RsyncOut bytes(byte[] from, int offset, int length) {
+        ensureCapacity(length);
+        System.arraycopy(from, offset, bytes, size, length);
         size += length;
         return this;
     }
 
-    /** All bytes of an array, as they are. */
+    /** Writes all bytes of an array. */
     public RsyncOut bytes(byte[] from) {
         return bytes(from, 0, from.length);
     }
 
-    /** One byte a character. */
+    /** Writes a string, one byte per character, without its length. */
     public RsyncOut text(String text) {
         return bytes(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** A number of 32 bits in the protocol's variable-length form. */
+    /** Writes a 32-bit number in the variable-length encoding. */
     public RsyncOut varint(int value) {
         return variable(value & 0xffffffffL, 4, 1);
     }
 
-    /** A number of 64 bits in the protocol's variable-length form, of at least so many bytes. */
-    public RsyncOut varlong(long value, int least) {
-        return variable(value, 8, least);
+    /** Writes a 64-bit number in the variable-length encoding, with at least so many bytes. */
+    public RsyncOut varlong(long value, int minLength) {
+        return variable(value, 8, minLength);
     }
 
-    private RsyncOut variable(long value, int most, int least) {
-        int count = most;
-        while (count > least && (value >>> 8 * (count - 1) & 0xff) == 0) {
+    private RsyncOut variable(long value, int maxLength, int minLength) {
+        int count = maxLength;
+        while (count > minLength && (value >>> 8 * (count - 1) & 0xff) == 0) {
             count--;
         }
-        int top = (int) (value >>> 8 * (count - 1) & 0xff);
-        int bit = 1 << 7 - count + least;
-        int low = count - 1;
-        if (top >= bit) {
-            u8(~(bit - 1));
-            low = count;
+        int highByte = (int) (value >>> 8 * (count - 1) & 0xff);
+        int highBit = 1 << 7 - count + minLength;
+        int lowBytes = count - 1;
+        if (highByte >= highBit) {
+            u8(~(highBit - 1));
+            lowBytes = count;
         } else {
-            u8(count > least ? top | ~(2 * bit - 1) : top);
+            u8(count > minLength ? highByte | ~(2 * highBit - 1) : highByte);
         }
-        for (int i = 0; i < low; i++) {
+        for (int i = 0; i < lowBytes; i++) {
             u8((int) (value >>> 8 * i));
         }
         return this;
     }
 
-    /** A file's index, as the difference from the last one. */
+    /** Writes a file index as its difference from the previous one. */
     public RsyncOut index(int index) {
         if (index == Rsync.DONE) {
             return u8(0);
         }
         int value = Math.abs(index);
-        int step = value - (index < 0 ? lastNegative : lastIndex);
+        int difference = value - (index < 0 ? previousNegativeIndex : previousIndex);
         if (index < 0) {
             u8(0xff);
-            lastNegative = value;
+            previousNegativeIndex = value;
         } else {
-            lastIndex = value;
+            previousIndex = value;
         }
-        if (step > 0 && step < 0xfe) {
-            return u8(step);
+        if (difference > 0 && difference < 0xfe) {
+            return u8(difference);
         }
-        return step < 0 || step > 0x7fff
+        return difference < 0 || difference > 0x7fff
                 ? u8(0xfe).u8(value >> 24 | 0x80).u8(value).u8(value >> 8).u8(value >> 16)
-                : u8(0xfe).u8(step >> 8).u8(step);
+                : u8(0xfe).u8(difference >> 8).u8(difference);
     }
 
+    /** Writes a string after its length of one or two bytes. */
     public RsyncOut vstring(String text) {
         int length = text.length();
         return (length > 0x7f ? u8(length >> 8 | 0x80).u8(length) : u8(length)).text(text);
     }
 
-    /** Changes the last bytes collected, so that a checksum among them is none. */
-    public void spoil(int length) {
+    /** Alters the last collected bytes, so that a checksum there does not match. */
+    public void corrupt(int length) {
         for (int i = size - length; i < size; i++) {
             bytes[i] ^= 0x5a;
         }
     }
 
-    /** All that was collected, bare; null when there is nothing. */
+    /** Takes the collected bytes without a frame; null if there are none. */
     public ByteBuffer take() {
         if (size == 0) {
             return null;
         }
-        ByteBuffer taken = ByteBuffer.wrap(Arrays.copyOf(bytes, size));
+        ByteBuffer contents = ByteBuffer.wrap(Arrays.copyOf(bytes, size));
         size = 0;
-        return taken;
+        return contents;
     }
 
-    /** The same as one frame of data. */
+    /** Takes the collected bytes as one data frame; null if there are none. */
     public ByteBuffer takeFrame() {
         if (size == 0) {
             return null;
@@ -138,12 +141,12 @@
         return frame;
     }
 
-    /** A frame of its own, such as a message. */
+    /** Builds a frame, such as a message. */
     public static ByteBuffer frame(int kind, byte[] body, int length) {
-        if (length > Rsync.FRAME_MOST) {
-            throw new IllegalArgumentException("a frame of " + length + " bytes");
+        if (length > Rsync.MAX_FRAME_LENGTH) {
+            throw new IllegalArgumentException("frame too long: " + length + " bytes");
         }
-        int header = kind + Rsync.BASE << 24 | length;
+        int header = kind + Rsync.KIND_BASE << 24 | length;
         return ByteBuffer.allocate(4 + length)
                 .put((byte) header)
                 .put((byte) (header >> 8))
--- a/codec/src/test/java/garnetreel/codec/RsyncTest.java
+++ b/codec/src/test/java/garnetreel/codec/RsyncTest.java
@@ -24,6 +24,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Encodings, file lists, deltas and frames of the rsync protocol. */
 class RsyncTest {
     private static final int SEED = 0x12345;
     private final SplittableRandom random = new SplittableRandom(11);
@@ -38,7 +39,7 @@
     }
 
     @Test
-    void numbersComeBackAndHaveTheirDocumentedForms() throws Exception {
+    void numbersRoundTripInTheirDocumentedEncodings() throws Exception {
         assertArrayEquals(new byte[] {0x7f}, new RsyncOut().varint(0x7f).take().array());
         assertArrayEquals(
                 new byte[] {(byte) 0x80, (byte) 0x80},
@@ -69,7 +70,7 @@
     }
 
     @Test
-    void listOrderPutsFilesBeforeDirectoriesAndContentsBehindThem() {
+    void listOrderPutsFilesBeforeDirectoriesAndContentsAfterTheirDirectory() {
         List<FileItem> expected = new ArrayList<>();
         for (String name : List.of(
                 "./", "b", "b-c", "z", "a/", "a/x", "a/y", "a/k/", "a/k/1", "a-b/", "a-b/q", "b.d/", "c/", "c/d/",
@@ -83,7 +84,7 @@
                     "",
                     null));
         }
-        // "a-b/" sorts before "a/" as bytes do: '-' is less than '/'.
+        // "a-b/" sorts before "a/" by byte value: '-' is less than '/'.
         expected.sort(FileItem.ORDER);
         List<String> names = expected.stream().map(FileItem::name).toList();
         assertEquals(
@@ -93,15 +94,15 @@
                 names);
         Random shuffle = new Random(3);
         for (int i = 0; i < 50; i++) {
-            List<FileItem> again = new ArrayList<>(expected);
-            Collections.shuffle(again, shuffle);
-            again.sort(FileItem.ORDER);
-            assertEquals(names, again.stream().map(FileItem::name).toList());
+            List<FileItem> shuffled = new ArrayList<>(expected);
+            Collections.shuffle(shuffled, shuffle);
+            shuffled.sort(FileItem.ORDER);
+            assertEquals(names, shuffled.stream().map(FileItem::name).toList());
         }
     }
 
     @Test
-    void fileListsComeBackByteByByte() throws Exception {
+    void fileListsRoundTripByteByByte() throws Exception {
         FileListCodec.Form form = new FileListCodec.Form(true, true, true, true);
         List<FileItem> items = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -148,31 +149,31 @@
         assertTrue(reader.ended());
     }
 
-    /** Rebuilds what a receiver would from tokens. */
-    private static byte[] apply(RsyncIn in, byte[] basis, int block) throws Exception {
-        ByteArrayOutputStream made = new ByteArrayOutputStream();
+    /** Rebuilds the contents from the tokens as a receiver does, and checks the file checksum. */
+    private static byte[] applyTokens(RsyncIn in, byte[] basis, int blockLength) throws Exception {
+        ByteArrayOutputStream rebuilt = new ByteArrayOutputStream();
         int token;
         while ((token = in.i32()) != 0) {
             if (token > 0) {
-                made.writeBytes(in.take(token));
+                rebuilt.writeBytes(in.take(token));
             } else {
-                int from = -(token + 1) * block;
-                made.write(basis, from, Math.min(block, basis.length - from));
+                int from = -(token + 1) * blockLength;
+                rebuilt.write(basis, from, Math.min(blockLength, basis.length - from));
             }
         }
-        assertArrayEquals(Checksums.md5().digest(made.toByteArray()), in.take(Rsync.STRONG));
-        return made.toByteArray();
+        assertArrayEquals(Checksums.md5().digest(rebuilt.toByteArray()), in.take(Rsync.STRONG));
+        return rebuilt.toByteArray();
     }
 
-    private static Delta.Basis basis(byte[] old, int block, int strong) throws Exception {
-        int count = (old.length + block - 1) / block;
-        Delta.Basis basis = new Delta.Basis(count, block, strong, old.length % block);
+    private static Delta.Basis basis(byte[] basisContents, int blockLength, int strongLength) throws Exception {
+        int count = (basisContents.length + blockLength - 1) / blockLength;
+        Delta.Basis basis = new Delta.Basis(count, blockLength, strongLength, basisContents.length % blockLength);
         MessageDigest md5 = Checksums.md5();
         RsyncOut out = new RsyncOut();
         for (int i = 0; i < count; i++) {
-            int length = Math.min(block, old.length - i * block);
-            out.i32(Checksums.rolling(old, i * block, length))
-                    .bytes(Checksums.strong(md5, old, i * block, length, SEED), 0, strong);
+            int length = Math.min(blockLength, basisContents.length - i * blockLength);
+            out.i32(Checksums.rolling(basisContents, i * blockLength, length))
+                    .bytes(Checksums.strong(md5, basisContents, i * blockLength, length, SEED), 0, strongLength);
         }
         RsyncIn in = in(out);
         while (!basis.full()) {
@@ -182,47 +183,47 @@
     }
 
     @Test
-    void deltasRebuildAnyContentsFromAnyBasisInAnyPieces() throws Exception {
+    void deltasReproduceAnyContentsFromAnyBasisInAnyPieces() throws Exception {
         for (int run = 0; run < 300; run++) {
-            byte[] old = new byte[random.nextInt(1, 20_000)];
-            random.nextBytes(old);
-            ByteArrayOutputStream changed = new ByteArrayOutputStream();
-            int kept = 0;
-            while (changed.size() < 20_000) {
+            byte[] basisContents = new byte[random.nextInt(1, 20_000)];
+            random.nextBytes(basisContents);
+            ByteArrayOutputStream edited = new ByteArrayOutputStream();
+            int copiedRanges = 0;
+            while (edited.size() < 20_000) {
                 if (random.nextBoolean()) {
-                    int from = random.nextInt(old.length);
-                    changed.write(old, from, random.nextInt(old.length - from + 1));
-                    kept++;
+                    int from = random.nextInt(basisContents.length);
+                    edited.write(basisContents, from, random.nextInt(basisContents.length - from + 1));
+                    copiedRanges++;
                 } else {
-                    byte[] fresh = new byte[random.nextInt(500)];
-                    random.nextBytes(fresh);
-                    changed.writeBytes(fresh);
+                    byte[] literal = new byte[random.nextInt(500)];
+                    random.nextBytes(literal);
+                    edited.writeBytes(literal);
                 }
-                if (kept > 4 && random.nextInt(4) == 0) {
+                if (copiedRanges > 4 && random.nextInt(4) == 0) {
                     break;
                 }
             }
-            byte[] now = run % 10 == 0 ? old : changed.toByteArray();
-            int block = random.nextInt(8, 900);
+            byte[] newContents = run % 10 == 0 ? basisContents : edited.toByteArray();
+            int blockLength = random.nextInt(8, 900);
             RsyncOut out = new RsyncOut();
-            Delta delta = new Delta(basis(old, block, 16), SEED, out);
-            for (int at = 0; at < now.length; ) {
-                int part = Math.min(now.length - at, random.nextInt(1, 3_000));
-                delta.add(now, at, part);
-                at += part;
+            Delta delta = new Delta(basis(basisContents, blockLength, 16), SEED, out);
+            for (int position = 0; position < newContents.length; ) {
+                int length = Math.min(newContents.length - position, random.nextInt(1, 3_000));
+                delta.add(newContents, position, length);
+                position += length;
             }
             delta.end();
             long matched = delta.matched();
-            assertArrayEquals(now, apply(in(out), old, block));
+            assertArrayEquals(newContents, applyTokens(in(out), basisContents, blockLength));
             assertTrue(
-                    run % 10 != 0 || matched == now.length,
-                    "an unchanged file has literals: " + matched + " of " + now.length);
+                    run % 10 != 0 || matched == newContents.length,
+                    "literals in the delta of an unchanged file: matched " + matched + " of " + newContents.length);
         }
     }
 
     @Test
-    void headersThatCantBeAreRefusedBeforeRoomIsTaken() {
-        int[][] heads = {
+    void invalidChecksumHeadersAreRejectedBeforeMemoryIsAllocated() {
+        int[][] headers = {
             {1 << 31, 700, 16, 0},
             {Integer.MAX_VALUE, 700, 16, 0},
             {5, 0, 16, 0},
@@ -233,37 +234,39 @@
             {-1, 700, 16, 0},
             {5, 700, 16, -1}
         };
-        for (int[] head : heads) {
+        for (int[] header : headers) {
             assertThrows(
                     ProtocolException.class,
-                    () -> new Delta.Basis(head[0], head[1], head[2], head[3]),
-                    Arrays.toString(head));
+                    () -> new Delta.Basis(header[0], header[1], header[2], header[3]),
+                    Arrays.toString(header));
         }
     }
 
     @Test
-    void framesComeApartByteByByteAndLargeMessagesAreRefused() throws Exception {
+    void framesAreDemultiplexedByteByByteAndLargeMessagesAreRejected() throws Exception {
         ByteBuffer data = RsyncOut.frame(Rsync.DATA, new byte[] {1, 2, 3}, 3);
-        ByteBuffer note = RsyncOut.frame(Rsync.INFO, new byte[] {'h', 'i'}, 2);
+        ByteBuffer info = RsyncOut.frame(Rsync.INFO, new byte[] {'h', 'i'}, 2);
         MultiplexedFrames frames = new MultiplexedFrames();
         RsyncIn in = new RsyncIn();
-        List<String> said = new ArrayList<>();
-        for (ByteBuffer one : List.of(data, RsyncOut.frame(Rsync.DATA, new byte[0], 0), note, data.duplicate())) {
+        List<String> messages = new ArrayList<>();
+        for (ByteBuffer one : List.of(data, RsyncOut.frame(Rsync.DATA, new byte[0], 0), info, data.duplicate())) {
             while (one.hasRemaining()) {
                 frames.add(
-                        ByteBuffer.wrap(new byte[] {one.get()}), in, (kind, body) -> said.add(kind + new String(body)));
+                        ByteBuffer.wrap(new byte[] {one.get()}),
+                        in,
+                        (kind, body) -> messages.add(kind + new String(body)));
             }
         }
         assertEquals(6, in.size());
-        assertEquals(List.of(Rsync.INFO + "hi"), said);
+        assertEquals(List.of(Rsync.INFO + "hi"), messages);
         ByteBuffer large = ByteBuffer.wrap(new byte[] {0, 0, 2, Rsync.INFO + 7});
         assertThrows(
                 ProtocolException.class, () -> new MultiplexedFrames().add(large, new RsyncIn(), (kind, body) -> {}));
     }
 
-    /** Bytes by chance: each parser ends with a clear error or asks for more, in bounded room, and never otherwise. */
+    /** On random bytes each parser throws a protocol error or needs more input, in bounded memory, and nothing else. */
     @Test
-    void bytesByChanceEndInAnErrorOrAskForMore() {
+    void randomBytesEndInAnErrorOrNeedMoreInput() {
         int errors = 0;
         for (int run = 0; run < 20_000; run++) {
             byte[] bytes = new byte[random.nextInt(1, 200)];
--- a/core/src/main/java/garnetreel/core/server/rsync/BasisChecksums.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/BasisChecksums.java
@@ -50,7 +50,7 @@
         // Keeps the number of blocks within the limit of a checksum header.
         long min = Math.max(
                 MIN_BLOCK_LENGTH, (size >> 20) / BLOCK_LENGTH_MULTIPLE * BLOCK_LENGTH_MULTIPLE + BLOCK_LENGTH_MULTIPLE);
-        return (int) Math.min(Rsync.BLOCK_MOST, Math.max(min, root));
+        return (int) Math.min(Rsync.MAX_BLOCK_LENGTH, Math.max(min, root));
     }
 
     /**
--- a/core/src/main/java/garnetreel/core/server/rsync/FileNames.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileNames.java
@@ -29,7 +29,10 @@
         if (name.equals(".")) {
             return;
         }
-        if (name.isEmpty() || name.length() > Rsync.NAME_MOST || name.startsWith("/") || name.indexOf('\0') >= 0) {
+        if (name.isEmpty()
+                || name.length() > Rsync.MAX_NAME_LENGTH
+                || name.startsWith("/")
+                || name.indexOf('\0') >= 0) {
             throw new ProtocolException("ABORTING due to unsafe pathname from sender: " + printable(name));
         }
         for (String component : name.split("/", -1)) {
--- a/core/src/main/java/garnetreel/core/server/rsync/FileReceiver.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileReceiver.java
@@ -127,7 +127,7 @@
 
     private boolean readFilterRule() throws RsyncIn.Short, ProtocolException {
         int length = session.in.i32();
-        if (length < 0 || length > Rsync.NAME_MOST) {
+        if (length < 0 || length > Rsync.MAX_NAME_LENGTH) {
             throw new ProtocolException("a filter rule of " + length + " bytes");
         }
         if (length > 0) {
@@ -255,7 +255,7 @@
     private int mode(FileItem item, FileEntry old, int defaultMode) {
         return options.perms
                 ? item.mode()
-                : item.mode() & Rsync.KIND
+                : item.mode() & Rsync.FILE_TYPE_MASK
                         | (old != null ? old.mode() & 07777 : item.directory() ? defaultMode : item.mode() & 0777);
     }
 
@@ -458,7 +458,7 @@
         int lastBlockLength = session.in.i32();
         if (blockCount < 0
                 || blockLength < 0
-                || blockLength > Rsync.BLOCK_MOST
+                || blockLength > Rsync.MAX_BLOCK_LENGTH
                 || lastBlockLength < 0
                 || lastBlockLength > blockLength) {
             throw new ProtocolException("a checksum header of " + blockCount + " blocks of " + blockLength
--- a/core/src/main/java/garnetreel/core/server/rsync/FileSender.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileSender.java
@@ -109,7 +109,7 @@
 
     private boolean readFilterRule() throws RsyncIn.Short, ProtocolException {
         int length = session.in.i32();
-        if (length < 0 || length > Rsync.NAME_MOST) {
+        if (length < 0 || length > Rsync.MAX_NAME_LENGTH) {
             throw new ProtocolException("a filter rule of " + length + " bytes");
         }
         if (length > 0) {
@@ -379,7 +379,7 @@
         session.server.files.catalogue().close(currentFile);
         if (error != null || damaged) {
             String reason = damaged ? "its contents do not match their checksum" : error;
-            session.out.spoil(Rsync.STRONG);
+            session.out.corrupt(Rsync.STRONG);
             session.sendMessage(
                     Rsync.ERROR_XFER,
                     "rsync: read errors mapping \"/" + FileNames.printable(currentFile.path()) + "\" (in "
--- a/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
@@ -327,9 +327,9 @@
             throw new ProtocolException("protocol startup error");
         }
         int version = Integer.parseInt(line.substring(9).split("[. ]")[0]);
-        if (version < Rsync.OLDEST) {
+        if (version < Rsync.MIN_VERSION) {
             throw new ProtocolException(
-                    "protocol version " + version + " is not offered; " + Rsync.OLDEST + " is the oldest");
+                    "protocol version " + version + " is not offered; " + Rsync.MIN_VERSION + " is the oldest");
         }
         phase = Phase.MODULE;
         return true;
