--- a/testbed/src/main/java/garnetreel/testbed/rules/ColdNodeRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/ColdNodeOverloadRule.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** No cold node collapses under gateways that were notified of its start. */
-final class ColdNodeRule implements Rule {
+/** A cold node must not collapse under the load of gateways that were notified of its start. */
+final class ColdNodeOverloadRule implements Rule {
     @Override
     public String name() {
         return "no cold node pushed over";
@@ -22,7 +22,7 @@
         private final Findings findings;
         private final Map<String, TraceEvent> started = new HashMap<>();
         private final Map<GatewayNode, Long> notifiedUp = new HashMap<>();
-        /** What each node got within the overload window. */
+        /** Arrivals at each node within the overload window. */
         private final Map<String, ArrayDeque<TraceEvent>> recent = new HashMap<>();
 
         Check(Run run, Findings findings) {
@@ -35,7 +35,7 @@
                 switch (event.kind()) {
                     case START -> {
                         if (event.outcome().equals("cold")) {
-                            findings.checked();
+                            findings.recordCheck();
                         }
                         started.put(event.observer(), event);
                         recent.remove(event.observer());
@@ -45,41 +45,43 @@
                             notifiedUp.put(new GatewayNode(event.counterpart(), event.operation()), event.time());
                         }
                     }
-                    case ARRIVE -> arrived(event);
-                    case FELL -> collapsed(event);
+                    case ARRIVE -> recordArrival(event);
+                    case FELL -> checkCollapse(event);
                     default -> {
-                        // Other events put no load on a node.
+                        // Other events do not load a node.
                     }
                 }
             }
         }
 
-        private void arrived(TraceEvent event) {
-            ArrayDeque<TraceEvent> ofNode = recent.computeIfAbsent(event.observer(), any -> new ArrayDeque<>());
-            ofNode.add(event);
-            while (ofNode.peek().time() < event.time() - run.settings().rules().overloadWindow()) {
-                ofNode.poll();
+        private void recordArrival(TraceEvent event) {
+            ArrayDeque<TraceEvent> nodeArrivals = recent.computeIfAbsent(event.observer(), any -> new ArrayDeque<>());
+            nodeArrivals.add(event);
+            while (nodeArrivals.peek().time()
+                    < event.time() - run.settings().rules().overloadWindow()) {
+                nodeArrivals.poll();
             }
         }
 
-        private void collapsed(TraceEvent event) {
+        private void checkCollapse(TraceEvent event) {
             TraceEvent start = started.get(event.observer());
             long all = 0;
-            long fromNotified = 0;
+            long unitsFromNotified = 0;
             for (TraceEvent arrival : recent.getOrDefault(event.observer(), new ArrayDeque<>())) {
                 all += arrival.units();
-                if (start != null && isFromNotified(arrival, start)) {
-                    fromNotified += arrival.units();
+                if (start != null && isFromNotifiedGateway(arrival, start)) {
+                    unitsFromNotified += arrival.units();
                 }
             }
-            // Doubt: gateways that were not notified of the start can't know that the node is cold.
-            if (3 * fromNotified >= 2 * all) {
-                findings.breach(event.observer() + " fell over: " + event.outcome() + "; " + fromNotified + " of " + all
-                        + " units came from heads told of its start");
+            // Benefit of the doubt: gateways that were not notified of the start cannot know that the node is cold. A
+            // breach needs two thirds of the units from gateways that were.
+            if (3 * unitsFromNotified >= 2 * all) {
+                findings.recordBreach(event.observer() + " collapsed: " + event.outcome() + "; " + unitsFromNotified
+                        + " of " + all + " units came from gateways notified of its start");
             }
         }
 
-        private boolean isFromNotified(TraceEvent arrival, TraceEvent start) {
+        private boolean isFromNotifiedGateway(TraceEvent arrival, TraceEvent start) {
             Long notified = notifiedUp.get(new GatewayNode(arrival.counterpart(), start.operation()));
             return notified != null && notified >= start.time() && arrival.time() >= notified;
         }
--- a/testbed/src/main/java/garnetreel/testbed/rules/DrainRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/DrainRule.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Past its grace, a gateway sends nothing to a node of which it was notified that it drains or is gone. */
+/** A gateway that was notified that a node is draining or gone sends nothing to it after the drain grace. */
 final class DrainRule implements Rule {
     @Override
     public String name() {
@@ -25,21 +25,21 @@
                         notifiedDown.remove(pair);
                     } else {
                         notifiedDown.putIfAbsent(pair, event.time());
-                        findings.checked();
+                        findings.recordCheck();
                     }
                 }
                 case ARRIVE -> {
                     String address = addresses.getOrDefault(event.observer(), "");
                     Long notified = notifiedDown.get(new GatewayNode(event.counterpart(), address));
-                    if (notified != null && run.earliestSent(event) > notified + grace) {
-                        findings.breach(
-                                "head " + event.counterpart() + " sent " + Run.name(event) + " to " + event.observer()
-                                        + " " + (event.time() - notified)
-                                        + " us after it was told that it drains or is gone");
+                    if (notified != null && run.earliestSendTime(event) > notified + grace) {
+                        findings.recordBreach("gateway " + event.counterpart() + " sent " + Run.requestName(event)
+                                + " to " + event.observer()
+                                + " " + (event.time() - notified)
+                                + " us after it was notified that the node is draining or gone");
                     }
                 }
                 default -> {
-                    // Other events say nothing of drains.
+                    // Other events do not concern drains.
                 }
             }
         }
--- a/testbed/src/main/java/garnetreel/testbed/rules/Findings.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/Findings.java
@@ -3,21 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is found of one rule while it is checked. */
+/** Collects the checks and breaches of one rule. */
 final class Findings {
     private static final int MAX_SHOWN = 5;
 
     private final List<String> shown = new ArrayList<>();
-    private long checked;
+    private long checks;
     private long breaches;
 
-    /** Something was held against the rule. */
-    void checked() {
-        checked++;
+    /** Counts one check against the rule. */
+    void recordCheck() {
+        checks++;
     }
 
-    /** The run broke the rule. */
-    void breach(String text) {
+    /** Counts a breach; the first {@value #MAX_SHOWN} are kept as text. */
+    void recordBreach(String text) {
         breaches++;
         if (shown.size() < MAX_SHOWN) {
             shown.add(text);
@@ -25,6 +25,6 @@
     }
 
     Verdict verdict(int number, String name) {
-        return new Verdict(number, name, checked, breaches, shown);
+        return new Verdict(number, name, checks, breaches, shown);
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/rules/GatewayNode.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/GatewayNode.java
@@ -1,4 +1,4 @@
 package garnetreel.testbed.rules;
 
-/** A gateway and a node, by its address. */
+/** A gateway, by its number, and a node, by its address. */
 record GatewayNode(String gateway, String address) {}
--- a/testbed/src/main/java/garnetreel/testbed/rules/OneAnswerRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/OneAnswerRule.java
@@ -1,13 +1,13 @@
 package garnetreel.testbed.rules;
 
 import garnetreel.policy.config.RequestClass;
-import garnetreel.testbed.rules.Run.Unresponsive;
+import garnetreel.testbed.rules.Run.UnresponsivePeriod;
 import garnetreel.testbed.trace.TraceEvent;
 import garnetreel.testbed.trace.TraceEvent.Kind;
 import java.util.HashMap;
 import java.util.Map;
 
-/** Each request gets exactly one answer, and nothing of it is sent to a node after it is over. */
+/** Each request gets exactly one answer, and no attempt of it is sent to a node after the request has ended. */
 final class OneAnswerRule implements Rule {
     @Override
     public String name() {
@@ -16,92 +16,95 @@
 
     @Override
     public void check(Run run, Findings findings) {
-        Map<Long, TraceEvent> asked = new HashMap<>();
+        Map<Long, TraceEvent> requests = new HashMap<>();
         Map<Long, TraceEvent> ended = new HashMap<>();
         for (TraceEvent event : run.events()) {
             switch (event.kind()) {
                 case ASK -> {
-                    findings.checked();
-                    asked.put(event.tag(), event);
+                    findings.recordCheck();
+                    requests.put(event.tag(), event);
                 }
-                case REPLY -> checkReply(run, event, asked, ended, findings);
+                case REPLY -> checkReply(run, event, requests, ended, findings);
                 case GIVE_UP -> {
                     boolean first = ended.putIfAbsent(event.tag(), event) == null;
-                    if (first && stoppedAt(run, event) == null) {
-                        findings.breach(Run.name(event) + " (" + event.operation() + " of " + event.observer()
-                                + " at head " + event.counterpart() + ") got no answer before its client gave up");
+                    if (first && stoppedWhenGivenUp(run, event) == null) {
+                        findings.recordBreach(Run.requestName(event) + " (" + event.operation() + " of "
+                                + event.observer() + " at gateway " + event.counterpart()
+                                + ") got no answer before its client gave up");
                     }
                 }
                 case LEAVE -> ended.putIfAbsent(event.tag(), event);
                 default -> {
-                    // Events of nodes and lists answer nobody.
+                    // Events of nodes and node lists answer no client.
                 }
             }
         }
-        checkAllEnded(run, asked, ended, findings);
+        checkAllEnded(run, requests, ended, findings);
         checkNothingSentAfter(run, ended, findings);
     }
 
     private static void checkReply(
-            Run run, TraceEvent reply, Map<Long, TraceEvent> asked, Map<Long, TraceEvent> ended, Findings findings) {
+            Run run, TraceEvent reply, Map<Long, TraceEvent> requests, Map<Long, TraceEvent> ended, Findings findings) {
         TraceEvent first = ended.putIfAbsent(reply.tag(), reply);
-        if (!asked.containsKey(reply.tag())) {
-            findings.breach("a reply to " + Run.name(reply) + ", which was not asked");
-        } else if (first != null && !isSentOnWaking(run, first, reply)) {
-            findings.breach(Run.name(reply) + " got a reply after it was over (" + first.kind() + ")");
+        if (!requests.containsKey(reply.tag())) {
+            findings.recordBreach("a reply to " + Run.requestName(reply) + ", which no client sent");
+        } else if (first != null && !isSentOnResuming(run, first, reply)) {
+            findings.recordBreach(Run.requestName(reply) + " got a reply after it had ended (" + first.kind() + ")");
         }
     }
 
     private static void checkAllEnded(
-            Run run, Map<Long, TraceEvent> asked, Map<Long, TraceEvent> ended, Findings findings) {
+            Run run, Map<Long, TraceEvent> requests, Map<Long, TraceEvent> ended, Findings findings) {
         long end = run.end();
-        asked.forEach((tag, event) -> {
+        requests.forEach((tag, event) -> {
             RequestClass requestClass = run.requestClass(event);
-            // What was asked so late that its time was not up when the run ended is still owed its answer.
+            // A request whose deadline was not reached when the run ended may still be pending.
             boolean timeUp = requestClass == null || event.time() + requestClass.deadline() + run.transit() < end;
             if (!ended.containsKey(tag) && timeUp) {
-                findings.breach(Run.name(event) + " (" + event.operation() + " of " + event.observer()
-                        + ") got no answer by the end");
+                findings.recordBreach(Run.requestName(event) + " (" + event.operation() + " of " + event.observer()
+                        + ") got no answer by the end of the run");
             }
         });
     }
 
     private static void checkNothingSentAfter(Run run, Map<Long, TraceEvent> ended, Findings findings) {
         for (TraceEvent event : run.events()) {
-            // Doubt: what had expired when it arrived was sent in time and arrived late.
+            // Benefit of the doubt: an attempt that had expired on arrival was sent in time and arrived late.
             if (event.kind() != Kind.ARRIVE || event.outcome().equals("expired")) {
                 continue;
             }
             TraceEvent end = ended.get(event.tag());
-            if (end != null && !couldNotKnow(run, end, event) && run.earliestSent(event) > end.time() + run.transit()) {
-                findings.breach(Run.name(event) + " was sent to " + event.observer() + " " + (event.time() - end.time())
-                        + " us after it was over (" + end.kind() + ")");
+            if (end != null
+                    && !couldNotHaveNoticed(run, end, event)
+                    && run.earliestSendTime(event) > end.time() + run.transit()) {
+                findings.recordBreach(Run.requestName(event) + " was sent to " + event.observer() + " "
+                        + (event.time() - end.time()) + " us after the request had ended (" + end.kind() + ")");
             }
         }
     }
 
-    /** Doubt: a gateway that was stopped when its client left could not have seen that. */
-    private static boolean couldNotKnow(Run run, TraceEvent end, TraceEvent arrival) {
+    /** Benefit of the doubt: a gateway that was stopped when its client disconnected could not have noticed that. */
+    private static boolean couldNotHaveNoticed(Run run, TraceEvent end, TraceEvent arrival) {
         return end.kind() == Kind.LEAVE
-                && run.gatewayStopped(arrival.counterpart()).stream()
+                && run.gatewayStoppedPeriods(arrival.counterpart()).stream()
                         .anyMatch(stop -> end.time() <= stop.to() && stop.contains(arrival.time()));
     }
 
     /**
-     * The time for which a gateway was stopped when a client of its gave up; null where it ran. Doubt: no stopped
-     * process can answer. It is held to all else: it may answer as it wakes, but not later, and may send nothing of
-     * what is over.
+     * The period for which a gateway was stopped when its client gave up; null if it was running. Benefit of the doubt:
+     * a stopped process cannot answer. It may answer as it resumes, but not later, and may send no attempts of requests
+     * that have ended.
      */
-    private static Unresponsive stoppedAt(Run run, TraceEvent gaveUp) {
-        return run.gatewayStopped(gaveUp.counterpart()).stream()
+    private static UnresponsivePeriod stoppedWhenGivenUp(Run run, TraceEvent gaveUp) {
+        return run.gatewayStoppedPeriods(gaveUp.counterpart()).stream()
                 .filter(stop -> stop.contains(gaveUp.time()))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Whether a reply is what a gateway that was stopped sends in its first moment awake to a client that gave up. */
-    private static boolean isSentOnWaking(Run run, TraceEvent end, TraceEvent reply) {
-        Unresponsive stop = end.kind() == Kind.GIVE_UP ? stoppedAt(run, end) : null;
+    /** Whether a reply to a client that gave up was sent right after the gateway resumed from being stopped. */
+    private static boolean isSentOnResuming(Run run, TraceEvent end, TraceEvent reply) {
+        UnresponsivePeriod stop = end.kind() == Kind.GIVE_UP ? stoppedWhenGivenUp(run, end) : null;
         return stop != null && reply.time() <= stop.to() + run.transit();
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/rules/RateLimitRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/RateLimitRule.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** No volume gets more than the rate and the burst of its plan, but for the plan's slack. */
+/** No volume exceeds the rate and burst of its plan by more than the plan's slack. */
 final class RateLimitRule implements Rule {
-    private record RequestOf(GatewayIncarnation gateway, long request) {}
+    private record RequestId(GatewayIncarnation gateway, long request) {}
 
-    /** The first attempt at a request, which draws on the volume's bucket. */
+    /** The first attempt at a request, which draws its units from the volume's token bucket. */
     private record Draw(long time, TraceEvent event) {}
 
     private static final class Bucket {
@@ -49,24 +49,24 @@
             Plan plan = run.plan(event);
             Bucket bucket = buckets.computeIfAbsent(event.volume(), any -> new Bucket(plan, draw.time()));
             bucket.draw(event.units(), draw.time());
-            findings.checked();
+            findings.recordCheck();
             double slack = plan.slack() + plan.rateLimit() * run.transit() / 1e6;
             if (bucket.level < -slack) {
-                findings.breach("volume " + event.volume() + " is " + (long) -bucket.level + " units past its limit; "
-                        + (long) slack + " are allowed");
-                bucket.level = -slack; // counted once, not for all that follows
+                findings.recordBreach("volume " + event.volume() + " is " + (long) -bucket.level
+                        + " units over its limit; " + (long) slack + " are allowed");
+                bucket.level = -slack; // counts an excess once, not again for each request that follows
             }
         }
     }
 
     private static List<Draw> draws(Run run) {
-        Set<RequestOf> drawn = new HashSet<>();
+        Set<RequestId> drawn = new HashSet<>();
         List<Draw> draws = new ArrayList<>();
         for (TraceEvent event : run.events()) {
             Plan plan = event.kind() == Kind.ARRIVE ? run.plan(event) : null;
             boolean limited = plan != null && plan.rateLimit() > 0;
-            if (limited && drawn.add(new RequestOf(GatewayIncarnation.of(event), event.request()))) {
-                draws.add(new Draw(run.earliestSent(event), event));
+            if (limited && drawn.add(new RequestId(GatewayIncarnation.of(event), event.request()))) {
+                draws.add(new Draw(run.earliestSendTime(event), event));
             }
         }
         draws.sort(Comparator.comparingLong(Draw::time));
--- a/testbed/src/main/java/garnetreel/testbed/rules/ReadsRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/ReadCorrectnessRule.java
@@ -3,8 +3,8 @@
 import garnetreel.testbed.trace.TraceEvent;
 import garnetreel.testbed.trace.TraceEvent.Kind;
 
-/** Each read shows what was acknowledged. Clients compare; this counts what they found. */
-final class ReadsRule implements Rule {
+/** Each read returns the data that was acknowledged. The load generators compare; this counts their findings. */
+final class ReadCorrectnessRule implements Rule {
     @Override
     public String name() {
         return "reads true";
@@ -14,9 +14,9 @@
     public void check(Run run, Findings findings) {
         for (TraceEvent event : run.events()) {
             if (isAnsweredRead(event)) {
-                findings.checked();
+                findings.recordCheck();
             } else if (event.kind() == Kind.MISREAD) {
-                findings.breach(event.observer() + ": " + event.outcome());
+                findings.recordBreach(event.observer() + ": " + event.outcome());
             }
         }
     }
--- a/testbed/src/main/java/garnetreel/testbed/rules/RetryBudgetRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/RetryBudgetRule.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Within any window, a gateway makes no more retries than its budget allows for the requests that it took. */
+/** Within any window, a gateway makes no more retries than its budget allows for the requests that it accepted. */
 final class RetryBudgetRule implements Rule {
     @Override
     public String name() {
@@ -28,30 +28,30 @@
                 continue;
             }
             GatewayIncarnation gateway = GatewayIncarnation.of(event);
-            // Ids count up within an incarnation: the highest seen tells how many requests were taken.
+            // Request ids increase within an incarnation, so the highest seen gives the number of requests accepted.
             TreeMap<Long, Long> highest = highestRequests.computeIfAbsent(gateway, any -> new TreeMap<>());
             long before = highest.isEmpty() ? 0 : highest.lastEntry().getValue();
             highest.put(event.time(), Math.max(before, event.request()));
             if (event.attempt() == 0) {
                 continue;
             }
-            findings.checked();
+            findings.recordCheck();
             ArrayDeque<Long> recent = retries.computeIfAbsent(gateway, any -> new ArrayDeque<>());
-            recent.add(run.earliestSent(event));
+            recent.add(run.earliestSendTime(event));
             while (recent.peek() < event.time() - rules.retryWindow()) {
                 recent.poll();
             }
-            long taken = requestsTaken(highest, event.time() - rules.retryWindow() - run.transit());
-            double allowed = rules.freeRetries() + rules.retryRatio() * taken;
+            long accepted = requestsAccepted(highest, event.time() - rules.retryWindow() - run.transit());
+            double allowed = rules.freeRetries() + rules.retryRatio() * accepted;
             if (recent.size() > allowed) {
-                findings.breach("head " + event.counterpart() + " made " + recent.size()
-                        + " further attempts within the window; " + allowed + " are allowed for " + taken
+                findings.recordBreach("gateway " + event.counterpart() + " made " + recent.size()
+                        + " retries within the window; " + allowed + " are allowed for " + accepted
                         + " requests");
             }
         }
     }
 
-    private static long requestsTaken(TreeMap<Long, Long> highest, long since) {
+    private static long requestsAccepted(TreeMap<Long, Long> highest, long since) {
         Map.Entry<Long, Long> old = highest.floorEntry(since);
         return highest.lastEntry().getValue() - (old == null ? 0 : old.getValue());
     }
--- a/testbed/src/main/java/garnetreel/testbed/rules/Rule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/Rule.java
@@ -1,10 +1,10 @@
 package garnetreel.testbed.rules;
 
-/** One rule that a run is held against. */
+/** A safety rule that a run is checked against. */
 interface Rule {
-    /** The name in verdicts. */
+    /** The name shown in verdicts. */
     String name();
 
-    /** Looks through a run. */
+    /** Checks a run and records the findings. */
     void check(Run run, Findings findings);
 }
--- a/testbed/src/main/java/garnetreel/testbed/rules/RuleSettings.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/RuleSettings.java
@@ -7,13 +7,14 @@
 import java.util.Map;
 
 /**
- * What the checker holds a run against.
+ * The settings that the rules check a run against.
  *
- * @param rules what the scheduler must keep to
- * @param volumes by number
+ * @param rules the safety rules of the scheduler
+ * @param volumes volumes by number
  * @param classes request classes by name
- * @param plans by name
- * @param transit time that what was sent may take to be seen, and by which clocks may differ, in microseconds
+ * @param plans plans by name
+ * @param transit maximum time between the sending of a message and its arrival, clock differences included, in
+ *     microseconds
  */
 public record RuleSettings(
         SafetyRules rules,
@@ -22,24 +23,24 @@
         Map<String, Plan> plans,
         long transit) {
 
-    /** The class of an operation as traces name it; null where the volume is not known. */
-    RequestClass requestClass(long number, String op) {
+    /** The request class of an operation, named as in traces; null if the volume is unknown. */
+    RequestClass requestClass(long number, String operation) {
         Volume volume = volumes.get(number);
         if (volume == null) {
             return null;
         }
-        if (op.equals("flush")) {
+        if (operation.equals("flush")) {
             return classes.get(volume.flushClass());
         }
-        return classes.get(changes(op) ? volume.writeClass() : volume.readClass());
+        return classes.get(changesData(operation) ? volume.writeClass() : volume.readClass());
     }
 
-    /** Whether an operation, as traces name it, may change data. */
-    static boolean changes(String op) {
-        return op.equals("write") || op.equals("zero") || op.equals("trim");
+    /** Whether an operation, named as in traces, may change data. */
+    static boolean changesData(String operation) {
+        return operation.equals("write") || operation.equals("zero") || operation.equals("trim");
     }
 
-    /** The plan of a volume; null where the volume is not known. */
+    /** The plan of a volume; null if the volume is unknown. */
     Plan plan(long number) {
         Volume volume = volumes.get(number);
         return volume == null ? null : plans.get(volume.plan());
--- a/testbed/src/main/java/garnetreel/testbed/rules/RulesChecker.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/RulesChecker.java
@@ -5,24 +5,25 @@
 import java.util.List;
 
 /**
- * Judges a run by the traces of the testbed alone: nothing a gateway reports of itself counts. Where what was seen on
- * sockets leaves a rule undecided, the run is given the benefit of the doubt; each such place is marked.
+ * Checks a run against the safety rules, using only the traces of the testbed and nothing that a gateway reports about
+ * itself. Where the observed traffic does not decide a rule, the run gets the benefit of the doubt; comments in the rules
+ * mark each such place.
  */
 public final class RulesChecker {
     /** The rules; verdicts are numbered in this order, from 1. */
     private static final List<Rule> RULES = List.of(
             new OneAnswerRule(),
-            new NoEffectTwiceRule(),
+            new AtMostOnceRule(),
             new DrainRule(),
-            new ColdNodeRule(),
+            new ColdNodeOverloadRule(),
             new KeyOrderRule(),
             new RetryBudgetRule(),
             new RateLimitRule(),
-            new ReadsRule());
+            new ReadCorrectnessRule());
 
     private RulesChecker() {}
 
-    /** The verdicts on the seven rules, and as an eighth whether each read showed what was acknowledged. */
+    /** The verdicts on the seven safety rules, followed by an eighth on whether each read returned acknowledged data. */
     public static List<Verdict> judge(RuleSettings settings, List<TraceEvent> events) {
         Run run = new Run(settings, events);
         List<Verdict> verdicts = new ArrayList<>();
--- a/testbed/src/main/java/garnetreel/testbed/rules/Run.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/Run.java
@@ -13,16 +13,16 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The traces of a run, and what several rules ask of them. */
+/** The trace of a run, with lookups shared by several rules. */
 final class Run {
-    /** Names of the gateways as processes, before the number. */
+    /** Prefix of the process name of a gateway, followed by its number. */
     private static final String GATEWAY_PREFIX = "head-";
 
-    /** Faults under which a process does not read. */
+    /** Faults under which a process does not read from its connections. */
     private static final Set<String> STOPS_READING = Set.of(NodeFault.Kind.HALF_OPEN.label(), TraceLabels.STALL);
 
-    /** A time during which a process did not read: what arrived then is seen when it ends. */
-    record Unresponsive(String process, long from, long to) {
+    /** A period in which a process did not read: messages that arrived then are seen when it ends. */
+    record UnresponsivePeriod(String process, long from, long to) {
         boolean contains(long time) {
             return time >= from && time <= to;
         }
@@ -30,16 +30,16 @@
 
     private final RuleSettings settings;
     private final List<TraceEvent> events;
-    private final List<Unresponsive> unresponsive = new ArrayList<>();
+    private final List<UnresponsivePeriod> unresponsive = new ArrayList<>();
 
     Run(RuleSettings settings, List<TraceEvent> trace) {
         this.settings = settings;
         this.events = new ArrayList<>(trace);
         this.events.sort(Comparator.comparingLong(TraceEvent::time));
-        findUnresponsive();
+        findUnresponsivePeriods();
     }
 
-    private void findUnresponsive() {
+    private void findUnresponsivePeriods() {
         Map<String, Long> since = new HashMap<>();
         for (TraceEvent event : events) {
             if (event.kind() == Kind.FAULT && STOPS_READING.contains(event.operation())) {
@@ -47,15 +47,15 @@
                     since.putIfAbsent(event.observer(), event.time());
                 } else if (since.containsKey(event.observer())) {
                     long to = event.time() + settings.transit();
-                    unresponsive.add(new Unresponsive(event.observer(), since.remove(event.observer()), to));
+                    unresponsive.add(new UnresponsivePeriod(event.observer(), since.remove(event.observer()), to));
                 }
             }
         }
         long end = end();
-        since.forEach((who, from) -> unresponsive.add(new Unresponsive(who, from, end)));
+        since.forEach((process, from) -> unresponsive.add(new UnresponsivePeriod(process, from, end)));
     }
 
-    /** All events, by time. */
+    /** All events in order of time. */
     List<TraceEvent> events() {
         return events;
     }
@@ -73,7 +73,7 @@
         return settings.transit();
     }
 
-    /** The class of an event's request; null where its volume is not known. */
+    /** The request class of an event; null if its volume is unknown. */
     RequestClass requestClass(TraceEvent event) {
         return settings.requestClass(event.volume(), event.operation());
     }
@@ -82,10 +82,13 @@
         return settings.plan(event.volume());
     }
 
-    /** The earliest time at which what arrived may have been sent, but for the usual transit. */
-    long earliestSent(TraceEvent arrival) {
+    /**
+     * The earliest time at which an attempt that arrived may have been sent, the usual transit not subtracted. Earlier
+     * than the arrival only if the observer was not reading.
+     */
+    long earliestSendTime(TraceEvent arrival) {
         long from = arrival.time();
-        for (Unresponsive period : unresponsive) {
+        for (UnresponsivePeriod period : unresponsive) {
             if (period.process().equals(arrival.observer()) && from >= period.from() && arrival.time() <= period.to()) {
                 from = period.from();
             }
@@ -94,15 +97,15 @@
     }
 
     /** The periods in which a gateway did not run. */
-    List<Unresponsive> gatewayStopped(String gateway) {
+    List<UnresponsivePeriod> gatewayStoppedPeriods(String gateway) {
         String process = GATEWAY_PREFIX + gateway;
         return unresponsive.stream()
                 .filter(period -> period.process().equals(process))
                 .toList();
     }
 
-    /** How messages name a request: its client, and its count there. */
-    static String name(TraceEvent event) {
+    /** Name of a request in findings: the number of its client, and its sequence number there. */
+    static String requestName(TraceEvent event) {
         return "request " + (event.tag() >>> 32) + "/" + (event.tag() & 0xffffffffL);
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/rules/package-info.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/package-info.java
@@ -1,2 +1,2 @@
-/** The rules checker: judges a run by its traces alone, a class a rule. */
+/** The rules checker: checks a run against the safety rules by its trace alone, with one class per rule. */
 package garnetreel.testbed.rules;
