--- a/testbed/src/main/java/garnetreel/testbed/node/ActiveFaults.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ActiveFaults.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The faults that a fake node has been ordered to show, and the chance with which some of them strike. */
+/** The faults that are active on a fake node; some of them affect a random share of events. */
 final class ActiveFaults {
     private final Map<NodeFault.Kind, Double> amounts = new EnumMap<>(NodeFault.Kind.class);
     private final SplittableRandom random;
@@ -14,7 +14,7 @@
     }
 
     void apply(NodeFault fault) {
-        if (fault.isLifted()) {
+        if (fault.clears()) {
             amounts.remove(fault.kind());
         } else {
             amounts.put(fault.kind(), fault.amount());
@@ -25,19 +25,19 @@
         return amounts.containsKey(kind);
     }
 
-    /** The amount of a fault; 0 while it is not active. */
+    /** Amount of a fault; 0 while it is not active. */
     double amount(NodeFault.Kind kind) {
         return amounts.getOrDefault(kind, 0.0);
     }
 
-    /** Whether a fault that befalls a share of events befalls this one. Draws only while the fault is active. */
-    boolean strikes(NodeFault.Kind kind) {
+    /** Whether a fault that affects a share of events affects this one. Draws a random number only if it is active. */
+    boolean affects(NodeFault.Kind kind) {
         double share = amount(kind);
         return share > 0 && random.nextDouble() < share;
     }
 
-    /** Whether the node answers nobody. */
-    boolean isMute() {
+    /** Whether the node sends no answers at all. */
+    boolean suppressesAnswers() {
         return isActive(NodeFault.Kind.SILENCE) || isActive(NodeFault.Kind.HALF_OPEN);
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/ClientConnections.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ClientConnections.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The connections of a fake node's clients, and the faults that befall what is written to them. */
+/** The client connections of a fake node; applies the faults that affect connections and written data. */
 final class ClientConnections {
     /** The bit that {@link NodeFault.Kind#CORRUPT} flips in a byte. */
     private static final int CORRUPTED_BIT = 0x10;
@@ -22,7 +22,7 @@
     private final Consumer<ClientConnection> onClosed;
     private final Map<Long, ClientConnection> connections = new TreeMap<>();
 
-    /** @param onClosed learns of each connection that ended, from whichever side */
+    /** @param onClosed called for each connection that was closed by either side */
     ClientConnections(
             NodeSettings settings,
             Turn turn,
@@ -36,62 +36,64 @@
         this.onClosed = onClosed;
     }
 
-    /** The connection of a number; null where it is closed. */
-    ClientConnection find(long conn) {
-        return connections.get(conn);
+    /** The connection with an id; null if it is closed. */
+    ClientConnection find(long connectionId) {
+        return connections.get(connectionId);
     }
 
     boolean isOpen(ClientConnection connection) {
-        return connections.containsKey(connection.conn);
+        return connections.containsKey(connection.connectionId);
     }
 
-    void accepted(long conn, boolean collapsed) {
+    void accepted(long connectionId, boolean collapsed) {
         boolean full = connections.size() >= settings.maxConnections();
         if (full || collapsed || faults.isActive(NodeFault.Kind.REFUSE)) {
-            turn.add(new NetAction.Close(conn, true));
+            turn.add(new NetAction.Close(connectionId, true));
             return;
         }
-        connections.put(conn, new ClientConnection(conn));
+        connections.put(connectionId, new ClientConnection(connectionId));
         if (faults.isActive(NodeFault.Kind.HALF_OPEN)) {
-            turn.add(new NetAction.SetReadInterest(conn, false));
+            turn.add(new NetAction.SetReadInterest(connectionId, false));
         }
     }
 
     void setReadInterest(boolean enabled) {
-        connections.values().forEach(c -> turn.add(new NetAction.SetReadInterest(c.conn, enabled)));
+        connections
+                .values()
+                .forEach(connection -> turn.add(new NetAction.SetReadInterest(connection.connectionId, enabled)));
     }
 
-    void closedByClient(long conn) {
-        ClientConnection connection = connections.remove(conn);
+    void closedByClient(long connectionId) {
+        ClientConnection connection = connections.remove(connectionId);
         if (connection != null) {
             onClosed.accept(connection);
         }
     }
 
     void close(ClientConnection connection, boolean abort) {
-        turn.add(new NetAction.Close(connection.conn, abort));
-        connections.remove(connection.conn);
+        turn.add(new NetAction.Close(connection.connectionId, abort));
+        connections.remove(connection.connectionId);
         onClosed.accept(connection);
     }
 
     void abortAll() {
-        List.copyOf(connections.values()).forEach(c -> close(c, true));
+        List.copyOf(connections.values()).forEach(connection -> close(connection, true));
     }
 
     void write(ClientConnection connection, NodeMessage message) {
         ByteBuffer frame = NodeCodec.frame(message);
-        if (faults.strikes(NodeFault.Kind.CORRUPT)) {
+        if (faults.affects(NodeFault.Kind.CORRUPT)) {
             int position = frame.position() + random.nextInt(frame.remaining());
             frame.put(position, (byte) (frame.get(position) ^ CORRUPTED_BIT));
         }
         long maxBytes = (long) faults.amount(NodeFault.Kind.CUT_AFTER);
         if (maxBytes > 0 && connection.bytesWritten + frame.remaining() > maxBytes) {
             frame.limit((int) (frame.position() + Math.max(0, maxBytes - connection.bytesWritten)));
-            turn.add(new NetAction.Write(connection.conn, frame));
+            turn.add(new NetAction.Write(connection.connectionId, frame));
             close(connection, false);
             return;
         }
         connection.bytesWritten += frame.remaining();
-        turn.add(new NetAction.Write(connection.conn, frame));
+        turn.add(new NetAction.Write(connection.connectionId, frame));
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/DamagedPageException.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/DamagedPageException.java
@@ -1,6 +1,6 @@
 package garnetreel.testbed.node;
 
-/** A page does not match its checksum, so that what is asked for can't be given. */
+/** Thrown when a page does not match its checksum, so that the requested data cannot be read. */
 public final class DamagedPageException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/testbed/src/main/java/garnetreel/testbed/node/ExecutionQueue.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ExecutionQueue.java
@@ -10,18 +10,18 @@
 import java.util.function.Predicate;
 
 /**
- * The requests that a fake node has queued and those that its cores execute, by virtual time: how long each takes, and
- * the pauses in which none begins.
+ * The requests that a fake node has queued and those that its cores are executing, in virtual time: models the duration
+ * of each and the pauses in which none is started.
  */
 final class ExecutionQueue {
-    /** Pages written and not flushed past which the node flushes by itself. */
+    /** Number of unflushed pages above which the node flushes on its own. */
     private static final int MAX_UNFLUSHED_PAGES = 8_192;
 
-    /** A request that is queued or executed. */
+    /** A request that is queued or being executed. */
     static final class Job {
         final ClientConnection connection;
         final Request request;
-        /** The client has gone: the request is executed to its end, and nobody is answered. */
+        /** The client has disconnected: the request is executed to completion without an answer. */
         boolean abandoned;
 
         Job(ClientConnection connection, Request request) {
@@ -38,7 +38,7 @@
     private final WarmUp warmUp;
     private final LoadMeter meter;
     private final ArrayDeque<Job> queued = new ArrayDeque<>();
-    /** What is executed, by the time it ends. */
+    /** Jobs being executed, by completion time. */
     private final TreeMap<Long, List<Job>> executing = new TreeMap<>();
 
     private int busyCores;
@@ -73,7 +73,7 @@
         return queued.size() >= settings.maxQueued();
     }
 
-    /** Requests queued and executed. */
+    /** Number of requests queued or being executed. */
     int inFlight() {
         return queued.size() + busyCores;
     }
@@ -82,23 +82,23 @@
         queued.add(new Job(connection, request));
     }
 
-    /** Drops a request that has not begun. */
+    /** Removes a request that has not been started. */
     void cancel(ClientConnection connection, long id, int attempt) {
         queued.removeIf(
                 job -> job.connection == connection && job.request.id() == id && job.request.attempt() == attempt);
     }
 
-    /** A connection has ended: what it has queued is dropped, what is executed goes on without an answer. */
+    /** Handles a closed connection: its queued requests are removed, those being executed complete without an answer. */
     void abandon(ClientConnection connection) {
         queued.removeIf(job -> job.connection == connection);
         executing.values().forEach(jobs -> jobs.forEach(job -> job.abandoned |= job.connection == connection));
     }
 
-    /** Whether requests for an extent are executed. */
+    /** Whether requests for an extent are being executed. */
     boolean isExecuting(long volume, long extent) {
         for (List<Job> jobs : executing.values()) {
             for (Job job : jobs) {
-                if (disk.ownership().isSameExtent(volume, extent, job.request.volume(), job.request.offset())) {
+                if (disk.ownership().isWithinExtent(volume, extent, job.request.volume(), job.request.offset())) {
                     return true;
                 }
             }
@@ -107,22 +107,22 @@
     }
 
     /**
-     * Ends what is due and begins what can begin.
+     * Completes the requests that are due and starts as many queued ones as possible.
      *
-     * @param refused tells of a request about to begin that it need not; it has then been answered
-     * @param finished takes each request that was executed
+     * @param rejected tests a request that is about to start; true if it was rejected, and answered, instead
+     * @param onExecuted receives each request that was executed
      */
-    void run(Predicate<Job> refused, Consumer<Job> finished) {
+    void run(Predicate<Job> rejected, Consumer<Job> onExecuted) {
         while (!executing.isEmpty() && executing.firstKey() <= turn.now()) {
             for (Job job : executing.pollFirstEntry().getValue()) {
                 busyCores--;
-                finished.accept(job);
+                onExecuted.accept(job);
             }
         }
         pauseIfDue();
         flushIfDue();
         while (canBegin()) {
-            begin(queued.poll(), refused, finished);
+            begin(queued.poll(), rejected, onExecuted);
         }
     }
 
@@ -130,16 +130,16 @@
         return !warmUp.isCollapsed() && turn.now() >= pausedUntil && busyCores < settings.cores() && !queued.isEmpty();
     }
 
-    private void begin(Job job, Predicate<Job> refused, Consumer<Job> finished) {
+    private void begin(Job job, Predicate<Job> rejected, Consumer<Job> onExecuted) {
         if (turn.now() >= job.request.deadline()) {
-            return; // whoever asked has given up, and may have written something newer
+            return; // the client has given up, and may since have written newer data
         }
-        if (refused.test(job)) {
+        if (rejected.test(job)) {
             return;
         }
         long duration = duration(job.request);
         if (duration <= 0) {
-            finished.accept(job);
+            onExecuted.accept(job);
             return;
         }
         busyCores++;
@@ -156,7 +156,7 @@
             work *= 1 - settings.deferredFraction();
         }
         double slowdown = Math.max(1, faults.amount(NodeFault.Kind.SLOW));
-        return (long) (work * slowdown / warmUp.fraction(turn.now()));
+        return (long) (work * slowdown / warmUp.speedFraction(turn.now()));
     }
 
     private void pauseIfDue() {
@@ -173,7 +173,7 @@
     }
 
     private void flushIfDue() {
-        if (turn.now() < flushAt && disk.unflushed() <= MAX_UNFLUSHED_PAGES) {
+        if (turn.now() < flushAt && disk.unflushedPages() <= MAX_UNFLUSHED_PAGES) {
             return;
         }
         disk.flush(turn.now() - settings.deduplicationWindow());
@@ -189,7 +189,7 @@
         if (!queued.isEmpty() && busyCores < settings.cores()) {
             next = Math.min(next, Math.max(turn.now(), pausedUntil));
         }
-        if (disk.unflushed() > 0 || deferredWork > 0) {
+        if (disk.unflushedPages() > 0 || deferredWork > 0) {
             next = Math.min(next, flushAt);
         }
         return Math.min(next, pauseAt);
--- a/testbed/src/main/java/garnetreel/testbed/node/FakeNode.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/FakeNode.java
@@ -26,27 +26,27 @@
 import java.util.SplittableRandom;
 
 /**
- * A fake storage node: keeps data in memory, takes time for work, starts cold, collapses under overload while cold, and
- * misbehaves to order. It writes what passes over its sockets to a trace.
+ * A fake storage node: keeps data in memory, simulates the duration of work, starts cold, collapses under overload while
+ * cold, and injects faults on command. It traces the messages on its sockets.
  *
- * <p>This class has the sessions and the protocol. The order of random draws is part of its behaviour: a run with a
- * seed must go the same way, so no part draws where it did not before.
+ * <p>This class implements the sessions and the protocol. The order of random draws is part of its behaviour, since a
+ * run must be reproducible from its seed: do not add, remove or reorder draws.
  */
 public final class FakeNode implements StateMachine {
     private static final String LISTENER = "node";
-    /** Name of the one value of the node's load report, as gateways know it. */
+    /** Name of the only value in the node's load report, as gateways expect it. */
     private static final String IN_FLIGHT = "outstanding";
 
     /**
-     * Tells a running node where the node list is.
+     * Sets the address of the node list on a running node.
      *
-     * @param address host and port of the list
+     * @param address host and port of the node list
      */
     public record SetNodeList(String address) implements NetEvent.Command {}
 
     private final NodeSettings settings;
     private final MemoryDisk disk;
-    private final long life;
+    private final long nodeIncarnation;
     private final Turn turn = new Turn();
     private final NodeTrace trace;
     private final ActiveFaults faults;
@@ -55,21 +55,22 @@
     private final ClientConnections connections;
     private final ExecutionQueue queue;
     private final RequestExecutor executor;
-    private final MapServiceOrders orders;
+    private final MapServiceOrderHandler orderHandler;
     private final ServedUnits servedUnits = new ServedUnits();
     private boolean started;
     private long drainAt = Long.MAX_VALUE;
 
     /**
-     * Makes a node that has not started yet; its first turn starts it.
+     * Creates a node that starts with its first turn.
      *
-     * @param disk what earlier lives of this node left; the caller has told it of a crash
-     * @param life differs between lives over which what was answered and not flushed is lost
+     * @param disk the data left by earlier incarnations; the caller has applied {@link MemoryDisk#crash} where needed
+     * @param nodeIncarnation number of the incarnation; two incarnations differ in it if answered but unflushed writes are
+     *     lost in between
      */
-    public FakeNode(NodeSettings settings, MemoryDisk disk, Trace trace, long seed, long life) {
+    public FakeNode(NodeSettings settings, MemoryDisk disk, Trace trace, long seed, long nodeIncarnation) {
         this.settings = settings;
         this.disk = disk;
-        this.life = life;
+        this.nodeIncarnation = nodeIncarnation;
         SplittableRandom random = new SplittableRandom(seed);
         LoadMeter meter = new LoadMeter();
         this.trace = new NodeTrace(settings, trace, turn);
@@ -79,7 +80,7 @@
         this.queue = new ExecutionQueue(settings, turn, disk, faults, random, warmUp, meter);
         this.connections = new ClientConnections(settings, turn, faults, random, queue::abandon);
         this.executor = new RequestExecutor(settings, turn, disk, meter, this.trace);
-        this.orders = new MapServiceOrders(settings, turn, disk, meter, queue, this.trace, life);
+        this.orderHandler = new MapServiceOrderHandler(settings, turn, disk, meter, queue, this.trace, nodeIncarnation);
     }
 
     @Override
@@ -127,7 +128,7 @@
     }
 
     private void listening(String address) {
-        // It listens anew at the same address when a REFUSE is taken back; only the first time is a start.
+        // Clearing REFUSE makes it listen at the same address again; only the first time is a start.
         if (registration.ownAddress().isEmpty()) {
             trace.started(address);
         }
@@ -143,13 +144,13 @@
     }
 
     private void apply(NodeFault fault) {
-        boolean lifted = fault.isLifted();
+        boolean cleared = fault.clears();
         faults.apply(fault);
         trace.fault(fault);
         switch (fault.kind()) {
-            case HALF_OPEN -> connections.setReadInterest(lifted);
+            case HALF_OPEN -> connections.setReadInterest(cleared);
             case REFUSE -> {
-                if (lifted) {
+                if (cleared) {
                     turn.add(new NetAction.Listen(LISTENER, registration.ownAddress()));
                 } else {
                     turn.add(new NetAction.StopListening(LISTENER));
@@ -157,11 +158,11 @@
                 }
             }
             case DRAIN -> {
-                drainAt = lifted ? Long.MAX_VALUE : turn.now() + (long) fault.amount();
-                registration.setDraining(!lifted);
+                drainAt = cleared ? Long.MAX_VALUE : turn.now() + (long) fault.amount();
+                registration.setDraining(!cleared);
             }
             default -> {
-                // The other faults act where they are looked up.
+                // The other faults are looked up where they take effect.
             }
         }
     }
@@ -188,8 +189,8 @@
         if (message instanceof Hello hello) {
             connection.gateway = hello.head();
             connection.incarnation = hello.incarnation();
-            if (!faults.isMute()) {
-                connections.write(connection, new Welcome(life, turn.now()));
+            if (!faults.suppressesAnswers()) {
+                connections.write(connection, new Welcome(nodeIncarnation, turn.now()));
             }
         } else if (message instanceof Request request) {
             requestArrived(connection, request);
@@ -198,7 +199,7 @@
         } else if (message instanceof NodeMessage.Order order) {
             orderArrived(connection, order);
         } else if (message instanceof Probe probe) {
-            connections.write(connection, new Probed(probe.id(), life, load()));
+            connections.write(connection, new Probed(probe.id(), nodeIncarnation, load()));
         } else {
             throw new ProtocolException("a client sent a " + message.getClass().getSimpleName());
         }
@@ -210,7 +211,7 @@
         if (warmUp.isCollapsed()) {
             return;
         }
-        if (faults.strikes(NodeFault.Kind.ERRORS)) {
+        if (faults.affects(NodeFault.Kind.ERRORS)) {
             answer(connection, request, Result.ERROR, NodeMessage.none());
         } else if (request.shard() != settings.shard()) {
             answer(connection, request, Result.MOOT, NodeMessage.none());
@@ -224,7 +225,7 @@
     }
 
     private void collapseIfOverloaded(int units) {
-        String reason = warmUp.arrived(units, turn.now());
+        String reason = warmUp.recordArrival(units, turn.now());
         if (reason != null) {
             trace.collapsed(reason);
             turn.add(new NetAction.StopListening(LISTENER));
@@ -233,14 +234,14 @@
         }
     }
 
-    /** What an order costs the node counts as its work does; an order does not wait in the queue. */
+    /** Orders bypass the queue; the pages that they read and write take no simulated time. */
     private void orderArrived(ClientConnection connection, NodeMessage.Order order) {
-        if (!faults.isMute() && !faults.isActive(NodeFault.Kind.CUT_OFF)) {
-            connections.write(connection, orders.carryOut(order));
+        if (!faults.suppressesAnswers() && !faults.isActive(NodeFault.Kind.CUT_OFF)) {
+            connections.write(connection, orderHandler.execute(order));
         }
     }
 
-    /** Looked at twice: as a request arrives, and as it begins, since the extent may be fenced while it is queued. */
+    /** Checked on arrival and again at the start of execution, since the extent may be fenced while the request is queued. */
     private boolean rejectIfStale(ClientConnection connection, Request request) {
         OwnershipTable ownership = disk.ownership();
         if (request.op() == Op.FLUSH || ownership.serves(request.volume(), request.offset(), request.version())) {
@@ -268,15 +269,17 @@
     }
 
     private void answer(ClientConnection connection, Request request, Result result, ByteBuffer data) {
-        if (faults.isMute() || faults.strikes(NodeFault.Kind.LOSE_ANSWERS)) {
+        if (faults.suppressesAnswers() || faults.affects(NodeFault.Kind.LOSE_ANSWERS)) {
             return;
         }
         trace.request(Kind.ANSWER, connection, request, TraceLabels.of(result));
-        int unitsThroughOthers =
-                result == Result.OK ? servedUnits.count(request.volume(), connection.gateway, request.units()) : 0;
+        int unitsThroughOthers = result == Result.OK
+                ? servedUnits.countAndTakeUnreported(request.volume(), connection.gateway, request.units())
+                : 0;
         connections.write(
                 connection,
-                new Answer(request.id(), request.attempt(), result, 0, unitsThroughOthers, life, load(), data));
+                new Answer(
+                        request.id(), request.attempt(), result, 0, unitsThroughOthers, nodeIncarnation, load(), data));
     }
 
     private Map<String, Double> load() {
--- a/testbed/src/main/java/garnetreel/testbed/node/LoadMeter.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/LoadMeter.java
@@ -7,17 +7,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts units served by extent and time worked between two load reports. A report has the busiest extents. */
+/** Counts units served per extent and working time between two load reports. A report lists the busiest extents. */
 final class LoadMeter {
-    /** Extents in a report. */
+    /** Maximum number of extents in a report. */
     private static final int MAX_REPORTED_EXTENTS = 256;
-    /** Extents counted between two reports; those past it count in the sum only. */
+    /** Maximum number of extents counted between two reports; the others count only towards the sum. */
     private static final int MAX_COUNTED_EXTENTS = 16_384;
-    /** Bytes of a report before its extents, and of each extent. */
+    /** Size of a report in bytes without its extents. */
     private static final int REPORT_HEADER = 32;
 
+    /** Size in bytes of an extent in a report. */
     private static final int REPORT_ENTRY = 24;
-    /** Keeps rates finite in a report that follows at once on another. */
+    /** Keeps the rates of a report finite if it immediately follows another. */
     private static final double MIN_SECONDS = 0.001;
 
     private final Map<OwnershipTable.ExtentId, Long> unitsByExtent = new HashMap<>();
@@ -37,12 +38,12 @@
         }
     }
 
-    /** Counts time in which one core worked. */
+    /** Adds working time of one core. */
     void worked(long micros) {
         workMicros += micros;
     }
 
-    /** The report that {@link garnetreel.codec.node.NodeMessage.Step#LOAD} asks for; counting begins anew. */
+    /** Returns the report for {@link garnetreel.codec.node.NodeMessage.Step#LOAD} and resets all counts. */
     ByteBuffer takeReport(long now, int cores, long used, long capacity) {
         double seconds = Math.max(MIN_SECONDS, (now - (since == 0 ? now : since)) / 1e6);
         List<Map.Entry<OwnershipTable.ExtentId, Long>> busiest = busiestExtents();
--- a/testbed/src/main/java/garnetreel/testbed/node/MemoryDisk.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/MemoryDisk.java
@@ -8,24 +8,24 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a fake node keeps: pages with checksums, those written since the last flush apart, so that a crash loses
- * exactly them, together with the memory of the keyed requests that wrote them.
+ * The storage of a fake node: pages with checksums. Pages written since the last flush are kept separately, so that a
+ * crash loses exactly these, together with the records of the requests with idempotency keys that wrote them.
  */
 public final class MemoryDisk {
-    /** Bytes of a page. */
+    /** Size of a page in bytes. */
     public static final int PAGE = 4096;
-    /** Flags of a range of which nothing is kept, as NBD's base:allocation has them. */
+    /** Flags of an unallocated range, as in NBD's base:allocation context. */
     private static final int HOLE_AND_ZERO = 3;
-    /** Flag of a range that was written with zeroes. */
+    /** Flag of an allocated range that reads as zeroes. */
     private static final int ZERO = 2;
-    /** Pages that a volume may have: keys of pages are the volume's number times this, and the page's index. */
+    /** Maximum number of pages of a volume: a page's key is the volume's number times this plus the page's index. */
     private static final long PAGES_PER_VOLUME = 1L << 40;
 
-    private static final byte[] NO_BYTES = new byte[PAGE];
-    /** A page that was written with zeroes. */
-    private static final Page ZEROES = new Page(NO_BYTES);
-    /** A page that was given up. */
-    private static final Page TRIMMED = new Page(NO_BYTES);
+    private static final byte[] ZERO_BYTES = new byte[PAGE];
+    /** Stands for each page that was written with zeroes as a whole. */
+    private static final Page ZEROES = new Page(ZERO_BYTES);
+    /** Stands for each page that was trimmed. */
+    private static final Page TRIMMED = new Page(ZERO_BYTES);
 
     private static final class Page {
         final byte[] bytes;
@@ -44,14 +44,14 @@
     }
 
     /**
-     * Consecutive bytes in the same state.
+     * A range of consecutive bytes with the same allocation state.
      *
-     * @param flags those of NBD's base:allocation
+     * @param flags flags of NBD's base:allocation context
      */
     public record AllocationRange(int length, int flags) {}
 
     /**
-     * Names a request with an idempotency key that was done, within one incarnation of a gateway.
+     * Identifies a request with an idempotency key: the id is unique within one incarnation of a gateway.
      *
      * @param gateway number of the gateway
      */
@@ -60,21 +60,21 @@
     private final OwnershipTable ownership = new OwnershipTable();
     private final Map<Long, Page> durable = new HashMap<>();
     private final Map<Long, Page> unflushed = new HashMap<>();
-    private final Map<RequestIdentity, Long> rememberedDurable = new HashMap<>();
-    private final Map<RequestIdentity, Long> rememberedUnflushed = new HashMap<>();
+    private final Map<RequestIdentity, Long> durableExecutions = new HashMap<>();
+    private final Map<RequestIdentity, Long> unflushedExecutions = new HashMap<>();
 
-    /** Which extents are served; durable as it changes. */
+    /** The ownership of extents; changes are durable at once. */
     OwnershipTable ownership() {
         return ownership;
     }
 
-    /** Whether anything is kept of the page at an offset. */
+    /** Whether the page at an offset is allocated. */
     boolean exists(long volume, long offset) {
         Page page = page(volume, offset / PAGE);
         return page != null && page != TRIMMED;
     }
 
-    /** Gives up a range, durably: the extent is elsewhere. */
+    /** Durably discards a range whose extent is owned by another node. */
     void discard(long volume, long offset, long length) {
         for (long index = offset / PAGE; index < (offset + length) / PAGE; index++) {
             unflushed.remove(key(volume, index));
@@ -104,12 +104,12 @@
                 throw new DamagedPageException(
                         "page " + position / PAGE + " of volume " + volume + " does not match its checksum");
             }
-            into.put(page == null ? NO_BYTES : page.bytes, within, part);
+            into.put(page == null ? ZERO_BYTES : page.bytes, within, part);
             position += part;
         }
     }
 
-    /** Writes bytes; the buffer's position stays. */
+    /** Writes bytes; the buffer's position is not changed. */
     public void write(long volume, long offset, ByteBuffer data) {
         ByteBuffer from = data.duplicate();
         long position = offset;
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Makes a range read as zeroes; whole pages are kept as such, or given up with {@code trim}. */
+    /** Makes a range read as zeroes; with {@code trim} whole pages are deallocated, otherwise they stay allocated. */
     public void zero(long volume, long offset, long length, boolean trim) {
         long position = offset;
         long end = offset + length;
@@ -140,7 +140,7 @@
         }
     }
 
-    /** The states of a range, in order; they cover it. */
+    /** The allocation states that cover a range, in order. */
     public List<AllocationRange> status(long volume, long offset, long length) {
         List<AllocationRange> ranges = new ArrayList<>();
         long position = offset;
@@ -167,26 +167,26 @@
         return page == ZEROES ? ZERO : 0;
     }
 
-    /** Remembers that a keyed request was done. */
-    public void remember(RequestIdentity request, long now) {
-        rememberedUnflushed.put(request, now);
+    /** Records that a request with an idempotency key was executed. */
+    public void recordExecution(RequestIdentity request, long now) {
+        unflushedExecutions.put(request, now);
     }
 
-    /** Whether a keyed request was done at a time or later, as far as is remembered. */
-    public boolean isRemembered(RequestIdentity request, long since) {
-        Long doneAt = rememberedUnflushed.containsKey(request)
-                ? rememberedUnflushed.get(request)
-                : rememberedDurable.get(request);
-        return doneAt != null && doneAt >= since;
+    /** Whether a request with an idempotency key is recorded as executed at or after a time. */
+    public boolean wasExecuted(RequestIdentity request, long since) {
+        Long executedAt = unflushedExecutions.containsKey(request)
+                ? unflushedExecutions.get(request)
+                : durableExecutions.get(request);
+        return executedAt != null && executedAt >= since;
     }
 
-    /** Pages not flushed. */
-    public int unflushed() {
+    /** Number of unflushed pages. */
+    public int unflushedPages() {
         return unflushed.size();
     }
 
-    /** Makes all that was written durable, and forgets keyed requests from before a time. */
-    public void flush(long forgetBefore) {
+    /** Makes all writes durable, and drops records of requests with idempotency keys executed before a time. */
+    public void flush(long executedBefore) {
         unflushed.forEach((key, page) -> {
             if (page == TRIMMED) {
                 durable.remove(key);
@@ -195,19 +195,19 @@
             }
         });
         unflushed.clear();
-        rememberedDurable.putAll(rememberedUnflushed);
-        rememberedUnflushed.clear();
-        rememberedDurable.values().removeIf(doneAt -> doneAt < forgetBefore);
+        durableExecutions.putAll(unflushedExecutions);
+        unflushedExecutions.clear();
+        durableExecutions.values().removeIf(executedAt -> executedAt < executedBefore);
     }
 
-    /** Loses what was not flushed, as a crash does. */
+    /** Simulates a crash: discards all unflushed pages and records. */
     public void crash() {
         unflushed.clear();
-        rememberedUnflushed.clear();
+        unflushedExecutions.clear();
         ownership.crash();
     }
 
-    /** Bytes of pages that are kept. */
+    /** Allocated bytes. */
     public long used() {
         long pages = durable.size();
         for (Map.Entry<Long, Page> entry : unflushed.entrySet()) {
@@ -218,7 +218,7 @@
         return pages * PAGE;
     }
 
-    /** CRC32C of a range as it would be read. */
+    /** CRC32C of the data that a read of a range returns. */
     int checksum(long volume, long offset, long length) throws DamagedPageException {
         CRC32C crc = new CRC32C();
         ByteBuffer page = ByteBuffer.allocate(PAGE);
@@ -230,7 +230,7 @@
         return (int) crc.getValue();
     }
 
-    /** Flips a bit of a page that is kept; false when there is none. For tests of damage. */
+    /** Flips a bit of a stored page, to test checksums; false if there are no stored bytes at the offset. */
     public boolean damage(long volume, long offset) {
         Page page = page(volume, offset / PAGE);
         if (page == null || page == ZEROES || page == TRIMMED) {
--- a/testbed/src/main/java/garnetreel/testbed/node/MigrationParticipant.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/MigrationParticipant.java
@@ -12,34 +12,34 @@
 import java.util.TreeSet;
 
 /**
- * A node's part in migrations: carries out the orders of the map service on its disk. Each order may come again, and
- * is then answered as before.
+ * A node's part in migrations: executes the orders of the map service on its disk. Orders are idempotent: a repeated
+ * order gets the same answer.
  */
 final class MigrationParticipant {
-    /** Bit of a page's index that says that the page is a hole, without bytes. */
+    /** Bit of a page's index that marks the page as a hole, which is sent without data. */
     private static final int HOLE = 1 << 31;
-    /** Bytes of an entry in an ownership report. */
+    /** Size in bytes of an entry in an ownership report. */
     private static final int OWNERSHIP_ENTRY = 29;
-    /** Bytes of a page on the wire: its index and its data. */
+    /** Size in bytes of a page on the wire: its index and its data. */
     private static final int PAGE_ENTRY = Integer.BYTES + MemoryDisk.PAGE;
 
     private final MemoryDisk disk;
-    private final long life;
+    private final long nodeIncarnation;
 
-    MigrationParticipant(MemoryDisk disk, long life) {
+    MigrationParticipant(MemoryDisk disk, long nodeIncarnation) {
         this.disk = disk;
-        this.life = life;
+        this.nodeIncarnation = nodeIncarnation;
     }
 
     /**
-     * Carries out one step of a migration.
+     * Executes one step of a migration.
      *
      * @param executing whether requests for the extent are being executed
      */
-    Report carryOut(Order order, boolean executing) {
+    Report execute(Order order, boolean executing) {
         Ownership entry =
                 disk.ownership().entry(order.volume(), order.extent(), order.extentBytes(), isForSource(order.step()));
-        // Guards against an order of an earlier life of the service that comes after later ones: it could lift a fence.
+        // Rejects delayed orders of an earlier incarnation of the map service, which could lift a fence.
         if (order.seq() < entry.lastOrder) {
             return report(order, false, entry);
         }
@@ -55,11 +55,11 @@
             case SERVE -> report(order, serve(order, entry), entry);
             case FORGET -> report(order, forget(order, entry), entry);
             case SUM -> checksum(order, entry);
-            case LOAD, HOLDS -> report(order, false, entry); // they are no steps of a migration
+            case LOAD, HOLDS -> report(order, false, entry); // not steps of a migration
         };
     }
 
-    /** Whether a step is for the node that the extent leaves, which serves it without an entry until then. */
+    /** Whether a step is for the source node, which serves the extent without an entry until its first migration. */
     private static boolean isForSource(Step step) {
         return switch (step) {
             case TRACK, TAKE, FENCE, RELEASE, UNFENCE, SUM -> true;
@@ -72,14 +72,14 @@
     }
 
     private Report report(Order order, boolean ok, Ownership entry) {
-        return new Report(order.seq(), ok, false, life, entry.version, NodeMessage.none());
+        return new Report(order.seq(), ok, false, nodeIncarnation, entry.version, NodeMessage.none());
     }
 
     private void discard(Order order) {
         disk.discard(order.volume(), begin(order), order.extentBytes());
     }
 
-    // ---------------------------------------------------------------- the node that the extent leaves
+    // ---------------------------------------------------------------- source node
 
     private boolean track(Order order, Ownership entry) {
         boolean owned = entry.state == State.SERVING || entry.state == State.FENCED;
@@ -117,7 +117,7 @@
             entry.changedPages.remove(page);
         }
         boolean more = !entry.changedPages.isEmpty();
-        return new Report(order.seq(), true, more, life, entry.version, pages.flip());
+        return new Report(order.seq(), true, more, nodeIncarnation, entry.version, pages.flip());
     }
 
     private Report fence(Order order, Ownership entry, boolean executing) {
@@ -125,7 +125,7 @@
             return report(order, false, entry);
         }
         entry.state = State.FENCED;
-        return new Report(order.seq(), !executing, executing, life, entry.version, NodeMessage.none());
+        return new Report(order.seq(), !executing, executing, nodeIncarnation, entry.version, NodeMessage.none());
     }
 
     private boolean unfence(Order order, Ownership entry) {
@@ -154,13 +154,13 @@
             ByteBuffer checksum = ByteBuffer.allocate(Integer.BYTES)
                     .putInt(disk.checksum(order.volume(), begin(order), order.extentBytes()))
                     .flip();
-            return new Report(order.seq(), true, false, life, entry.version, checksum);
+            return new Report(order.seq(), true, false, nodeIncarnation, entry.version, checksum);
         } catch (DamagedPageException e) {
             return report(order, false, entry);
         }
     }
 
-    // ---------------------------------------------------------------- the node that the extent comes to
+    // ---------------------------------------------------------------- target node
 
     private boolean receive(Order order, Ownership entry) {
         if (entry.state != State.GONE && entry.state != State.RECEIVING) {
@@ -186,7 +186,7 @@
                 pages.position(pages.position() + MemoryDisk.PAGE);
             }
         }
-        // What was put must not be lost in a crash that the service does not notice.
+        // The received pages must survive a crash that the map service does not notice.
         disk.flush(Long.MIN_VALUE);
         return true;
     }
@@ -209,13 +209,13 @@
 
     // ---------------------------------------------------------------- ownership
 
-    /** Entries after the one that the order names, as many as the report may have. */
+    /** Reports the entries after the extent given in the order, as many as the report has room for. */
     Report reportOwnership(Order order) {
         OwnershipTable ownership = disk.ownership();
         ByteBuffer data = ByteBuffer.allocate(Math.max(OWNERSHIP_ENTRY, order.room()));
         boolean more = false;
         for (Map.Entry<ExtentId, Ownership> entry :
-                ownership.after(order.volume(), order.extent()).entrySet()) {
+                ownership.entriesAfter(order.volume(), order.extent()).entrySet()) {
             if (data.remaining() < OWNERSHIP_ENTRY) {
                 more = true;
                 break;
@@ -227,6 +227,6 @@
                     .put(entry.getValue().state.code())
                     .putLong(entry.getValue().version);
         }
-        return new Report(order.seq(), true, more, life, 0, data.flip());
+        return new Report(order.seq(), true, more, nodeIncarnation, 0, data.flip());
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/NodeFault.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/NodeFault.java
@@ -3,33 +3,33 @@
 import garnetreel.core.io.NetEvent;
 
 /**
- * An order that makes a fake node misbehave until it is taken back.
+ * A command that activates a fault on a fake node, or clears it.
  *
- * @param amount what the kind makes of it; 0 takes the fault back
+ * @param amount parameter of the fault, whose meaning depends on the kind; 0 clears the fault
  */
 public record NodeFault(Kind kind, double amount) implements NetEvent.Command {
 
-    /** What goes wrong. */
+    /** Kinds of faults. */
     public enum Kind {
-        /** Reads and works, and never answers. */
+        /** Reads and executes requests, but never answers. */
         SILENCE("silence"),
-        /** Work takes this many times as long; 0 and 1 are as usual. */
+        /** Work takes {@code amount} times as long; 1 has no effect. */
         SLOW("slow"),
-        /** This share of requests is answered with an error at once. */
+        /** The share {@code amount} of requests is answered with an error immediately. */
         ERRORS("errors"),
-        /** This share of answers is lost; the work is done. */
+        /** The share {@code amount} of answers is lost, although the requests are executed. */
         LOSE_ANSWERS("lose_answers"),
-        /** Each connection is cut after so many bytes written to it. */
+        /** Each connection is closed after {@code amount} bytes have been written to it. */
         CUT_AFTER("cut_after"),
         /** Stops reading and writing; connections stay open. */
         HALF_OPEN("half_open"),
-        /** Accepts no connection, and closes those it has. */
+        /** Stops accepting connections and aborts the open ones. */
         REFUSE("refuse"),
-        /** Flips a byte in this share of answers. */
+        /** Flips one bit in the share {@code amount} of messages sent to clients. */
         CORRUPT("corrupt"),
-        /** The node and the map service do not hear each other; gateways are served as before. */
+        /** The node ignores orders of the map service; gateways are served as usual. */
         CUT_OFF("cut_off"),
-        /** Drains: tells the node list, and answers new requests with FULL after {@code amount} microseconds. */
+        /** Drains: notifies the node list, and answers new requests with FULL after {@code amount} microseconds. */
         DRAIN("drain");
 
         private final String label;
@@ -44,8 +44,8 @@
         }
     }
 
-    /** Whether this order takes the fault back. */
-    boolean isLifted() {
+    /** Whether this command clears the fault. */
+    boolean clears() {
         return amount == 0;
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/NodeListRegistration.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/NodeListRegistration.java
@@ -6,9 +6,9 @@
 import garnetreel.codec.nodelist.NodeListMessage.State;
 import garnetreel.core.io.NetAction;
 
-/** Keeps a fake node registered with the node list: connects, and connects again where the connection ends. */
+/** Keeps a fake node registered with the node list: connects, and reconnects when the connection ends. */
 final class NodeListRegistration {
-    /** Between attempts to reach the node list. */
+    /** Time between attempts to connect to the node list, in microseconds. */
     private static final long RECONNECT_DELAY = 200_000;
 
     private final NodeSettings settings;
@@ -16,11 +16,11 @@
     private final WarmUp warmUp;
     private String listAddress;
     private String ownAddress = "";
-    private long conn;
+    private long connectionId;
     private boolean open;
     private boolean draining;
     private long reconnectAt;
-    private long lastConn;
+    private long lastConnectionId;
 
     NodeListRegistration(NodeSettings settings, Turn turn, WarmUp warmUp) {
         this.settings = settings;
@@ -37,19 +37,19 @@
         ownAddress = address;
     }
 
-    /** Where the node listens; empty until it does. */
+    /** Address at which the node listens; empty until it does. */
     String ownAddress() {
         return ownAddress;
     }
 
     boolean isConnection(long candidate) {
-        return candidate == conn;
+        return candidate == connectionId;
     }
 
     void connectIfDue() {
         if (needsConnection() && !ownAddress.isEmpty() && turn.now() >= reconnectAt) {
-            conn = - ++lastConn;
-            turn.add(new NetAction.Connect(conn, listAddress));
+            connectionId = - ++lastConnectionId;
+            turn.add(new NetAction.Connect(connectionId, listAddress));
         }
     }
 
@@ -59,16 +59,16 @@
     }
 
     void closed() {
-        conn = 0;
+        connectionId = 0;
         open = false;
         reconnectAt = turn.now() + RECONNECT_DELAY;
     }
 
-    /** Cuts the connection, as a node that collapses does. */
+    /** Aborts the connection when the node collapses. */
     void abort() {
-        if (conn != 0) {
-            turn.add(new NetAction.Close(conn, true));
-            conn = 0;
+        if (connectionId != 0) {
+            turn.add(new NetAction.Close(connectionId, true));
+            connectionId = 0;
         }
     }
 
@@ -88,7 +88,7 @@
                 draining ? State.DRAINING : State.UP,
                 1,
                 settings.startedLongAgo() ? 0 : warmUp.startedAt());
-        turn.add(new NetAction.Write(conn, NodeListCodec.frame(new NodeListMessage.Register(entry))));
+        turn.add(new NetAction.Write(connectionId, NodeListCodec.frame(new NodeListMessage.Register(entry))));
     }
 
     long nextDeadline() {
@@ -96,6 +96,6 @@
     }
 
     private boolean needsConnection() {
-        return !listAddress.isEmpty() && conn == 0 && !warmUp.isCollapsed();
+        return !listAddress.isEmpty() && connectionId == 0 && !warmUp.isCollapsed();
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/NodeSettings.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/NodeSettings.java
@@ -3,29 +3,29 @@
 /**
  * The settings of a fake storage node. Times are in microseconds.
  *
- * @param name its name in traces
- * @param listen where clients connect
- * @param list address of the node list it registers with; empty for none
- * @param zone the zone that it registers with
- * @param shard the shard that it serves
- * @param cores requests executed at once
- * @param maxQueued requests queued; past it one is answered FULL, unseen
- * @param maxConnections clients' connections; one more is closed
- * @param workPerRequest work of a request at full speed, to which {@code workPerUnit} is added for each of its units
- * @param workPerUnit work of one unit at full speed
- * @param unitsPerSecond units a second it can do at full speed, from which follows what a cold node can bear
- * @param startedLongAgo it begins warm, and registers as one that started long ago
- * @param initialFraction fraction of its speed that it starts with
- * @param warmUpDuration time after which it has its full speed
- * @param overloadFactor while cold, it collapses when sent more than this multiple of its present speed
- * @param overloadWindow the time over which that is measured; 0 for a node that never collapses
- * @param deferredFraction fraction of a write's work that is put off, and done together at the next flush
- * @param flushInterval time between two flushes
- * @param journal what is answered is durable; else it is lost in a crash unless flushed
- * @param meanPauseInterval mean time between pauses in which no request begins; 0 for none
- * @param maxPause the longest such pause
- * @param deduplicationWindow time for which a request with an idempotency key is remembered
- * @param capacity bytes it can hold, as it tells the map service; it does not refuse writes past it
+ * @param name name in traces
+ * @param listen address to listen on for clients
+ * @param list address of the node list to register with; empty for none
+ * @param zone zone given in the registration
+ * @param shard shard that the node serves
+ * @param cores number of requests executed concurrently
+ * @param maxQueued maximum number of queued requests; further ones are answered FULL without being executed
+ * @param maxConnections maximum number of client connections; further ones are closed
+ * @param workPerRequest time to execute a request at full speed, plus {@code workPerUnit} for each of its units
+ * @param workPerUnit time for each unit at full speed
+ * @param unitsPerSecond capacity at full speed, from which the overload limit of a cold node is derived
+ * @param startedLongAgo whether the node starts warm and registers with a start time of 0
+ * @param initialFraction fraction of full speed that a cold node starts with
+ * @param warmUpDuration time after which the node runs at full speed
+ * @param overloadFactor a cold node collapses if it is sent more than this multiple of its current speed
+ * @param overloadWindow time over which that load is measured; 0 for a node that never collapses
+ * @param deferredFraction fraction of a write's work that is deferred to the next flush
+ * @param flushInterval time between flushes
+ * @param journal whether answered writes are durable at once; otherwise a crash loses those not flushed
+ * @param meanPauseInterval mean time between pauses in which no request is started; 0 for no pauses
+ * @param maxPause maximum length of a pause
+ * @param deduplicationWindow time for which a request with an idempotency key is recorded
+ * @param capacity capacity in bytes reported to the map service; writes beyond it are not rejected
  */
 public record NodeSettings(
         String name,
@@ -52,24 +52,24 @@
         long deduplicationWindow,
         long capacity) {
 
-    /** A node whose work takes no time: it answers in the turn in which it is asked. */
+    /** A node whose work takes no time: it answers within the turn in which a request arrives. */
     public static NodeSettings free(String name, String listen, String list, int shard) {
         return new NodeSettings(
                 name, listen, list, "zone-a", shard, 1, 4096, 256, 0, 0, 1e9, true, 1, 0, 0, 0, 0, 1_000_000, false, 0,
                 0, 5_000_000, 1L << 40);
     }
 
-    /** The same node at another address. */
+    /** A copy with another listen address. */
     public NodeSettings withListen(String address) {
         return with(address, list, startedLongAgo);
     }
 
-    /** The same node with another node list. */
+    /** A copy with another node list. */
     public NodeSettings withList(String address) {
         return with(listen, address, startedLongAgo);
     }
 
-    /** The same node, warm from the start or cold. */
+    /** A copy that starts warm or cold. */
     public NodeSettings withStartedLongAgo(boolean longAgo) {
         return with(listen, list, longAgo);
     }
--- a/testbed/src/main/java/garnetreel/testbed/node/NodeTrace.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/NodeTrace.java
@@ -7,7 +7,7 @@
 import garnetreel.testbed.trace.TraceEvent.Kind;
 import garnetreel.testbed.trace.TraceLabels;
 
-/** Writes what a fake node sees to the trace. */
+/** Writes the events of a fake node to the trace. */
 final class NodeTrace {
     private final NodeSettings settings;
     private final Trace trace;
@@ -28,15 +28,15 @@
     }
 
     void fault(NodeFault fault) {
-        state(Kind.FAULT, fault.kind().label(), fault.isLifted() ? "off" : "on");
+        state(Kind.FAULT, fault.kind().label(), fault.clears() ? "off" : "on");
     }
 
     private void state(Kind kind, String op, String outcome) {
         trace.add(TraceEvent.state(turn.now(), settings.name(), "", kind, op, settings.shard(), outcome));
     }
 
-    /** An order of the map service was carried out, or refused. */
-    void migrationStep(Order order, long life, boolean ok) {
+    /** Records that an order of the map service was executed or rejected. */
+    void migrationStep(Order order, long nodeIncarnation, boolean ok) {
         trace.add(new TraceEvent(
                 turn.now(),
                 settings.name(),
@@ -45,7 +45,7 @@
                 0,
                 order.seq(),
                 0,
-                life,
+                nodeIncarnation,
                 TraceLabels.of(order.step()),
                 order.volume(),
                 settings.shard(),
@@ -58,7 +58,7 @@
     }
 
     void request(Kind kind, ClientConnection connection, Request request, String outcome) {
-        // Checked here although NONE ignores events: this is the path of every request of a benchmark.
+        // NONE ignores events anyway; this avoids creating one for each request of a benchmark.
         if (trace == Trace.NONE) {
             return;
         }
--- a/testbed/src/main/java/garnetreel/testbed/node/OwnershipTable.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/OwnershipTable.java
@@ -6,24 +6,24 @@
 import java.util.TreeSet;
 
 /**
- * Which extents a node serves and under which version. What never migrated is served under the first version without an
- * entry. Entries are durable at once; which pages changed during a copy is not.
+ * The extents that a node serves and their versions. Extents that never migrated have no entry and are served under the
+ * first version. Entries are durable at once; the set of pages changed during a copy is not.
  */
 public final class OwnershipTable {
-    /** Version of what never migrated; 0 is that of a gateway without a map. */
+    /** Version of extents that never migrated; gateways without a map use 0. */
     private static final long FIRST_VERSION = 1;
-    /** Shift from bytes to the megabytes that stand for extents where their size is not known. */
+    /** Shift from bytes to megabytes, which stand in for extents while the extent size is unknown. */
     private static final int MEGABYTE_SHIFT = 20;
 
-    /** State of an extent that has an entry. */
+    /** State of an extent with an entry. */
     public enum State {
         /** The node serves the extent under its version. */
         SERVING(0),
-        /** The node has the data and serves nothing of the extent. */
+        /** The node has the data but does not serve the extent. */
         FENCED(1),
-        /** The node takes in the data of the extent. */
+        /** The node is receiving the data of the extent. */
         RECEIVING(2),
-        /** The extent is elsewhere. */
+        /** The extent is owned by another node. */
         GONE(3);
 
         private final byte code;
@@ -32,19 +32,19 @@
             this.code = (byte) code;
         }
 
-        /** The number in an ownership report. */
+        /** Code in an ownership report. */
         byte code() {
             return code;
         }
     }
 
-    /** What the node knows of an extent. */
+    /** Ownership entry of an extent. */
     static final class Ownership {
         State state;
         long version;
-        /** Highest order seen: an order that was overtaken by a later one is refused. */
+        /** Highest order number seen; orders with lower numbers are rejected. */
         long lastOrder;
-        /** Pages that changed since they were taken; null while the extent is not tracked. */
+        /** Indexes of pages that were changed since they were last copied; null while changes are not tracked. */
         TreeSet<Integer> changedPages;
 
         Ownership(State state, long version) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Names an extent; in order of volume, then extent. */
+    /** Identifies an extent; ordered by volume, then extent. */
     record ExtentId(long volume, long extent) implements Comparable<ExtentId> {
         @Override
         public int compareTo(ExtentId other) {
@@ -64,14 +64,14 @@
     private final TreeMap<ExtentId, Ownership> entries = new TreeMap<>();
     private final Map<Long, Integer> extentBytes = new HashMap<>();
 
-    /** Extent of an offset; -1 where no extent of the volume ever migrated here. */
+    /** Extent of an offset; -1 if no extent of the volume ever took part in a migration here. */
     private long extent(long volume, long offset) {
         Integer bytes = extentBytes.get(volume);
         return bytes == null ? -1 : offset / bytes;
     }
 
-    /** Extent of an offset as far as it is known how large extents are; else the offset's megabyte. */
-    long extentOf(long volume, long offset) {
+    /** Extent of an offset, or the offset's megabyte while the extent size is unknown. */
+    long extentOrMegabyte(long volume, long offset) {
         long extent = extent(volume, offset);
         return extent < 0 ? offset >> MEGABYTE_SHIFT : extent;
     }
@@ -80,19 +80,19 @@
         return entries.get(new ExtentId(volume, extent(volume, offset)));
     }
 
-    /** Version known of the extent of an offset. */
+    /** Known version of the extent at an offset. */
     long knownVersion(long volume, long offset) {
         Ownership entry = find(volume, offset);
         return entry == null ? FIRST_VERSION : entry.version;
     }
 
-    /** Whether a request that was routed by a version is served. */
+    /** Whether a request that was routed by a version of the extent is served. */
     boolean serves(long volume, long offset, long version) {
         Ownership entry = find(volume, offset);
         return entry == null ? version <= FIRST_VERSION : entry.state == State.SERVING && entry.version == version;
     }
 
-    /** Records that a range changed, where its extent is tracked. */
+    /** Marks the pages of a range as changed if changes of its extent are tracked. */
     void markChanged(long volume, long offset, long length) {
         Ownership entry = find(volume, offset);
         if (entry == null || entry.changedPages == null) {
@@ -106,15 +106,15 @@
         }
     }
 
-    /** Whether an extent is that of an offset. */
-    boolean isSameExtent(long volume, long extent, long otherVolume, long offset) {
+    /** Whether an offset is within an extent. */
+    boolean isWithinExtent(long volume, long extent, long otherVolume, long offset) {
         return volume == otherVolume && extent(volume, offset) == extent;
     }
 
     /**
-     * The entry of an extent, made as what never migrated here if there is none.
+     * Returns the entry of an extent, creating it if the extent never took part in a migration here.
      *
-     * @param owned whether an extent without an entry is served here
+     * @param owned whether an extent without an entry is served by this node
      */
     Ownership entry(long volume, long extent, int bytes, boolean owned) {
         extentBytes.put(volume, bytes);
@@ -123,17 +123,17 @@
                 any -> owned ? new Ownership(State.SERVING, FIRST_VERSION) : new Ownership(State.GONE, 0));
     }
 
-    /** Entries after an extent, in order. */
-    Map<ExtentId, Ownership> after(long volume, long extent) {
+    /** The entries after an extent, in order. */
+    Map<ExtentId, Ownership> entriesAfter(long volume, long extent) {
         return entries.tailMap(new ExtentId(volume, extent), false);
     }
 
-    /** Size of a volume's extents, where one of them has an entry. */
+    /** Extent size of a volume in bytes; at least one of its extents must have an entry. */
     int extentBytes(long volume) {
         return extentBytes.get(volume);
     }
 
-    /** A crash: what was being copied must be copied anew. */
+    /** Simulates a crash: change tracking is lost, so that a running copy has to start again. */
     void crash() {
         entries.values().forEach(entry -> entry.changedPages = null);
     }
--- a/testbed/src/main/java/garnetreel/testbed/node/RequestExecutor.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/RequestExecutor.java
@@ -7,9 +7,9 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** Carries out requests on the disk of a fake node. */
+/** Executes requests on the disk of a fake node. */
 final class RequestExecutor {
-    /** Bytes of an entry in the answer to STATUS. */
+    /** Size in bytes of an entry in the answer to STATUS. */
     private static final int STATUS_ENTRY = 8;
 
     private final NodeSettings settings;
@@ -27,16 +27,16 @@
     }
 
     /**
-     * Carries out a request, unless it repeats one that is remembered as done.
+     * Executes a request, unless it is a duplicate of one that is recorded as executed.
      *
      * @return the data of the answer
-     * @throws DamagedPageException where the disk cannot give what is asked for
+     * @throws DamagedPageException if a requested page does not match its checksum
      */
     ByteBuffer execute(ClientConnection connection, Request request) throws DamagedPageException {
         MemoryDisk.RequestIdentity identity =
                 new MemoryDisk.RequestIdentity(connection.gateway, connection.incarnation, request.id());
-        long rememberedSince = turn.now() - settings.deduplicationWindow();
-        if (request.dropsRepeats() && request.op().changes() && disk.isRemembered(identity, rememberedSince)) {
+        long windowStart = turn.now() - settings.deduplicationWindow();
+        if (request.dropsRepeats() && request.op().changes() && disk.wasExecuted(identity, windowStart)) {
             trace.request(Kind.REPEAT, connection, request, "");
             return NodeMessage.none();
         }
@@ -44,13 +44,13 @@
         if (request.op().changes()) {
             disk.ownership().markChanged(request.volume(), request.offset(), request.length());
         }
-        long extent = disk.ownership().extentOf(request.volume(), request.offset());
+        long extent = disk.ownership().extentOrMegabyte(request.volume(), request.offset());
         meter.served(request.volume(), extent, request.units(), turn.now());
         if (request.dropsRepeats()) {
-            disk.remember(identity, turn.now());
+            disk.recordExecution(identity, turn.now());
         }
         if (request.sync() || request.op() == Op.FLUSH || settings.journal()) {
-            disk.flush(rememberedSince);
+            disk.flush(windowStart);
         }
         trace.request(Kind.RUN, connection, request, "");
         return data;
@@ -74,7 +74,7 @@
                 return data.flip();
             }
             case FLUSH, CACHE -> {
-                // The caller flushes; there is no cache to fill.
+                // The caller flushes; there is no cache to populate.
             }
         }
         return NodeMessage.none();
--- a/testbed/src/main/java/garnetreel/testbed/node/ServedUnits.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ServedUnits.java
@@ -3,26 +3,27 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Units that a node served of each volume, as far as each gateway has not yet been told of them. */
+/** Counts the units served per volume, and those that have not yet been reported to each gateway. */
 final class ServedUnits {
     private record VolumeGateway(long volume, int gateway) {}
 
-    private static final class Share {
+    private static final class GatewayUnits {
         long own;
         long othersReported;
     }
 
     private final Map<Long, Long> byVolume = new HashMap<>();
-    private final Map<VolumeGateway, Share> byGateway = new HashMap<>();
+    private final Map<VolumeGateway, GatewayUnits> byGateway = new HashMap<>();
 
-    /** Counts units served; returns those served through other gateways since the last call for this one. */
-    int count(long volume, int gateway, int units) {
+    /** Counts units served through a gateway; returns those served through other gateways since the previous call for it. */
+    int countAndTakeUnreported(long volume, int gateway, int units) {
         long all = byVolume.merge(volume, (long) units, Long::sum);
-        Share share = byGateway.computeIfAbsent(new VolumeGateway(volume, gateway), any -> new Share());
-        share.own += units;
-        long others = all - share.own;
-        long unreported = others - share.othersReported;
-        share.othersReported = others;
+        GatewayUnits gatewayUnits =
+                byGateway.computeIfAbsent(new VolumeGateway(volume, gateway), any -> new GatewayUnits());
+        gatewayUnits.own += units;
+        long others = all - gatewayUnits.own;
+        long unreported = others - gatewayUnits.othersReported;
+        gatewayUnits.othersReported = others;
         return (int) unreported;
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/Turn.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/Turn.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The turn that a fake node is in: its time, and the actions it asks for. Shared by the parts of the node. */
+/** The current turn of a fake node: its time and requested actions. Shared by the components of the node. */
 final class Turn {
     private List<NetAction> actions = new ArrayList<>();
     private long now;
--- a/testbed/src/main/java/garnetreel/testbed/node/WarmUp.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/WarmUp.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * How much of its capacity a node has while it warms up, and whether it collapses under what it is sent meanwhile.
- * All that arrives counts as load on a cold node, also what it rejects.
+ * Models the warm-up of a node: the fraction of full speed that it has, and whether it collapses under its load while it
+ * is cold. All requests that arrive count as load, rejected ones included.
  */
 final class WarmUp {
     private record Arrival(long time, int units) {}
@@ -32,11 +32,11 @@
     }
 
     /**
-     * Counts a request that arrived.
+     * Counts the arrival of a request.
      *
-     * @return why the node collapses under it; null where it does not
+     * @return the reason why the node collapses; null if it does not
      */
-    String arrived(int units, long now) {
+    String recordArrival(int units, long now) {
         if (settings.startedLongAgo()
                 || settings.overloadWindow() <= 0
                 || now - startedAt >= settings.warmUpDuration()) {
@@ -47,17 +47,20 @@
         while (arrivals.peek().time() < now - settings.overloadWindow()) {
             arrivedUnits -= arrivals.poll().units();
         }
-        double bearable =
-                settings.overloadFactor() * settings.unitsPerSecond() * fraction(now) * settings.overloadWindow() / 1e6;
-        if (arrivedUnits <= bearable) {
+        double maxUnits = settings.overloadFactor()
+                * settings.unitsPerSecond()
+                * speedFraction(now)
+                * settings.overloadWindow()
+                / 1e6;
+        if (arrivedUnits <= maxUnits) {
             return null;
         }
         collapsed = true;
-        return arrivedUnits + " units within the window, " + (long) bearable + " are borne";
+        return arrivedUnits + " units within the window, " + (long) maxUnits + " are borne";
     }
 
-    /** The fraction of its full speed that the node has. */
-    double fraction(long now) {
+    /** Current speed as a fraction of full speed. */
+    double speedFraction(long now) {
         if (settings.startedLongAgo() || settings.warmUpDuration() <= 0) {
             return 1;
         }
--- a/testbed/src/main/java/garnetreel/testbed/node/package-info.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/package-info.java
@@ -1,2 +1,2 @@
-/** The fake storage node: protocol, execution by virtual time, faults, its part in migrations, and its disk in memory. */
+/** The fake storage node: protocol, execution in virtual time, faults, participation in migrations, and in-memory disk. */
 package garnetreel.testbed.node;
--- a/testbed/src/test/java/garnetreel/testbed/node/MoveKillsTest.java
+++ b/testbed/src/test/java/garnetreel/testbed/node/MoveKillsTest.java
@@ -130,7 +130,7 @@
                 }
                 Order order =
                         new Order(++seq, ask.step(), VOLUME, EXTENT, BYTES, ask.version(), ask.room(), ask.data());
-                Report report = nodes[ask.shard()].participant.carryOut(order, false);
+                Report report = nodes[ask.shard()].participant.execute(order, false);
                 if (kill == Kill.REPORT_LOST) {
                     migration.failed();
                 } else if (kill == Kill.SERVICE_AFTER_ORDER) {
@@ -202,7 +202,7 @@
         while (run.durable.state() != Migration.State.SWITCHED) {
             run.step(null);
         }
-        Report late = run.nodes[0].participant.carryOut(
+        Report late = run.nodes[0].participant.execute(
                 new Order(early, NodeMessage.Step.TRACK, VOLUME, EXTENT, BYTES, 1, 0, ByteBuffer.allocate(0)), false);
         assertFalse(late.ok());
         assertFalse(run.nodes[0].serves(1));
