--- a/testbed/src/main/java/garnetreel/testbed/node/ExecutionQueue.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ExecutionQueue.java
@@ -88,7 +88,9 @@
                 job -> job.connection == connection && job.request.id() == id && job.request.attempt() == attempt);
     }
 
-    /** Handles a closed connection: its queued requests are removed, those being executed complete without an answer. */
+    /**
+     * Handles a closed connection: its queued requests are removed, those being executed complete without an answer.
+     */
     void abandon(ClientConnection connection) {
         queued.removeIf(job -> job.connection == connection);
         executing.values().forEach(jobs -> jobs.forEach(job -> job.abandoned |= job.connection == connection));
--- a/testbed/src/main/java/garnetreel/testbed/node/FakeNode.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/FakeNode.java
@@ -26,8 +26,8 @@
 import java.util.SplittableRandom;
 
 /**
- * A fake storage node: keeps data in memory, simulates the duration of work, starts cold, collapses under overload while
- * cold, and injects faults on command. It traces the messages on its sockets.
+ * A fake storage node: keeps data in memory, simulates the duration of work, starts cold, collapses under overload
+ * while cold, and injects faults on command. It traces the messages on its sockets.
  *
  * <p>This class implements the sessions and the protocol. The order of random draws is part of its behaviour, since a
  * run must be reproducible from its seed: do not add, remove or reorder draws.
@@ -64,8 +64,8 @@
      * Creates a node that starts with its first turn.
      *
      * @param disk the data left by earlier incarnations; the caller has applied {@link MemoryDisk#crash} where needed
-     * @param nodeIncarnation number of the incarnation; two incarnations differ in it if answered but unflushed writes are
-     *     lost in between
+     * @param nodeIncarnation number of the incarnation; two incarnations differ in it if answered but unflushed writes
+     *     are lost in between
      */
     public FakeNode(NodeSettings settings, MemoryDisk disk, Trace trace, long seed, long nodeIncarnation) {
         this.settings = settings;
@@ -241,7 +241,10 @@
         }
     }
 
-    /** Checked on arrival and again at the start of execution, since the extent may be fenced while the request is queued. */
+    /**
+     * Checked on arrival and again at the start of execution, since the extent may be fenced while the request is
+     * queued.
+     */
     private boolean rejectIfStale(ClientConnection connection, Request request) {
         OwnershipTable ownership = disk.ownership();
         if (request.op() == Op.FLUSH || ownership.serves(request.volume(), request.offset(), request.version())) {
--- a/testbed/src/main/java/garnetreel/testbed/node/ServedUnits.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ServedUnits.java
@@ -15,7 +15,10 @@
     private final Map<Long, Long> byVolume = new HashMap<>();
     private final Map<VolumeGateway, GatewayUnits> byGateway = new HashMap<>();
 
-    /** Counts units served through a gateway; returns those served through other gateways since the previous call for it. */
+    /**
+     * Counts units served through a gateway; returns those served through other gateways since the previous call for
+     * it.
+     */
     int countAndTakeUnreported(long volume, int gateway, int units) {
         long all = byVolume.merge(volume, (long) units, Long::sum);
         GatewayUnits gatewayUnits =
--- a/testbed/src/main/java/garnetreel/testbed/node/WarmUp.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/WarmUp.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Models the warm-up of a node: the fraction of full speed that it has, and whether it collapses under its load while it
- * is cold. All requests that arrive count as load, rejected ones included.
+ * Models the warm-up of a node: the fraction of full speed that it has, and whether it collapses under its load while
+ * it is cold. All requests that arrive count as load, rejected ones included.
  */
 final class WarmUp {
     private record Arrival(long time, int units) {}
--- a/testbed/src/main/java/garnetreel/testbed/node/package-info.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/package-info.java
@@ -1,2 +1,4 @@
-/** The fake storage node: protocol, execution in virtual time, faults, participation in migrations, and in-memory disk. */
+/**
+ * The fake storage node: protocol, execution in virtual time, faults, participation in migrations, and in-memory disk.
+ */
 package garnetreel.testbed.node;
--- a/testbed/src/main/java/garnetreel/testbed/rules/AtMostOnceRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/AtMostOnceRule.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * A request that is not idempotent takes effect at most once: it is not executed twice, not retried where it may already
- * have been executed, and not executed if the client's request was rejected.
+ * A request that is not idempotent takes effect at most once: it is not executed twice, not retried where it may
+ * already have been executed, and not executed if the client's request was rejected.
  */
 final class AtMostOnceRule implements Rule {
     /** Results of a node that prove that an attempt was not executed. */
@@ -126,7 +126,9 @@
             }
         }
 
-        /** A rejected client may retry with a new request id; unless that is deduplicated, it would be executed twice. */
+        /**
+         * A rejected client may retry with a new request id; unless that is deduplicated, it would be executed twice.
+         */
         private static boolean mustNotExecuteIfRejected(RequestClass requestClass) {
             return switch (requestClass.idempotency()) {
                 case NON_IDEMPOTENT -> true;
--- a/testbed/src/main/java/garnetreel/testbed/rules/RulesChecker.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/RulesChecker.java
@@ -6,8 +6,8 @@
 
 /**
  * Checks a run against the safety rules, using only the traces of the testbed and nothing that a gateway reports about
- * itself. Where the observed traffic does not decide a rule, the run gets the benefit of the doubt; comments in the rules
- * mark each such place.
+ * itself. Where the observed traffic does not decide a rule, the run gets the benefit of the doubt; comments in the
+ * rules mark each such place.
  */
 public final class RulesChecker {
     /** The rules; verdicts are numbered in this order, from 1. */
@@ -23,7 +23,9 @@
 
     private RulesChecker() {}
 
-    /** The verdicts on the seven safety rules, followed by an eighth on whether each read returned acknowledged data. */
+    /**
+     * The verdicts on the seven safety rules, followed by an eighth on whether each read returned acknowledged data.
+     */
     public static List<Verdict> judge(RuleSettings settings, List<TraceEvent> events) {
         Run run = new Run(settings, events);
         List<Verdict> verdicts = new ArrayList<>();
--- a/testbed/src/main/java/garnetreel/testbed/scenario/Deployment.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/Deployment.java
@@ -24,24 +24,25 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The processes of a scenario: nodes, node list, gateways and map service. Each can be killed and started again; it
- * comes back at its address, with what it had made durable.
+ * The processes of a scenario: nodes, node list, gateways and map service. Each can be killed and restarted; it keeps
+ * its address and its durable state.
  */
 final class Deployment {
     private static final String ANY_PORT = "127.0.0.1:0";
-    /** Names of the listeners of fake nodes and of the fake node list. */
+    /** Name of the listener of a fake node. */
     private static final String NODE_LISTENER = "node";
-
+    /** Name of the fake node list as a process, and of its listener. */
     private static final String LIST = "list";
+
     private static final String MAP_SERVICE = "mapd";
     private static final String GATEWAY_PREFIX = "head-";
 
-    /** A storage node; its disk outlives it. */
+    /** A storage node; its disk survives restarts. */
     final class Node {
         private final NodeSettings settings;
         private final MemoryDisk disk = new MemoryDisk();
-        private ScenarioEnvironment.RunningProcess actor;
-        private long lives;
+        private ScenarioEnvironment.RunningProcess process;
+        private long incarnations;
         private String address = ANY_PORT;
 
         private Node(NodeSettings settings) {
@@ -52,17 +53,17 @@
             return settings.shard();
         }
 
-        /** @param first whether it may be as warm as its settings say; a node that comes back is cold */
+        /** @param first whether the node may start warm if its settings say so; a restarted node is cold */
         private void start(boolean first) {
             NodeSettings current = settings.withListen(address)
                     .withList(listAddress)
                     .withStartedLongAgo(first && settings.startedLongAgo());
-            lives++;
-            // What a journal holds outlives the process, so its life goes on by name.
-            long life = settings.journal() ? 1 : lives;
-            FakeNode node = new FakeNode(current, disk, trace, random.nextLong(), life);
-            actor = environment.launch(settings.name(), node, ScenarioEnvironment.StateStore.NONE);
-            address = actor.address(NODE_LISTENER);
+            incarnations++;
+            // A node with a journal loses no answered writes in a crash, so its incarnation stays the same.
+            long nodeIncarnation = settings.journal() ? 1 : incarnations;
+            FakeNode node = new FakeNode(current, disk, trace, random.nextLong(), nodeIncarnation);
+            process = environment.launch(settings.name(), node, ScenarioEnvironment.StateStore.NONE);
+            address = process.address(NODE_LISTENER);
         }
 
         void restart() {
@@ -70,12 +71,12 @@
         }
 
         void crash() {
-            actor.kill();
+            process.kill();
             disk.crash();
         }
 
-        void tell(NetEvent.Command command) {
-            actor.send(command);
+        void sendCommand(NetEvent.Command command) {
+            process.send(command);
         }
     }
 
@@ -83,7 +84,7 @@
     final class GatewayProcess {
         private final int number;
         private final MemoryStore store = new MemoryStore();
-        private ScenarioEnvironment.RunningProcess actor;
+        private ScenarioEnvironment.RunningProcess process;
         private String address = ANY_PORT;
         private String rsyncAddress = ANY_PORT;
 
@@ -111,19 +112,19 @@
                     store.value(NodeListClient.CACHE_NAME),
                     store.value(MapServiceClient.CACHE_NAME),
                     new FileCatalogueStore.StoredCatalogue(catalogue.snapshot(), catalogue.records())));
-            actor = environment.launch(name(), gateway, store);
-            address = actor.address(Gateway.NBD);
+            process = environment.launch(name(), gateway, store);
+            address = process.address(Gateway.NBD);
             if (servesFiles) {
-                rsyncAddress = actor.address(Gateway.RSYNC);
+                rsyncAddress = process.address(Gateway.RSYNC);
             }
         }
 
         void kill() {
-            actor.kill();
+            process.kill();
         }
 
         void stall(long micros) {
-            actor.stall(micros);
+            process.stall(micros);
         }
     }
 
@@ -156,10 +157,10 @@
     void start() {
         scenario.nodes().forEach(settings -> nodes.put(settings.name(), new Node(settings)));
         nodes.values().forEach(node -> node.start(true));
-        // Nodes are listed from the start: the first list that a gateway gets has them all.
+        // All nodes are listed from the start, so that the first list that a gateway receives is complete.
         startList(nodes.values().stream().map(this::entry).toList());
         // The address of the list was not known when the nodes started.
-        nodes.values().forEach(node -> node.tell(new FakeNode.SetNodeList(listAddress)));
+        nodes.values().forEach(node -> node.sendCommand(new FakeNode.SetNodeList(listAddress)));
         if (scenario.map() != null) {
             mapAddress = ANY_PORT;
             startMapService();
@@ -178,7 +179,7 @@
 
     void kill() {
         gateways.forEach(GatewayProcess::kill);
-        nodes.values().forEach(node -> node.actor.kill());
+        nodes.values().forEach(node -> node.process.kill());
         list.kill();
         if (mapService != null) {
             mapService.kill();
@@ -189,7 +190,7 @@
         return nodes.get(name);
     }
 
-    /** The shards of the nodes, in their order. */
+    /** The shards of the nodes, in the order of the nodes. */
     List<Integer> shards() {
         return nodes.values().stream().map(Node::shard).toList();
     }
@@ -198,19 +199,19 @@
         return gateways.get(number);
     }
 
-    /** Where the gateways listen for NBD, in their order. */
+    /** NBD addresses of the gateways, in the order of their numbers. */
     List<String> nbdAddresses() {
         return gateways.stream().map(gateway -> gateway.address).toList();
     }
 
-    /** Where the gateways listen for rsync, in their order. */
+    /** rsync addresses of the gateways, in the order of their numbers. */
     List<String> rsyncAddresses() {
         return gateways.stream().map(gateway -> gateway.rsyncAddress).toList();
     }
 
     // ---------------------------------------------------------------- node list
 
-    /** Starts the node list anew: it knows nothing, and nodes register with it. */
+    /** Restarts the node list without entries; the nodes register with it again. */
     void restartList() {
         startList(List.of());
     }
@@ -236,7 +237,7 @@
         mapAddress = mapService.address(MapService.LISTENER);
     }
 
-    /** Starts the map service with what a backup of some transactions ago had. */
+    /** Starts the map service from a backup that lacks the given number of latest transactions. */
     void restoreMapService(int transactions) {
         mapStore.restore(transactions);
         startMapService();
--- a/testbed/src/main/java/garnetreel/testbed/scenario/FaultSchedule.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/FaultSchedule.java
@@ -11,11 +11,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Puts the faults of a scenario on its timeline. */
+/** Schedules the faults of a scenario on its timeline. */
 final class FaultSchedule {
-    /** A node that drains is gone so long after its grace, and comes back after as long again. */
+    /** A draining node is killed this many microseconds after its grace, and restarted after the same time again. */
     private static final long DRAIN_MARGIN = 1_000_000;
-    /** After a restore of the map service until an operator has it adopt the maps of the nodes. */
+    /**
+     * Time from a restore of the map service to the operator's command to adopt the maps of the nodes, in microseconds.
+     */
     private static final long ADOPT_DELAY = 3_000_000;
 
     private final Scenario scenario;
@@ -25,7 +27,7 @@
     private final Timeline timeline;
     private final Trace trace;
 
-    /** @param clients the load generators by name */
+    /** @param clients the load generators, by name */
     FaultSchedule(
             Scenario scenario,
             ScenarioEnvironment environment,
@@ -41,7 +43,7 @@
         this.trace = trace;
     }
 
-    /** @param begin the time from which the times of faults count */
+    /** @param begin the time that the start of the fault is relative to */
     void schedule(long begin, ScheduledFault fault) {
         long from = begin + fault.start();
         long to = from + fault.duration();
@@ -58,16 +60,16 @@
             case NODE_REFUSE -> nodeFault(fault, from, to, NodeFault.Kind.REFUSE);
             case NODE_CORRUPT -> nodeFault(fault, from, to, NodeFault.Kind.CORRUPT);
             case LIST_LAG -> {
-                tellList(from, new FakeNodeList.ListCommand.SetLag((long) (fault.amount() * 1e6)));
-                tellList(to, new FakeNodeList.ListCommand.SetLag(scenario.listLag()));
+                sendToList(from, new FakeNodeList.ListCommand.SetLag((long) (fault.amount() * 1e6)));
+                sendToList(to, new FakeNodeList.ListCommand.SetLag(scenario.listLag()));
             }
             case LIST_FAIL -> {
-                tellList(from, new FakeNodeList.ListCommand.SetFailing(true));
-                tellList(to, new FakeNodeList.ListCommand.SetFailing(false));
+                sendToList(from, new FakeNodeList.ListCommand.SetFailing(true));
+                sendToList(to, new FakeNodeList.ListCommand.SetFailing(false));
             }
             case LIST_SILENT -> {
-                tellList(from, new FakeNodeList.ListCommand.SetSilent(true));
-                tellList(to, new FakeNodeList.ListCommand.SetSilent(false));
+                sendToList(from, new FakeNodeList.ListCommand.SetSilent(true));
+                sendToList(to, new FakeNodeList.ListCommand.SetSilent(false));
             }
             case LIST_CRASH -> {
                 timeline.schedule(from, () -> deployment.list().kill());
@@ -88,29 +90,29 @@
 
     // ---------------------------------------------------------------- nodes
 
-    private void eachNode(ScheduledFault fault, Consumer<Deployment.Node> action) {
+    private void forEachNode(ScheduledFault fault, Consumer<Deployment.Node> action) {
         fault.nodes().forEach(name -> action.accept(deployment.node(name)));
     }
 
     private void nodeFault(ScheduledFault fault, long from, long to, NodeFault.Kind kind) {
-        // An amount of 0 would take the fault back.
+        // An amount of 0 would clear the fault.
         double amount = fault.amount() == 0 ? 1 : fault.amount();
-        eachNode(fault, node -> {
-            timeline.schedule(from, () -> node.tell(new NodeFault(kind, amount)));
-            timeline.schedule(to, () -> node.tell(new NodeFault(kind, 0)));
+        forEachNode(fault, node -> {
+            timeline.schedule(from, () -> node.sendCommand(new NodeFault(kind, amount)));
+            timeline.schedule(to, () -> node.sendCommand(new NodeFault(kind, 0)));
         });
     }
 
     private void crashNodes(ScheduledFault fault, long from, long to) {
-        eachNode(fault, node -> {
+        forEachNode(fault, node -> {
             timeline.schedule(from, node::crash);
             timeline.schedule(to, node::restart);
         });
     }
 
     private void silenceNodes(ScheduledFault fault, long from, long to) {
-        eachNode(fault, node -> {
-            timeline.schedule(from, () -> node.tell(new NodeFault(NodeFault.Kind.SILENCE, 1)));
+        forEachNode(fault, node -> {
+            timeline.schedule(from, () -> node.sendCommand(new NodeFault(NodeFault.Kind.SILENCE, 1)));
             timeline.schedule(to, () -> {
                 node.crash();
                 node.restart();
@@ -121,8 +123,8 @@
     private void drainNodes(ScheduledFault fault, long from, long to) {
         long grace = scenario.rules().rules().drainGrace() + DRAIN_MARGIN + scenario.listLag();
         long gone = Math.max(to, from + grace);
-        eachNode(fault, node -> {
-            timeline.schedule(from, () -> node.tell(new NodeFault(NodeFault.Kind.DRAIN, grace)));
+        forEachNode(fault, node -> {
+            timeline.schedule(from, () -> node.sendCommand(new NodeFault(NodeFault.Kind.DRAIN, grace)));
             timeline.schedule(gone, node::crash);
             timeline.schedule(gone + DRAIN_MARGIN, node::restart);
         });
@@ -130,14 +132,14 @@
 
     // ---------------------------------------------------------------- services
 
-    private void tellList(long time, NetEvent.Command command) {
+    private void sendToList(long time, NetEvent.Command command) {
         timeline.schedule(time, () -> deployment.list().send(command));
     }
 
     private void restoreMapService(ScheduledFault fault, long from, long to) {
         timeline.schedule(from, () -> deployment.mapService().kill());
         timeline.schedule(to, () -> deployment.restoreMapService((int) fault.amount()));
-        // Whoever is on call reads that it went back, and has it adopt the maps of the nodes.
+        // The operator notices the restore and commands the service to adopt the maps of the nodes.
         timeline.schedule(to + ADOPT_DELAY, () -> deployment.mapService().send(new MapService.AdoptCommand()));
     }
 
--- a/testbed/src/main/java/garnetreel/testbed/scenario/MemoryStore.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/MemoryStore.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a process has made durable, in memory: it outlives the process, not the scenario. Safe for many threads. */
+/** In-memory store for the durable state of a process; it survives restarts of the process. Thread-safe. */
 final class MemoryStore implements ScenarioEnvironment.StateStore {
     /**
-     * A journal.
+     * The content of a journal.
      *
-     * @param snapshot what stands for the records before; null for none
+     * @param snapshot replaces the records before the retained ones; null for none
      */
     record Journal(byte[] snapshot, List<byte[]> records) {}
 
@@ -34,17 +34,17 @@
         records.headMap(seq - retainedRecords, true).clear();
     }
 
-    /** The value of a name; null where there is none. */
+    /** The value stored under a name; null if there is none. */
     synchronized byte[] value(String name) {
         return values.get(name);
     }
 
-    /** The journal as it is now. */
+    /** The current content of the journal. */
     synchronized Journal journal() {
         return new Journal(snapshot, List.copyOf(records.values()));
     }
 
-    /** Goes back to what a backup of some transactions ago had; the first record stays. */
+    /** Restores a backup that lacks the given number of latest records and the snapshot; the first record is kept. */
     synchronized void restore(int transactions) {
         for (int left = transactions; left > 0 && records.size() > 1; left--) {
             records.pollLastEntry();
--- a/testbed/src/main/java/garnetreel/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/Scenario.java
@@ -15,35 +15,35 @@
 import java.util.function.Function;
 
 /**
- * A scenario: a deployment, the load on it, and what goes wrong. Times are in microseconds.
+ * A scenario: a deployment, the load on it, and the faults. Times are in microseconds.
  *
- * @param name its name
- * @param seed of all that happens by chance
- * @param length while loads send requests
- * @param settle what is left after that for the last answers
+ * @param name name of the scenario
+ * @param seed seed of all random choices
+ * @param loadDuration time for which loads send requests
+ * @param settleTime time after that for outstanding answers
  * @param gateways number of gateways
  * @param nodes the storage nodes
- * @param listLag how late the node list shows changes
- * @param gatewaySettings settings of a gateway from its place
- * @param scheduler the decision module of a gateway, from its settings and a seed
- * @param loads by the NBD addresses of the gateways
- * @param folders rsync clients, by the rsync addresses of the gateways
- * @param faults what goes wrong
- * @param rules what the run is held against
- * @param map null where volumes stay under their first rule
+ * @param listLag delay before the node list shows a change
+ * @param gatewaySettings creates the settings of a gateway
+ * @param scheduler creates the scheduler of a gateway from its settings and a seed
+ * @param nbdLoads creates the NBD loads, given the NBD addresses of the gateways
+ * @param rsyncLoads creates the rsync loads, given the rsync addresses of the gateways
+ * @param faults the faults to inject
+ * @param rules settings of the rules that the run is checked against
+ * @param map the map service; null for a scenario without one, in which no extent migrates
  */
 public record Scenario(
         String name,
         long seed,
-        long length,
-        long settle,
+        long loadDuration,
+        long settleTime,
         int gateways,
         List<NodeSettings> nodes,
         long listLag,
         Function<GatewayPlace, GatewaySettings> gatewaySettings,
         BiFunction<SchedulerSettings, Long, Scheduler> scheduler,
-        Function<List<String>, List<NbdLoadSettings>> loads,
-        Function<List<String>, List<RsyncLoadSettings>> folders,
+        Function<List<String>, List<NbdLoadSettings>> nbdLoads,
+        Function<List<String>, List<RsyncLoadSettings>> rsyncLoads,
         List<ScheduledFault> faults,
         RuleSettings rules,
         MapScenario map) {
@@ -51,12 +51,12 @@
     /**
      * The map service of a scenario.
      *
-     * @param settings of the service, from where it listens and where the list is
-     * @param begin the maps at first
-     * @param migrations migrations of extents chosen by chance, in all
-     * @param migrationsFrom when the first of them is asked for, after the scenario's beginning
+     * @param settings creates the settings of the service from its listen address and the address of the node list
+     * @param begin the initial maps
+     * @param migrations total number of migrations of randomly chosen extents
+     * @param migrationsFrom time of the first of them, relative to the scenario's start
      * @param migrationsFor time over which they are spread evenly
-     * @param script what is asked at a time: migrations of extents that are named, and drains
+     * @param script further commands at given times: migrations of given extents, and drains
      */
     public record MapScenario(
             BiFunction<String, String, MapServiceSettings> settings,
@@ -67,34 +67,34 @@
             List<ScriptedCommand> script) {}
 
     /**
-     * What the map service is ordered at a time.
+     * A command sent to the map service at a given time.
      *
-     * @param time the time after the scenario's beginning
+     * @param time time relative to the scenario's start
      */
     public record ScriptedCommand(long time, NetEvent.Command command) {}
 
     /**
-     * Where a gateway of the scenario is.
+     * The identity and addresses of a gateway, from which its settings are created.
      *
      * @param gateway number of the gateway
-     * @param incarnation tells one life of the gateway from the next
-     * @param listen where it listens for NBD
+     * @param incarnation differs between restarts of the gateway
+     * @param listen address to listen on for NBD
      * @param list address of the node list
      * @param map address of the map service; empty for none
      */
     public record GatewayPlace(int gateway, long incarnation, String listen, String list, String map) {}
 
-    /** The same scenario with another seed. */
+    /** A copy with another seed. */
     public Scenario withSeed(long newSeed) {
         return with(newSeed, gatewaySettings, scheduler, map);
     }
 
-    /** The same scenario with another map service. */
+    /** A copy with another map service. */
     public Scenario withMap(MapScenario newMap) {
         return with(seed, gatewaySettings, scheduler, newMap);
     }
 
-    /** The same scenario with gateways of another kind. */
+    /** A copy with other gateway settings and another scheduler. */
     public Scenario withGateways(
             Function<GatewayPlace, GatewaySettings> newGateway,
             BiFunction<SchedulerSettings, Long, Scheduler> newScheduler) {
@@ -109,15 +109,15 @@
         return new Scenario(
                 name,
                 newSeed,
-                length,
-                settle,
+                loadDuration,
+                settleTime,
                 gateways,
                 nodes,
                 listLag,
                 newGateway,
                 newScheduler,
-                loads,
-                folders,
+                nbdLoads,
+                rsyncLoads,
                 faults,
                 rules,
                 newMap);
--- a/testbed/src/main/java/garnetreel/testbed/scenario/ScenarioEnvironment.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/ScenarioEnvironment.java
@@ -3,45 +3,48 @@
 import garnetreel.core.io.NetEvent;
 import garnetreel.core.io.StateMachine;
 
-/** Where a scenario is played: on sockets and the host's clock, or on an emulated network and a virtual one. */
+/** Environment in which a scenario runs: sockets and the system clock, or an emulated network and a virtual clock. */
 public interface ScenarioEnvironment {
-    /** Microseconds of the epoch. */
+    /** Current time in microseconds since the epoch. */
     long now();
 
-    /** Runs a state machine, and gives it its first turn. */
+    /** Starts a process that runs a state machine, and runs its first turn. */
     RunningProcess launch(String name, StateMachine stateMachine, StateStore store);
 
-    /** Returns at a time, when all that was to happen before it has. */
+    /** Runs until a time; all events due before it have been processed on return. */
     void advance(long until);
 
-    /** Durable storage for what a state machine wants kept. */
+    /** Durable storage for the state of a state machine. */
     @FunctionalInterface
     interface StateStore {
-        /** Keeps nothing. */
+        /** Discards all data. */
         StateStore NONE = (name, data) -> {};
 
-        /** Keeps a value under a name, in place of the one before. */
+        /** Stores a value under a name, replacing the previous one. */
         void put(String name, byte[] data);
 
-        /** Makes a record of the journal durable. */
+        /** Durably appends a record to the journal. */
         default void append(long seq, byte[] data) {}
 
-        /** Keeps a snapshot of the journal; of the records it covers the last {@code retainedRecords} stay. */
+        /**
+         * Stores a snapshot of the journal; of the records that it covers the last {@code retainedRecords} are
+         * retained.
+         */
         default void snapshot(long seq, byte[] data, int retainedRecords) {}
     }
 
-    /** A state machine that runs. */
+    /** A process that runs a state machine. */
     interface RunningProcess {
-        /** The address of a listener. */
+        /** Address of a listener. */
         String address(String listener);
 
-        /** Gives it a command. */
+        /** Delivers a command to the state machine. */
         void send(NetEvent.Command command);
 
-        /** No turn for so long, as of a process that was stopped. */
+        /** Runs no turn for a time, as if the process were stopped. */
         void stall(long micros);
 
-        /** Ends it as a killed process ends. */
+        /** Ends the process as if it were killed. */
         void kill();
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/scenario/ScenarioRunner.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/ScenarioRunner.java
@@ -9,9 +9,9 @@
 import garnetreel.testbed.client.RsyncLoadSettings;
 import garnetreel.testbed.rules.RulesChecker;
 import garnetreel.testbed.rules.Verdict;
+import garnetreel.testbed.trace.InMemoryTrace;
 import garnetreel.testbed.trace.Trace;
 import garnetreel.testbed.trace.TraceEvent;
-import garnetreel.testbed.trace.TraceMemory;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -19,24 +19,24 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Plays a scenario in an environment: launches everything, makes the faults happen, and has the traces judged.
+ * Runs a scenario in an environment: launches the processes, injects the faults, and checks the trace.
  *
- * <p>The order of random draws and of launches is part of its behaviour: a run with a seed must go the same way.
+ * <p>The order of random draws and launches is part of its behaviour: a run must be reproducible from its seed.
  */
 public final class ScenarioRunner {
-    /** Before the loads begin: the gateways connect to the list and the clients to the gateways. */
-    private static final long LEAD = 300_000;
-    /** Seeds of clients are the scenario's times this, and the client's number. */
-    private static final int SEED_STEP = 1_000;
+    /** Time before the loads start, in which the gateways connect to the node list, in microseconds. */
+    private static final long CONNECT_TIME = 300_000;
+    /** The seed of a client is the scenario's seed times this plus the client's number. */
+    private static final int SEED_STRIDE = 1_000;
 
     /**
-     * How a scenario went.
+     * The result of a scenario.
      *
-     * @param tallies what became of the requests of each load, by operation
-     * @param folders what became of the runs of each rsync client
-     * @param verdicts on each rule
-     * @param events the traces, by time
-     * @param unverified places that were written and not read back
+     * @param tallies outcomes of the requests of each NBD load, by operation
+     * @param folders outcomes of the runs of each rsync load
+     * @param verdicts the verdict on each rule
+     * @param events the trace, in order of time
+     * @param unverified number of places that were written and not read back
      */
     public record Result(
             Map<String, Map<String, NbdLoadGenerator.Tally>> tallies,
@@ -44,7 +44,7 @@
             List<Verdict> verdicts,
             List<TraceEvent> events,
             int unverified) {
-        /** All rules passed, and each place that was written read back. */
+        /** Whether all rules were kept and each written place was read back. */
         public boolean passed() {
             return unverified == 0 && verdicts.stream().allMatch(Verdict::isKept);
         }
@@ -53,45 +53,48 @@
     private final Scenario scenario;
     private final ScenarioEnvironment environment;
     private final Trace trace;
-    private final TraceMemory memory = new TraceMemory();
+    private final InMemoryTrace memory = new InMemoryTrace();
     private final SplittableRandom random;
     private final Deployment deployment;
     private final Timeline timeline = new Timeline();
     private final Map<String, ScenarioEnvironment.RunningProcess> clients = new LinkedHashMap<>();
-    private final Map<String, NbdLoadGenerator> loads = new LinkedHashMap<>();
-    private final Map<String, RsyncLoadGenerator> folders = new LinkedHashMap<>();
+    private final Map<String, NbdLoadGenerator> nbdLoads = new LinkedHashMap<>();
+    private final Map<String, RsyncLoadGenerator> rsyncLoads = new LinkedHashMap<>();
 
     /**
-     * Prepares a run; nothing starts yet.
+     * Prepares a run without starting anything.
      *
-     * @param also takes each event of the traces as it comes, besides the judge
-     * @param wrapper put round each gateway, to make it a wrong one; usually the identity
+     * @param additionalTrace receives each trace event as it occurs, in addition to the rules checker
+     * @param wrapper wraps each gateway, to inject misbehaviour; usually the identity
      */
     public ScenarioRunner(
-            Scenario scenario, ScenarioEnvironment environment, Trace also, UnaryOperator<StateMachine> wrapper) {
+            Scenario scenario,
+            ScenarioEnvironment environment,
+            Trace additionalTrace,
+            UnaryOperator<StateMachine> wrapper) {
         this.scenario = scenario;
         this.environment = environment;
         this.random = new SplittableRandom(scenario.seed());
-        this.trace = also == Trace.NONE
+        this.trace = additionalTrace == Trace.NONE
                 ? memory
                 : event -> {
                     memory.add(event);
-                    also.add(event);
+                    additionalTrace.add(event);
                 };
         this.deployment = new Deployment(scenario, environment, trace, random, wrapper);
     }
 
-    /** Plays the scenario to its end. */
+    /** Runs the scenario to its end. */
     public Result run() {
         deployment.start();
-        environment.advance(environment.now() + LEAD);
+        environment.advance(environment.now() + CONNECT_TIME);
         startClients();
         long begin = environment.now();
         FaultSchedule faults = new FaultSchedule(scenario, environment, deployment, clients, timeline, trace);
         scenario.faults().forEach(fault -> faults.schedule(begin, fault));
         scheduleMigrations(begin);
-        timeline.play(environment);
-        environment.advance(begin + scenario.length() + scenario.settle());
+        timeline.run(environment);
+        environment.advance(begin + scenario.loadDuration() + scenario.settleTime());
         clients.values().forEach(ScenarioEnvironment.RunningProcess::kill);
         deployment.kill();
         return result();
@@ -99,29 +102,29 @@
 
     private void startClients() {
         long number = 0;
-        for (NbdLoadSettings settings : scenario.loads().apply(deployment.nbdAddresses())) {
+        for (NbdLoadSettings settings : scenario.nbdLoads().apply(deployment.nbdAddresses())) {
             number++;
             NbdLoadGenerator client = new NbdLoadGenerator(settings, number, trace, clientSeed(number));
-            loads.put(settings.name(), client);
+            nbdLoads.put(settings.name(), client);
             launchClient(settings.name(), client);
         }
-        for (RsyncLoadSettings settings : scenario.folders().apply(deployment.rsyncAddresses())) {
+        for (RsyncLoadSettings settings : scenario.rsyncLoads().apply(deployment.rsyncAddresses())) {
             number++;
             RsyncLoadGenerator client = new RsyncLoadGenerator(settings, trace, clientSeed(number));
-            folders.put(settings.name(), client);
+            rsyncLoads.put(settings.name(), client);
             launchClient(settings.name(), client);
         }
     }
 
     private long clientSeed(long number) {
-        return scenario.seed() * SEED_STEP + number;
+        return scenario.seed() * SEED_STRIDE + number;
     }
 
     private void launchClient(String name, StateMachine client) {
         clients.put(name, environment.launch(name, client, ScenarioEnvironment.StateStore.NONE));
     }
 
-    /** Extents chosen by chance go to another shard of the scenario, one after the other. */
+    /** Schedules migrations of random extents to random shards, spread evenly over time, and the scripted commands. */
     private void scheduleMigrations(long begin) {
         Scenario.MapScenario map = scenario.map();
         if (map == null) {
@@ -145,12 +148,13 @@
 
     private Result result() {
         Map<String, Map<String, NbdLoadGenerator.Tally>> tallies = new LinkedHashMap<>();
-        loads.forEach((name, client) -> tallies.put(name, client.tallies()));
-        Map<String, RsyncLoadGenerator.Tally> folderTallies = new LinkedHashMap<>();
-        folders.forEach((name, client) -> folderTallies.put(name, client.tally()));
+        nbdLoads.forEach((name, client) -> tallies.put(name, client.tallies()));
+        Map<String, RsyncLoadGenerator.Tally> rsyncTallies = new LinkedHashMap<>();
+        rsyncLoads.forEach((name, client) -> rsyncTallies.put(name, client.tally()));
         List<TraceEvent> events = memory.events();
-        int unverified =
-                loads.values().stream().mapToInt(NbdLoadGenerator::unverified).sum();
-        return new Result(tallies, folderTallies, RulesChecker.judge(scenario.rules(), events), events, unverified);
+        int unverified = nbdLoads.values().stream()
+                .mapToInt(NbdLoadGenerator::unverified)
+                .sum();
+        return new Result(tallies, rsyncTallies, RulesChecker.judge(scenario.rules(), events), events, unverified);
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/scenario/ScheduledFault.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/ScheduledFault.java
@@ -7,15 +7,15 @@
 import java.util.stream.Stream;
 
 /**
- * One thing that goes wrong in a scenario. Times are in microseconds.
+ * A fault injected in a scenario. Times are in microseconds.
  *
- * @param name its name in the scenario file
- * @param nodes names of the nodes that it befalls
- * @param gateways numbers of the gateways that it befalls
- * @param loads names of the loads that it befalls
- * @param start when it begins, after the scenario's beginning
- * @param duration how long it goes on
- * @param amount what the kind makes of it
+ * @param name name in the scenario file
+ * @param nodes names of the affected nodes
+ * @param gateways numbers of the affected gateways
+ * @param loads names of the affected loads
+ * @param start start time, relative to the scenario's start
+ * @param duration duration of the fault
+ * @param amount parameter of the fault, whose meaning depends on the kind
  */
 public record ScheduledFault(
         String name,
@@ -27,47 +27,47 @@
         long duration,
         double amount) {
 
-    /** What goes wrong. */
+    /** Kinds of faults. */
     public enum Kind {
-        /** Nodes are killed, and come back cold. */
+        /** Nodes are killed and restarted cold. */
         NODE_CRASH("node-crash"),
-        /** Nodes go silent, and come back cold. */
+        /** Nodes stop answering, and are then restarted cold. */
         NODE_VANISH("node-vanish"),
         /** Nodes take {@code amount} times as long. */
         NODE_SLOW("node-slow"),
         /** Nodes answer the share {@code amount} of requests with errors. */
         NODE_ERRORS("node-errors"),
-        /** Nodes lose the share {@code amount} of their answers. */
+        /** The share {@code amount} of the nodes' answers is lost. */
         NODE_LOST_ANSWERS("node-lost-answers"),
-        /** Nodes cut each connection after {@code amount} bytes. */
+        /** Nodes close each connection after writing {@code amount} bytes to it. */
         NODE_CUT("node-cut"),
         /** Nodes stop reading and writing; connections stay open. */
         NODE_HALF_OPEN("node-half-open"),
         /** Nodes refuse connections. */
         NODE_REFUSE("node-refuse"),
-        /** Nodes flip a byte in the share {@code amount} of their answers. */
+        /** Nodes flip a bit in the share {@code amount} of their messages. */
         NODE_CORRUPT("node-corrupt"),
-        /** Nodes drain, go, and are replaced cold. */
+        /** Nodes drain, are killed, and are restarted cold. */
         NODE_DRAIN("node-drain"),
-        /** Nodes and the map service can't reach each other; gateways reach both. */
+        /** Nodes and the map service cannot reach each other; gateways reach both. */
         NODE_CUT_OFF("node-cut-off"),
-        /** The list shows changes {@code amount} seconds late. */
+        /** The node list shows changes {@code amount} seconds late. */
         LIST_LAG("list-lag"),
-        /** The list fails the calls of gateways. */
+        /** The node list fails the calls of gateways. */
         LIST_FAIL("list-fail"),
-        /** The list sends nothing. */
+        /** The node list sends nothing. */
         LIST_SILENT("list-silent"),
-        /** The list is killed, and comes back without entries. */
+        /** The node list is killed, and restarted without entries. */
         LIST_CRASH("list-crash"),
-        /** The map service is killed, and comes back with its journal. */
+        /** The map service is killed, and restarted with its journal. */
         MAP_CRASH("map-crash"),
-        /** The map service gets no turn. */
+        /** The map service is stopped for the duration. */
         MAP_STALL("map-stall"),
-        /** The map service is killed, and comes back with its journal as it was {@code amount} transactions ago. */
+        /** The map service is killed, and restarted from a backup that lacks the latest {@code amount} transactions. */
         MAP_RESTORE("map-restore"),
-        /** Gateways are killed, and come back. */
+        /** Gateways are killed and restarted. */
         HEAD_CRASH("head-crash"),
-        /** Gateways get no turn. */
+        /** Gateways are stopped for the duration. */
         HEAD_STALL("head-stall"),
         /** Loads send {@code amount} times as many requests. */
         SURGE("surge");
@@ -81,20 +81,20 @@
             this.label = label;
         }
 
-        /** The name in scenario files. */
+        /** Name in scenario files. */
         public String label() {
             return label;
         }
 
         /**
-         * The kind of a name in a scenario file, in whichever case, with dashes or underscores.
+         * The kind with a name in scenario files, ignoring case; dashes and underscores are equivalent.
          *
-         * @throws IllegalArgumentException where there is none
+         * @throws IllegalArgumentException if there is none
          */
         public static Kind ofLabel(String label) {
             Kind kind = BY_LABEL.get(label.toLowerCase(Locale.ROOT).replace('_', '-'));
             if (kind == null) {
-                throw new IllegalArgumentException("no kind of fault: " + label);
+                throw new IllegalArgumentException("unknown kind of fault: " + label);
             }
             return kind;
         }
--- a/testbed/src/main/java/garnetreel/testbed/scenario/Timeline.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/Timeline.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** What happens to a scenario at which time; steps of one time happen in the order in which they were scheduled. */
+/** Scheduled steps of a scenario, run in order of time; steps at the same time run in the order of scheduling. */
 final class Timeline {
     private record Step(long time, long order, Runnable action) {}
 
@@ -15,8 +15,8 @@
         steps.add(new Step(time, ++lastOrder, action));
     }
 
-    /** Plays all steps, those too that a step schedules. */
-    void play(ScenarioEnvironment environment) {
+    /** Runs all steps, including those scheduled by other steps. */
+    void run(ScenarioEnvironment environment) {
         while (!steps.isEmpty()) {
             Step step = steps.poll();
             environment.advance(step.time());
--- a/testbed/src/main/java/garnetreel/testbed/scenario/package-info.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** Scenarios: a deployment, the load on it and what goes wrong, and the runner that plays them in an environment. */
+/** Scenarios (a deployment, the load on it and the faults), and the runner that executes them in an environment. */
 package garnetreel.testbed.scenario;
--- a/testbed/src/main/java/garnetreel/testbed/trace/TraceMemory.java
+++ b/testbed/src/main/java/garnetreel/testbed/trace/InMemoryTrace.java
@@ -4,8 +4,8 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** A trace in memory, for runs that are judged when they end. */
-public final class TraceMemory implements Trace {
+/** An in-memory trace, for runs that are checked at their end. */
+public final class InMemoryTrace implements Trace {
     private final List<TraceEvent> events = new ArrayList<>();
 
     @Override
@@ -13,7 +13,7 @@
         events.add(event);
     }
 
-    /** All events in the order of their times. */
+    /** All events in order of time. */
     public synchronized List<TraceEvent> events() {
         List<TraceEvent> sorted = new ArrayList<>(events);
         sorted.sort(Comparator.comparingLong(TraceEvent::time));
--- a/testbed/src/main/java/garnetreel/testbed/trace/Trace.java
+++ b/testbed/src/main/java/garnetreel/testbed/trace/Trace.java
@@ -1,11 +1,11 @@
 package garnetreel.testbed.trace;
 
-/** Takes the events that the parts of the testbed see. Implementations are safe for many threads. */
+/** Receives the events observed by the components of the testbed. Implementations are thread-safe. */
 @FunctionalInterface
 public interface Trace {
-    /** Drops all events. */
+    /** Discards all events. */
     Trace NONE = event -> {};
 
-    /** Takes one event. */
+    /** Records one event. */
     void add(TraceEvent event);
 }
--- a/testbed/src/main/java/garnetreel/testbed/trace/TraceEvent.java
+++ b/testbed/src/main/java/garnetreel/testbed/trace/TraceEvent.java
@@ -6,25 +6,25 @@
 import java.util.stream.Stream;
 
 /**
- * One event seen on a socket by a part of the testbed. Fields that an event has no use for are 0, -1 or empty.
+ * An event observed on a socket by a component of the testbed. Fields that do not apply to an event are 0, -1 or empty.
  *
- * @param time microseconds of the epoch
- * @param observer the fake node, fake node list or load generator that saw it
- * @param counterpart the gateway, by its number or address, as that part knows it
- * @param kind what happened
- * @param tag what the client named its request: the same at the client and at the nodes
- * @param request id of the gateway's request
+ * @param time microseconds since the epoch
+ * @param observer the fake node, fake node list or load generator that observed the event
+ * @param counterpart the gateway, by its number or address, as known to the observer
+ * @param kind kind of the event
+ * @param tag the client's identifier of its request, the same at the client and at the nodes
+ * @param request the gateway's id of the request
  * @param attempt number of the attempt at that request, from 0
  * @param incarnation incarnation of the gateway or of the node
- * @param operation operation, in lower case
+ * @param operation label of the operation, in lower case
  * @param volume number of the volume
  * @param shard shard of the node
  * @param units size in units
  * @param version version of the extent that the request was routed by
- * @param key piece of data whose requests stay in order
- * @param offset byte of the volume
- * @param length bytes asked for, or written
- * @param outcome how it ended
+ * @param key ordering key: requests with the same key are executed in order
+ * @param offset offset in the volume, in bytes
+ * @param length number of bytes requested or written
+ * @param outcome label of the outcome
  */
 public record TraceEvent(
         long time,
@@ -45,35 +45,38 @@
         long length,
         String outcome) {
 
-    /** What happened. */
+    /** Kinds of events. */
     public enum Kind {
         /** A client sent a request. */
         ASK("ask"),
-        /** A client got the answer to a request. */
+        /** A client received the answer to a request. */
         REPLY("reply"),
         /** A client stopped waiting for an answer. */
         GIVE_UP("give_up"),
-        /** A client's connection ended with a request in flight. */
+        /** A client's connection ended while a request was in flight. */
         LEAVE("leave"),
-        /** A client read what it should not have. */
+        /** A client read wrong data. */
         MISREAD("misread"),
-        /** A node got an attempt. */
+        /** An attempt arrived at a node. */
         ARRIVE("arrive"),
-        /** A node changed its data or read them. */
+        /** A node executed an attempt: it changed or read its data. */
         RUN("run"),
-        /** A node did not carry out a request that it had done before. */
+        /** A node did not execute an attempt because it had executed the request before. */
         REPEAT("repeat"),
         /** A node answered an attempt. */
         ANSWER("answer"),
         /** A node started, at the address in {@code operation}. */
         START("start"),
-        /** A node collapsed under what it was sent while cold. */
+        /** A node collapsed under overload while it was cold. */
         FELL("fell"),
-        /** A node carried out a step of a migration: {@code key} is the extent. */
+        /** A node executed or rejected a step of a migration; {@code key} is the extent. */
         STEP("step"),
-        /** A part of the testbed was made to misbehave, or no longer. */
+        /** A fault of a component of the testbed was activated or cleared. */
         FAULT("fault"),
-        /** The list notified a gateway of a node's state: {@code outcome} has it, {@code operation} the node's address. */
+        /**
+         * The node list notified a gateway of a node's state, given in {@code outcome}; {@code operation} is its
+         * address.
+         */
         TOLD("told");
 
         private static final Map<String, Kind> BY_LABEL =
@@ -85,26 +88,26 @@
             this.label = label;
         }
 
-        /** The name in a trace file. */
+        /** Name in a trace file. */
         public String label() {
             return label;
         }
 
         /**
-         * The kind of a name in a trace file, in whichever case.
+         * The kind with a name in trace files, ignoring case.
          *
-         * @throws IllegalArgumentException where there is none
+         * @throws IllegalArgumentException if there is none
          */
         static Kind ofLabel(String label) {
             Kind kind = BY_LABEL.get(label.toLowerCase(Locale.ROOT));
             if (kind == null) {
-                throw new IllegalArgumentException("no kind of event: " + label);
+                throw new IllegalArgumentException("unknown kind of event: " + label);
             }
             return kind;
         }
     }
 
-    /** An event of a client. */
+    /** Creates an event of a client. */
     public static TraceEvent client(
             long time,
             String observer,
@@ -120,7 +123,7 @@
                 time, observer, gateway, kind, tag, 0, 0, 0, operation, volume, -1, 0, 0, -1, offset, length, outcome);
     }
 
-    /** An event of a node, or of the list, that belongs to no request. */
+    /** Creates an event of a process that does not belong to a request. */
     public static TraceEvent state(
             long time, String observer, String counterpart, Kind kind, String operation, int shard, String outcome) {
         return new TraceEvent(
--- a/testbed/src/main/java/garnetreel/testbed/trace/TraceFile.java
+++ b/testbed/src/main/java/garnetreel/testbed/trace/TraceFile.java
@@ -17,7 +17,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A trace as a file of JSON lines; its schema is trace.schema.json beside this class. */
+/** A trace file in JSON Lines format; trace.schema.json in the resources of the testbed is the schema of a line. */
 public final class TraceFile implements Trace, AutoCloseable {
     private static final JsonFactory FACTORY = new JsonFactory();
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -26,9 +26,9 @@
     private final JsonGenerator json;
 
     /**
-     * Begins a file, over what it had.
+     * Creates a file, replacing an existing one.
      *
-     * @throws IOException where it cannot be written
+     * @throws IOException if it cannot be written
      */
     public TraceFile(Path file) throws IOException {
         writer = Files.newBufferedWriter(file, StandardCharsets.UTF_8);
@@ -81,9 +81,9 @@
     }
 
     /**
-     * All events of a file.
+     * Reads all events of a file.
      *
-     * @throws IOException naming the line that is no event
+     * @throws IOException if the file cannot be read or a line is not an event; the message names the line
      */
     public static List<TraceEvent> read(Path file) throws IOException {
         List<TraceEvent> events = new ArrayList<>();
@@ -97,7 +97,7 @@
                 try {
                     events.add(parse(MAPPER.readTree(line)));
                 } catch (JsonProcessingException | IllegalArgumentException e) {
-                    throw new IOException(file + ":" + lineNumber + ": not an event of a trace: " + e.getMessage(), e);
+                    throw new IOException(file + ":" + lineNumber + ": not a trace event: " + e.getMessage(), e);
                 }
             }
         }
--- a/testbed/src/main/java/garnetreel/testbed/trace/TraceHash.java
+++ b/testbed/src/main/java/garnetreel/testbed/trace/TraceHash.java
@@ -6,16 +6,16 @@
 import java.util.HexFormat;
 import java.util.Locale;
 
-/** SHA-256 of a trace in the order of its events: two runs with the same hash went the same way. */
+/** SHA-256 of a trace in the order of its events; equal hashes mean that two runs had identical traces. */
 public final class TraceHash implements Trace {
     private final MessageDigest digest;
 
-    /** A hash of no event yet. */
+    /** Creates a hash without events. */
     public TraceHash() {
         try {
             digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every JDK has it
+            throw new IllegalStateException(e); // every Java platform must support SHA-256
         }
     }
 
@@ -24,7 +24,10 @@
         digest.update(text(event).getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The text that is hashed: hashes of old traces stay comparable while it stays, whatever the code calls a field. */
+    /**
+     * The text that is hashed. It must not change when fields are renamed, so that hashes of old traces stay
+     * comparable.
+     */
     static String text(TraceEvent event) {
         return "TraceEvent[time=" + event.time()
                 + ", who=" + event.observer()
@@ -45,7 +48,7 @@
                 + ", outcome=" + event.outcome() + "]";
     }
 
-    /** The hash of what was added since the last call. */
+    /** Returns the hash of the events added since the last call, and resets it. */
     public synchronized String hex() {
         return HexFormat.of().formatHex(digest.digest());
     }
--- a/testbed/src/main/java/garnetreel/testbed/trace/TraceLabels.java
+++ b/testbed/src/main/java/garnetreel/testbed/trace/TraceLabels.java
@@ -4,16 +4,16 @@
 import garnetreel.codec.nodelist.NodeListMessage;
 
 /**
- * The words that traces have for the operations, results and states of the protocols. They are part of the trace format:
- * they stay when a constant is renamed.
+ * The labels of protocol operations, results and states in traces. They are part of the trace format and must not
+ * change when a constant is renamed.
  */
 public final class TraceLabels {
-    /** The word for a gateway that gets no turn, in the event of its fault. */
+    /** Label of the fault of a gateway that is stopped. */
     public static final String STALL = "stall";
 
     private TraceLabels() {}
 
-    /** The word for an operation. */
+    /** Label of an operation. */
     public static String of(NodeMessage.Op op) {
         return switch (op) {
             case READ -> "read";
@@ -26,7 +26,7 @@
         };
     }
 
-    /** The word for a node's result. */
+    /** Label of a node's result. */
     public static String of(NodeMessage.Result result) {
         return switch (result) {
             case OK -> "ok";
@@ -37,7 +37,7 @@
         };
     }
 
-    /** The word for a step of a migration. */
+    /** Label of a migration step. */
     public static String of(NodeMessage.Step step) {
         return switch (step) {
             case TRACK -> "track";
@@ -55,7 +55,7 @@
         };
     }
 
-    /** The word for a node's state in the node list. */
+    /** Label of a node's state in the node list. */
     public static String of(NodeListMessage.State state) {
         return switch (state) {
             case UP -> "up";
--- a/testbed/src/main/java/garnetreel/testbed/trace/package-info.java
+++ b/testbed/src/main/java/garnetreel/testbed/trace/package-info.java
@@ -1,2 +1,4 @@
-/** Traces: the events that the parts of the testbed see on their sockets, as a file, in memory or as a hash. */
+/**
+ * Traces: the events that the components of the testbed observe on their sockets, as a file, in memory or as a hash.
+ */
 package garnetreel.testbed.trace;
