--- a/testbed/src/test/java/garnetreel/testbed/node/MoveKillsTest.java
+++ b/testbed/src/test/java/garnetreel/testbed/node/MigrationFailureTest.java
@@ -15,41 +15,41 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A migration with every participant killed, or its message lost, at every step and at every pair of steps: enumerated, not
- * sampled. A client writes between any two steps.
+ * A migration must neither lose acknowledged writes nor have two owners when a participant crashes or a message is lost.
+ * All failures are tried exhaustively at each step and at each pair of steps. A client writes between any two steps.
  */
-class MoveKillsTest {
-    private static final int BYTES = 8 * MemoryDisk.PAGE;
+class MigrationFailureTest {
+    private static final int EXTENT_BYTES = 8 * MemoryDisk.PAGE;
     private static final long VOLUME = 3;
     private static final long EXTENT = 2;
-    private static final long BEGIN = EXTENT * BYTES;
+    private static final long EXTENT_OFFSET = EXTENT * EXTENT_BYTES;
     private static final int MAX_STEPS = 400;
 
-    private enum Kill {
-        SERVICE,
-        OLD,
-        NEW,
+    private enum Failure {
+        SERVICE_CRASH,
+        SOURCE_CRASH,
+        TARGET_CRASH,
         ORDER_LOST,
         REPORT_LOST,
-        SERVICE_AFTER_ORDER
+        SERVICE_CRASH_AFTER_ORDER
     }
 
     private static final class Node {
         final MemoryDisk disk = new MemoryDisk();
-        long life = 1;
-        MigrationParticipant participant = new MigrationParticipant(disk, life);
+        long incarnation = 1;
+        MigrationParticipant participant = new MigrationParticipant(disk, incarnation);
 
         void crash() {
             disk.crash();
-            participant = new MigrationParticipant(disk, ++life);
+            participant = new MigrationParticipant(disk, ++incarnation);
         }
 
         boolean serves(long version) {
-            return disk.ownership().serves(VOLUME, BEGIN, version);
+            return disk.ownership().serves(VOLUME, EXTENT_OFFSET, version);
         }
     }
 
-    private final class Run {
+    private final class MigrationRun {
         final Node[] nodes = {new Node(), new Node()};
         final Map<Integer, Long> acknowledged = new TreeMap<>();
         Migration durable = new Migration(1, VOLUME, EXTENT, 0, 1, 1, 0, Migration.State.COPYING);
@@ -60,19 +60,19 @@
         long stamp;
         int steps;
 
-        Run() {
-            // The new node has other extents of that size, so it can tell that it does not own this one.
-            nodes[1].disk.ownership().entry(VOLUME, EXTENT, BYTES, false);
+        MigrationRun() {
+            // Gives the target node the extent size, so that it knows that it does not own this extent.
+            nodes[1].disk.ownership().entry(VOLUME, EXTENT, EXTENT_BYTES, false);
             for (int page = 0; page < 4; page++) {
                 write(page);
             }
         }
 
-        /** A client that knows the map writes a page; it is acknowledged if the node serves it. */
+        /** A client that knows the current map writes a page; the write is acknowledged if the node serves the extent. */
         void write(int page) {
             if (nodes[owner].serves(version)) {
                 ByteBuffer data = ByteBuffer.allocate(MemoryDisk.PAGE).putLong(0, ++stamp);
-                long offset = BEGIN + (long) page * MemoryDisk.PAGE;
+                long offset = EXTENT_OFFSET + (long) page * MemoryDisk.PAGE;
                 nodes[owner].disk.write(VOLUME, offset, data);
                 nodes[owner].disk.ownership().markChanged(VOLUME, offset, MemoryDisk.PAGE);
                 nodes[owner].disk.flush(0);
@@ -85,30 +85,33 @@
             seq = (seq >> 40) + 1 << 40;
         }
 
-        void play(Map<Integer, Kill> kills) throws DamagedPageException {
+        void runToEnd(Map<Integer, Failure> failures) throws DamagedPageException {
             while (!migration.migration().state().isFinal()) {
-                assertTrue(++steps < MAX_STEPS, "stuck in " + migration.migration() + " with " + kills);
-                Kill kill = kills.get(steps);
-                if (kill == Kill.SERVICE) {
+                assertTrue(++steps < MAX_STEPS, "stuck in " + migration.migration() + " with failures " + failures);
+                Failure failure = failures.get(steps);
+                if (failure == Failure.SERVICE_CRASH) {
                     restartService();
-                } else if (kill == Kill.OLD || kill == Kill.NEW) {
-                    nodes[kill == Kill.OLD ? 0 : 1].crash();
+                } else if (failure == Failure.SOURCE_CRASH || failure == Failure.TARGET_CRASH) {
+                    nodes[failure == Failure.SOURCE_CRASH ? 0 : 1].crash();
                 }
-                step(kill);
+                step(failure);
                 write(steps % 8);
-                // Whoever knows the old version and whoever knows the new one: never both are served.
-                assertFalse(nodes[0].serves(1) && nodes[1].serves(2), "two owners at step " + steps + " " + kills);
+                // Clients with the old version and clients with the new version must never both be served.
+                assertFalse(nodes[0].serves(1) && nodes[1].serves(2), "two owners at step " + steps + " " + failures);
             }
             for (Map.Entry<Integer, Long> page : acknowledged.entrySet()) {
                 ByteBuffer data = ByteBuffer.allocate(MemoryDisk.PAGE);
-                nodes[owner].disk.read(VOLUME, BEGIN + (long) page.getKey() * MemoryDisk.PAGE, MemoryDisk.PAGE, data);
-                assertEquals(page.getValue(), data.getLong(0), "page " + page.getKey() + " " + kills);
+                nodes[owner].disk.read(
+                        VOLUME, EXTENT_OFFSET + (long) page.getKey() * MemoryDisk.PAGE, MemoryDisk.PAGE, data);
+                assertEquals(page.getValue(), data.getLong(0), "page " + page.getKey() + " " + failures);
             }
-            assertTrue(nodes[owner].serves(version), "nobody serves " + kills);
-            assertFalse(nodes[1 - owner].serves(1) || nodes[1 - owner].serves(2), "the other one serves " + kills);
+            assertTrue(nodes[owner].serves(version), "the owner does not serve the extent " + failures);
+            assertFalse(
+                    nodes[1 - owner].serves(1) || nodes[1 - owner].serves(2),
+                    "the other node serves the extent " + failures);
         }
 
-        private void step(Kill kill) {
+        private void step(Failure failure) {
             MigrationStateMachine.NextStep next = migration.next();
             if (next instanceof MigrationStateMachine.Commit commit) {
                 boolean switches = commit.state() == Migration.State.SWITCHED;
@@ -118,22 +121,29 @@
                     version = 2;
                     owner = 1;
                 }
-                if (kill == Kill.SERVICE_AFTER_ORDER || kill == Kill.REPORT_LOST) {
-                    restartService(); // durable, and the service dies before it has seen so
+                if (failure == Failure.SERVICE_CRASH_AFTER_ORDER || failure == Failure.REPORT_LOST) {
+                    restartService(); // the commit is durable, but the service crashes before it is notified
                 } else {
                     migration.durable(durable);
                 }
-            } else if (next instanceof MigrationStateMachine.SendCommand ask) {
-                if (kill == Kill.ORDER_LOST) {
+            } else if (next instanceof MigrationStateMachine.SendCommand sendCommand) {
+                if (failure == Failure.ORDER_LOST) {
                     migration.failed();
                     return;
                 }
-                Order order =
-                        new Order(++seq, ask.step(), VOLUME, EXTENT, BYTES, ask.version(), ask.room(), ask.data());
-                Report report = nodes[ask.shard()].participant.execute(order, false);
-                if (kill == Kill.REPORT_LOST) {
+                Order order = new Order(
+                        ++seq,
+                        sendCommand.step(),
+                        VOLUME,
+                        EXTENT,
+                        EXTENT_BYTES,
+                        sendCommand.version(),
+                        sendCommand.room(),
+                        sendCommand.data());
+                Report report = nodes[sendCommand.shard()].participant.execute(order, false);
+                if (failure == Failure.REPORT_LOST) {
                     migration.failed();
-                } else if (kill == Kill.SERVICE_AFTER_ORDER) {
+                } else if (failure == Failure.SERVICE_CRASH_AFTER_ORDER) {
                     restartService();
                 } else {
                     migration.reported(report);
@@ -142,33 +152,33 @@
         }
     }
 
-    private int length() throws DamagedPageException {
-        Run run = new Run();
-        run.play(Map.of());
+    private int countSteps() throws DamagedPageException {
+        MigrationRun run = new MigrationRun();
+        run.runToEnd(Map.of());
         assertEquals(Migration.State.DONE, run.durable.state());
         assertEquals(1, run.owner);
         return run.steps;
     }
 
     @Test
-    void oneKillAtEachStep() throws DamagedPageException {
-        int steps = length();
-        assertTrue(steps > 10, "a move of " + steps + " steps");
+    void oneFailureAtEachStep() throws DamagedPageException {
+        int steps = countSteps();
+        assertTrue(steps > 10, "the migration has only " + steps + " steps");
         for (int at = 1; at <= steps; at++) {
-            for (Kill kill : Kill.values()) {
-                new Run().play(Map.of(at, kill));
+            for (Failure failure : Failure.values()) {
+                new MigrationRun().runToEnd(Map.of(at, failure));
             }
         }
     }
 
     @Test
-    void twoKillsAtEachPairOfSteps() throws DamagedPageException {
-        int steps = length() + 12; // the first kill makes the move longer
+    void twoFailuresAtEachPairOfSteps() throws DamagedPageException {
+        int steps = countSteps() + 12; // the first failure adds steps to the migration
         for (int first = 1; first <= steps; first++) {
             for (int second = first + 1; second <= steps; second++) {
-                for (Kill one : Kill.values()) {
-                    for (Kill other : Kill.values()) {
-                        new Run().play(Map.of(first, one, second, other));
+                for (Failure firstFailure : Failure.values()) {
+                    for (Failure secondFailure : Failure.values()) {
+                        new MigrationRun().runToEnd(Map.of(first, firstFailure, second, secondFailure));
                     }
                 }
             }
@@ -176,18 +186,18 @@
     }
 
     @Test
-    void abortAtEachStepBeforeTheSwitchLeavesTheOldOwner() throws DamagedPageException {
-        int steps = length();
+    void abortAtEachStepBeforeTheSwitchKeepsTheSourceAsOwner() throws DamagedPageException {
+        int steps = countSteps();
         for (int at = 0; at < steps; at++) {
-            Run run = new Run();
+            MigrationRun run = new MigrationRun();
             while (run.steps < at && !run.durable.state().isFinal()) {
                 run.steps++;
                 run.step(null);
                 run.write(run.steps % 8);
             }
             boolean switched = run.version == 2;
-            run.migration.abort("tried");
-            run.play(Map.of());
+            run.migration.abort("test");
+            run.runToEnd(Map.of());
             assertEquals(
                     switched ? Migration.State.DONE : Migration.State.ABORTED,
                     run.durable.state(),
@@ -196,15 +206,16 @@
     }
 
     @Test
-    void orderOfAnEarlierLifeDoesNotLiftAFence() {
-        Run run = new Run();
-        long early = run.seq + 1;
+    void delayedOrderOfAnEarlierServiceIncarnationDoesNotLiftAFence() {
+        MigrationRun run = new MigrationRun();
+        long earlySeq = run.seq + 1;
         while (run.durable.state() != Migration.State.SWITCHED) {
             run.step(null);
         }
-        Report late = run.nodes[0].participant.execute(
-                new Order(early, NodeMessage.Step.TRACK, VOLUME, EXTENT, BYTES, 1, 0, ByteBuffer.allocate(0)), false);
-        assertFalse(late.ok());
+        Report report = run.nodes[0].participant.execute(
+                new Order(earlySeq, NodeMessage.Step.TRACK, VOLUME, EXTENT, EXTENT_BYTES, 1, 0, ByteBuffer.allocate(0)),
+                false);
+        assertFalse(report.ok());
         assertFalse(run.nodes[0].serves(1));
     }
 }
--- a/testbed/src/test/java/garnetreel/testbed/node/OwnershipStateCodeTest.java
+++ b/testbed/src/test/java/garnetreel/testbed/node/OwnershipStateCodeTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The numbers of states in an ownership report, as docs/node-protocol.md has them. */
+/** The state codes in ownership reports must match docs/node-protocol.md. */
 class OwnershipStateCodeTest {
     @Test
-    void codesAreThoseOfTheWire() {
+    void codesMatchTheProtocol() {
         assertEquals(0, OwnershipTable.State.SERVING.code());
         assertEquals(1, OwnershipTable.State.FENCED.code());
         assertEquals(2, OwnershipTable.State.RECEIVING.code());
--- a/testbed/src/test/java/garnetreel/testbed/scenario/ScheduledFaultTest.java
+++ b/testbed/src/test/java/garnetreel/testbed/scenario/ScheduledFaultTest.java
@@ -8,10 +8,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The words of scenario files for faults, whatever the constants are called. */
+/** The fault labels of scenario files must not change when constants are renamed. */
 class ScheduledFaultTest {
     @Test
-    void kindsKeepTheirWords() {
+    void faultKindLabels() {
         assertEquals(
                 List.of(
                         "node-crash",
--- a/testbed/src/test/java/garnetreel/testbed/trace/TraceLabelsTest.java
+++ b/testbed/src/test/java/garnetreel/testbed/trace/TraceLabelsTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The words of the trace format, whatever the constants are called. */
+/** The labels of the trace format must not change when constants are renamed. */
 class TraceLabelsTest {
     @Test
-    void kindsOfEventsKeepTheirWords() {
+    void eventKindLabels() {
         assertEquals(
                 List.of(
                         "ask", "reply", "give_up", "leave", "misread", "arrive", "run", "repeat", "answer", "start",
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void faultsOfNodesKeepTheirWords() {
+    void nodeFaultLabels() {
         assertEquals(
                 List.of(
                         "silence",
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void wordsOfTheProtocolsStay() {
+    void protocolLabels() {
         assertEquals(
                 List.of("read", "write", "zero", "trim", "flush", "cache", "status"),
                 Stream.of(NodeMessage.Op.values()).map(TraceLabels::of).toList());
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void lineOfTheFileAndTextOfTheHashKeepTheirForm(@TempDir Path directory) throws Exception {
+    void fileLineAndHashedTextFormat(@TempDir Path directory) throws Exception {
         TraceEvent event = new TraceEvent(
                 1, "c", "2", TraceEvent.Kind.GIVE_UP, 3, 4, 5, 6, "read", 7, 8, 9, 10, 11, 12, 13, "served");
         assertEquals(
