--- a/testbed/src/main/java/garnetreel/testbed/node/ExecutionQueue.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ExecutionQueue.java
@@ -123,16 +123,16 @@
         }
         pauseIfDue();
         flushIfDue();
-        while (canBegin()) {
-            begin(queued.poll(), rejected, onExecuted);
+        while (canStartNext()) {
+            startExecution(queued.poll(), rejected, onExecuted);
         }
     }
 
-    private boolean canBegin() {
+    private boolean canStartNext() {
         return !warmUp.isCollapsed() && turn.now() >= pausedUntil && busyCores < settings.cores() && !queued.isEmpty();
     }
 
-    private void begin(Job job, Predicate<Job> rejected, Consumer<Job> onExecuted) {
+    private void startExecution(Job job, Predicate<Job> rejected, Consumer<Job> onExecuted) {
         if (turn.now() >= job.request.deadline()) {
             return; // the client has given up, and may since have written newer data
         }
@@ -145,7 +145,7 @@
             return;
         }
         busyCores++;
-        meter.worked(duration);
+        meter.addWork(duration);
         executing
                 .computeIfAbsent(turn.now() + duration, any -> new ArrayList<>(1))
                 .add(job);
--- a/testbed/src/main/java/garnetreel/testbed/node/FakeNode.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/FakeNode.java
@@ -201,7 +201,8 @@
         } else if (message instanceof Probe probe) {
             connections.write(connection, new Probed(probe.id(), nodeIncarnation, load()));
         } else {
-            throw new ProtocolException("a client sent a " + message.getClass().getSimpleName());
+            throw new ProtocolException(
+                    "unexpected message from a client: " + message.getClass().getSimpleName());
         }
     }
 
--- a/testbed/src/main/java/garnetreel/testbed/node/LoadMeter.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/LoadMeter.java
@@ -24,33 +24,33 @@
     private final Map<OwnershipTable.ExtentId, Long> unitsByExtent = new HashMap<>();
     private long units;
     private long workMicros;
-    private long since;
+    private long countedSince;
 
     /** Counts a request that was executed. */
-    void served(long volume, long extent, int served, long now) {
-        if (since == 0) {
-            since = now;
+    void countRequest(long volume, long extent, int requestUnits, long now) {
+        if (countedSince == 0) {
+            countedSince = now;
         }
-        units += served;
+        units += requestUnits;
         OwnershipTable.ExtentId id = new OwnershipTable.ExtentId(volume, extent);
         if (unitsByExtent.size() < MAX_COUNTED_EXTENTS || unitsByExtent.containsKey(id)) {
-            unitsByExtent.merge(id, (long) served, Long::sum);
+            unitsByExtent.merge(id, (long) requestUnits, Long::sum);
         }
     }
 
     /** Adds working time of one core. */
-    void worked(long micros) {
+    void addWork(long micros) {
         workMicros += micros;
     }
 
     /** Returns the report for {@link garnetreel.codec.node.NodeMessage.Step#LOAD} and resets all counts. */
-    ByteBuffer takeReport(long now, int cores, long used, long capacity) {
-        double seconds = Math.max(MIN_SECONDS, (now - (since == 0 ? now : since)) / 1e6);
+    ByteBuffer takeReport(long now, int cores, long usedBytes, long capacity) {
+        double seconds = Math.max(MIN_SECONDS, (now - (countedSince == 0 ? now : countedSince)) / 1e6);
         List<Map.Entry<OwnershipTable.ExtentId, Long>> busiest = busiestExtents();
         ByteBuffer report = ByteBuffer.allocate(REPORT_HEADER + REPORT_ENTRY * busiest.size())
                 .putDouble(units / seconds)
                 .putDouble(workMicros / 1e6 / seconds / Math.max(1, cores))
-                .putLong(used)
+                .putLong(usedBytes)
                 .putLong(capacity);
         for (Map.Entry<OwnershipTable.ExtentId, Long> extent : busiest) {
             report.putLong(extent.getKey().volume())
@@ -60,7 +60,7 @@
         unitsByExtent.clear();
         units = 0;
         workMicros = 0;
-        since = now;
+        countedSince = now;
         return report.flip();
     }
 
--- a/testbed/src/main/java/garnetreel/testbed/node/MemoryDisk.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/MemoryDisk.java
@@ -93,19 +93,19 @@
     }
 
     /** Reads a range into a buffer. */
-    public void read(long volume, long offset, int length, ByteBuffer into) throws DamagedPageException {
+    public void read(long volume, long offset, int length, ByteBuffer target) throws DamagedPageException {
         long position = offset;
         long end = offset + length;
         while (position < end) {
-            int within = (int) (position % PAGE);
-            int part = (int) Math.min(PAGE - within, end - position);
+            int offsetInPage = (int) (position % PAGE);
+            int partLength = (int) Math.min(PAGE - offsetInPage, end - position);
             Page page = page(volume, position / PAGE);
             if (page != null && page.computeChecksum() != page.checksum) {
                 throw new DamagedPageException(
                         "page " + position / PAGE + " of volume " + volume + " does not match its checksum");
             }
-            into.put(page == null ? ZERO_BYTES : page.bytes, within, part);
-            position += part;
+            target.put(page == null ? ZERO_BYTES : page.bytes, offsetInPage, partLength);
+            position += partLength;
         }
     }
 
@@ -114,29 +114,29 @@
         ByteBuffer from = data.duplicate();
         long position = offset;
         while (from.hasRemaining()) {
-            int within = (int) (position % PAGE);
-            int part = Math.min(PAGE - within, from.remaining());
-            Page old = part == PAGE ? null : page(volume, position / PAGE);
+            int offsetInPage = (int) (position % PAGE);
+            int partLength = Math.min(PAGE - offsetInPage, from.remaining());
+            Page old = partLength == PAGE ? null : page(volume, position / PAGE);
             byte[] bytes = old == null ? new byte[PAGE] : old.bytes.clone();
-            from.get(bytes, within, part);
+            from.get(bytes, offsetInPage, partLength);
             unflushed.put(key(volume, position / PAGE), new Page(bytes));
-            position += part;
+            position += partLength;
         }
     }
 
-    /** Makes a range read as zeroes; with {@code trim} whole pages are deallocated, otherwise they stay allocated. */
+    /** Makes a range read as zeroes; with {@code trim} whole pages are deallocated, otherwise allocated. */
     public void zero(long volume, long offset, long length, boolean trim) {
         long position = offset;
         long end = offset + length;
         while (position < end) {
-            int within = (int) (position % PAGE);
-            int part = (int) Math.min(PAGE - within, end - position);
-            if (part == PAGE) {
+            int offsetInPage = (int) (position % PAGE);
+            int partLength = (int) Math.min(PAGE - offsetInPage, end - position);
+            if (partLength == PAGE) {
                 unflushed.put(key(volume, position / PAGE), trim ? TRIMMED : ZEROES);
             } else if (page(volume, position / PAGE) != null || !trim) {
-                write(volume, position, ByteBuffer.allocate(part));
+                write(volume, position, ByteBuffer.allocate(partLength));
             }
-            position += part;
+            position += partLength;
         }
     }
 
@@ -146,16 +146,16 @@
         long position = offset;
         long end = offset + length;
         while (position < end) {
-            int part = (int) Math.min(PAGE - position % PAGE, end - position);
+            int partLength = (int) Math.min(PAGE - position % PAGE, end - position);
             Page page = page(volume, position / PAGE);
             int flags = allocationFlags(page);
             AllocationRange last = ranges.isEmpty() ? null : ranges.get(ranges.size() - 1);
             if (last != null && last.flags() == flags) {
-                ranges.set(ranges.size() - 1, new AllocationRange(last.length() + part, flags));
+                ranges.set(ranges.size() - 1, new AllocationRange(last.length() + partLength, flags));
             } else {
-                ranges.add(new AllocationRange(part, flags));
+                ranges.add(new AllocationRange(partLength, flags));
             }
-            position += part;
+            position += partLength;
         }
         return ranges;
     }
--- a/testbed/src/main/java/garnetreel/testbed/node/MigrationParticipant.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/MigrationParticipant.java
@@ -40,10 +40,10 @@
         Ownership entry =
                 disk.ownership().entry(order.volume(), order.extent(), order.extentBytes(), isForSource(order.step()));
         // Rejects delayed orders of an earlier incarnation of the map service, which could lift a fence.
-        if (order.seq() < entry.lastOrder) {
+        if (order.seq() < entry.highestOrder) {
             return report(order, false, entry);
         }
-        entry.lastOrder = order.seq();
+        entry.highestOrder = order.seq();
         return switch (order.step()) {
             case TRACK -> report(order, track(order, entry), entry);
             case TAKE -> take(order, entry);
@@ -67,7 +67,7 @@
         };
     }
 
-    private static long begin(Order order) {
+    private static long extentOffset(Order order) {
         return order.extent() * order.extentBytes();
     }
 
@@ -76,7 +76,7 @@
     }
 
     private void discard(Order order) {
-        disk.discard(order.volume(), begin(order), order.extentBytes());
+        disk.discard(order.volume(), extentOffset(order), order.extentBytes());
     }
 
     // ---------------------------------------------------------------- source node
@@ -89,7 +89,7 @@
         entry.state = State.SERVING;
         entry.changedPages = new TreeSet<>();
         for (int page = 0; page < order.extentBytes() / MemoryDisk.PAGE; page++) {
-            if (disk.exists(order.volume(), begin(order) + (long) page * MemoryDisk.PAGE)) {
+            if (disk.exists(order.volume(), extentOffset(order) + (long) page * MemoryDisk.PAGE)) {
                 entry.changedPages.add(page);
             }
         }
@@ -103,7 +103,7 @@
         ByteBuffer pages = ByteBuffer.allocate(Math.max(PAGE_ENTRY, order.room()));
         while (!entry.changedPages.isEmpty() && pages.remaining() >= PAGE_ENTRY) {
             int page = entry.changedPages.first();
-            long offset = begin(order) + (long) page * MemoryDisk.PAGE;
+            long offset = extentOffset(order) + (long) page * MemoryDisk.PAGE;
             try {
                 if (disk.exists(order.volume(), offset)) {
                     pages.putInt(page);
@@ -152,7 +152,7 @@
         }
         try {
             ByteBuffer checksum = ByteBuffer.allocate(Integer.BYTES)
-                    .putInt(disk.checksum(order.volume(), begin(order), order.extentBytes()))
+                    .putInt(disk.checksum(order.volume(), extentOffset(order), order.extentBytes()))
                     .flip();
             return new Report(order.seq(), true, false, nodeIncarnation, entry.version, checksum);
         } catch (DamagedPageException e) {
@@ -178,7 +178,7 @@
         ByteBuffer pages = order.data().duplicate();
         while (pages.remaining() >= Integer.BYTES) {
             int page = pages.getInt();
-            long offset = begin(order) + (long) (page & ~HOLE) * MemoryDisk.PAGE;
+            long offset = extentOffset(order) + (long) (page & ~HOLE) * MemoryDisk.PAGE;
             if ((page & HOLE) != 0) {
                 disk.zero(order.volume(), offset, MemoryDisk.PAGE, true);
             } else {
--- a/testbed/src/main/java/garnetreel/testbed/node/OwnershipTable.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/OwnershipTable.java
@@ -43,7 +43,7 @@
         State state;
         long version;
         /** Highest order number seen; orders with lower numbers are rejected. */
-        long lastOrder;
+        long highestOrder;
         /** Indexes of pages that were changed since they were last copied; null while changes are not tracked. */
         TreeSet<Integer> changedPages;
 
--- a/testbed/src/main/java/garnetreel/testbed/node/RequestExecutor.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/RequestExecutor.java
@@ -45,7 +45,7 @@
             disk.ownership().markChanged(request.volume(), request.offset(), request.length());
         }
         long extent = disk.ownership().extentOrMegabyte(request.volume(), request.offset());
-        meter.served(request.volume(), extent, request.units(), turn.now());
+        meter.countRequest(request.volume(), extent, request.units(), turn.now());
         if (request.dropsRepeats()) {
             disk.recordExecution(identity, turn.now());
         }
@@ -70,7 +70,7 @@
             case STATUS -> {
                 List<MemoryDisk.AllocationRange> ranges = disk.status(volume, request.offset(), request.length());
                 ByteBuffer data = ByteBuffer.allocate(STATUS_ENTRY * ranges.size());
-                ranges.forEach(s -> data.putInt(s.length()).putInt(s.flags()));
+                ranges.forEach(range -> data.putInt(range.length()).putInt(range.flags()));
                 return data.flip();
             }
             case FLUSH, CACHE -> {
