--- a/cli/src/test/java/garnetreel/cli/CancelledSendsTest.java
+++ b/cli/src/test/java/garnetreel/cli/CancelledSendsTest.java
@@ -12,7 +12,7 @@
 import garnetreel.policy.event.RequestReceived;
 import garnetreel.testbed.peer.ScriptedPeer;
 import garnetreel.testbed.peer.ScriptedPeer.End;
-import garnetreel.testbed.peer.ScriptedPeer.Line;
+import garnetreel.testbed.peer.ScriptedPeer.PeerConnection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -31,7 +31,7 @@
     @EnumSource(End.class)
     void queuedSendIsCancelledWhenItsClientDisconnects(End how) throws Exception {
         try (SocketGatewayHarness gateway = gatewayOfABusyShelf()) {
-            Line leaves = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
+            PeerConnection leaves = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
             gateway.await(SendAttempt.class);
             if (how == End.RESET) {
                 leaves.reset();
@@ -40,10 +40,11 @@
             }
             assertEquals(
                     Outcome.NOT_STARTED, gateway.await(AttemptCompleted.class).outcome());
-            try (Line stays = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
+            try (PeerConnection stays =
+                    ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
                 gateway.await(SendAttempt.class);
-                shelf.bringUp();
-                try (Line sent = shelf.accept()) {
+                shelf.emptyAcceptQueue();
+                try (PeerConnection sent = shelf.accept()) {
                     String first = sent.read();
                     assertTrue(first.contains("X-Correlation-Id: 0000000000000002\r\n"), first);
                     sent.send(SocketGatewayHarness.response("result"));
@@ -58,12 +59,13 @@
     @ValueSource(strings = {"draining", "removed"})
     void queuedSendIsCancelledWhenItsShelfDrains(String health) throws Exception {
         try (SocketGatewayHarness gateway = gatewayOfABusyShelf().afterStartDelay();
-                Line watch = discovery.accept()) {
+                PeerConnection watch = discovery.accept()) {
             watch.read();
             String entry = SocketGatewayHarness.entry(shelf.address(), "up");
             watch.send(SocketGatewayHarness.watch(SocketGatewayHarness.list(2, true, entry)));
             awaitKind(gateway, EndpointUpdateKind.SNAPSHOT);
-            try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
+            try (PeerConnection client =
+                    ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
                 gateway.await(SendAttempt.class);
                 watch.send(SocketGatewayHarness.chunk(
                         SocketGatewayHarness.list(3, false, entry.replace("\"up\"", "\"" + health + "\""))));
@@ -72,8 +74,8 @@
                         gateway.await(AttemptCompleted.class).outcome());
                 watch.send(SocketGatewayHarness.chunk(SocketGatewayHarness.list(4, false, entry)));
                 gateway.await(SendAttempt.class);
-                shelf.bringUp();
-                try (Line sent = shelf.accept()) {
+                shelf.emptyAcceptQueue();
+                try (PeerConnection sent = shelf.accept()) {
                     assertTrue(sent.read().contains("0000000000000001"), "it is sent when the shelf is up again");
                     sent.send(SocketGatewayHarness.response("result"));
                     assertTrue(client.read().endsWith("result"));
@@ -86,11 +88,12 @@
     @Test
     void remainingTimeIsSentAsOfTheMomentOfSending() throws Exception {
         try (SocketGatewayHarness gateway = gatewayOfABusyShelf();
-                Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 10))) {
+                PeerConnection client =
+                        ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 10))) {
             gateway.await(SendAttempt.class);
             gateway.advance(4_000_000);
-            shelf.bringUp();
-            try (Line sent = shelf.accept()) {
+            shelf.emptyAcceptQueue();
+            try (PeerConnection sent = shelf.accept()) {
                 String passed = sent.read();
                 assertTrue(passed.contains("X-Time-Left: 6.000\r\n"), passed);
                 sent.send(SocketGatewayHarness.response("result"));
@@ -108,13 +111,13 @@
             for (int i = 1; i <= 200; i++) {
                 many.append(SocketGatewayHarness.request(i, 50));
             }
-            Line client = ScriptedPeer.connect(gateway.address).send(many.toString());
-            try (Line sent = shelf.accept()) {
+            PeerConnection client = ScriptedPeer.connect(gateway.address).send(many.toString());
+            try (PeerConnection sent = shelf.accept()) {
                 sent.read();
                 if (how == End.RESET) {
                     client.reset();
                 } else {
-                    client.endSending();
+                    client.shutdownOutput();
                 }
                 gateway.await(RequestCancelled.class);
                 sent.send(SocketGatewayHarness.response("result"));
--- a/cli/src/test/java/garnetreel/cli/ConnectionClosingTest.java
+++ b/cli/src/test/java/garnetreel/cli/ConnectionClosingTest.java
@@ -10,8 +10,8 @@
 import garnetreel.policy.event.RequestReceived;
 import garnetreel.testbed.peer.ScriptedPeer;
 import garnetreel.testbed.peer.ScriptedPeer.End;
-import garnetreel.testbed.peer.ScriptedPeer.Line;
-import garnetreel.testbed.peer.ScriptedPeer.Rest;
+import garnetreel.testbed.peer.ScriptedPeer.PeerConnection;
+import garnetreel.testbed.peer.ScriptedPeer.Remainder;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -33,14 +33,14 @@
     @Test
     void responseSurvivesBytesThatArriveAtItsClose() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection client = ScriptedPeer.connect(gateway.address)) {
             client.send("no request\r\n\r\n");
             assertTrue(client.read().startsWith("HTTP/1.1 400 "));
             for (int i = 0; i < 8; i++) {
                 client.send("x".repeat(1_000));
             }
-            client.endSending();
-            assertEquals(new Rest("", End.IN_ORDER), client.readToEnd());
+            client.shutdownOutput();
+            assertEquals(new Remainder("", End.GRACEFUL), client.readToEnd());
         }
     }
 
@@ -48,12 +48,12 @@
     @Test
     void requestThatCrossesTheShutdownIsNotForwarded() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection client = ScriptedPeer.connect(gateway.address)) {
             client.send("no request\r\n\r\n");
             client.read();
             client.send(SocketGatewayHarness.request(1, 50));
-            client.endSending();
-            assertEquals(new Rest("", End.IN_ORDER), client.readToEnd());
+            client.shutdownOutput();
+            assertEquals(new Remainder("", End.GRACEFUL), client.readToEnd());
             gateway.advance(10_000);
             assertThrows(AssertionError.class, () -> gateway.drainSeen(RequestReceived.class));
         }
@@ -63,10 +63,10 @@
     @Test
     void shutdownWaitsForResponsesThatAreStillBeingWritten() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address, 4 << 10)) {
+                PeerConnection client = ScriptedPeer.connect(gateway.address, 4 << 10)) {
             client.send(SocketGatewayHarness.request(1, 50));
             String body = "0123456789abcdef".repeat(120_000);
-            try (Line sent = shelf.accept()) {
+            try (PeerConnection sent = shelf.accept()) {
                 sent.read();
                 gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
                 gateway.awaitListenerClosed();
@@ -79,8 +79,8 @@
                     () -> gateway.eventLoop.stopped().get(200, TimeUnit.MILLISECONDS),
                     "most of the answer is not in the client's hands");
             assertTrue(client.read().endsWith(body));
-            assertEquals(new Rest("", End.IN_ORDER), client.readToEnd());
-            client.endSending();
+            assertEquals(new Remainder("", End.GRACEFUL), client.readToEnd());
+            client.shutdownOutput();
             gateway.advance(50_000);
             gateway.eventLoop.stopped().get(30, TimeUnit.SECONDS);
         }
@@ -90,8 +90,8 @@
     @Test
     void partialRequestAtShutdownIsReadAndRejected() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address);
-                Line rests = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection client = ScriptedPeer.connect(gateway.address);
+                PeerConnection rests = ScriptedPeer.connect(gateway.address)) {
             rests.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").read();
             String request = SocketGatewayHarness.request(1, 50);
             client.send(request.substring(0, 100));
@@ -99,12 +99,12 @@
             rests.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").read();
             gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
             gateway.awaitListenerClosed();
-            assertEquals(new Rest("", End.IN_ORDER), rests.readToEnd(), "one that rests is closed in order");
+            assertEquals(new Remainder("", End.GRACEFUL), rests.readToEnd(), "one that rests is closed in order");
             client.send(request.substring(100));
             String answer = client.read();
             assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close\r\n"), answer);
-            client.endSending();
-            rests.endSending();
+            client.shutdownOutput();
+            rests.shutdownOutput();
             gateway.eventLoop.stopped().get(30, TimeUnit.SECONDS);
         }
     }
@@ -113,11 +113,11 @@
     @Test
     void pipelineAtShutdownIsAnsweredCompletely() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection client = ScriptedPeer.connect(gateway.address)) {
             client.send(SocketGatewayHarness.request(1, 50)
                     + SocketGatewayHarness.request(2, 50)
                     + SocketGatewayHarness.request(3, 50));
-            try (Line sent = shelf.accept()) {
+            try (PeerConnection sent = shelf.accept()) {
                 sent.read();
                 gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
                 gateway.awaitListenerClosed();
@@ -127,7 +127,7 @@
             assertTrue(client.read().startsWith("HTTP/1.1 503 "));
             String last = client.read();
             assertTrue(last.startsWith("HTTP/1.1 503 ") && last.contains("Connection: close\r\n"), last);
-            assertEquals(End.IN_ORDER, client.readToEnd().end());
+            assertEquals(End.GRACEFUL, client.readToEnd().end());
         }
     }
 
@@ -135,14 +135,14 @@
     @Test
     void connectionInTheAcceptQueueAtShutdownIsServed() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line first = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection first = ScriptedPeer.connect(gateway.address)) {
             gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
             gateway.haltAt(event -> event instanceof RequestReceived);
             first.send(SocketGatewayHarness.request(1, 50));
             gateway.awaitHalt();
-            try (Line waits =
+            try (PeerConnection waits =
                     ScriptedPeer.connect(gateway.address).send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")) {
-                waits.untilTheOtherSideStands();
+                waits.awaitEstablishedByPeer();
                 gateway.clock.addAndGet(501_000); // the turn after this one, ahead of any accept, ends the listener
                 gateway.resume();
                 assertTrue(waits.read().startsWith("HTTP/1.1 503 "));
@@ -155,21 +155,22 @@
     @EnumSource(End.class)
     void responseWithoutALengthIsCompleteOnlyAfterAnOrderlyClose(End how) throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
-                Line sent = shelf.accept()) {
+                PeerConnection client =
+                        ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
+                PeerConnection sent = shelf.accept()) {
             sent.read();
             sent.send("HTTP/1.1 200 OK\r\n\r\nresult");
             if (how == End.RESET) {
                 sent.reset();
             } else {
-                sent.endSending();
+                sent.shutdownOutput();
             }
             assertEquals(
                     how == End.RESET ? Outcome.RESET : Outcome.OK,
                     gateway.await(AttemptCompleted.class).outcome());
             String answer = client.read();
             assertEquals(how == End.RESET, answer.startsWith("HTTP/1.1 502 "), answer);
-            assertEquals(how == End.IN_ORDER, answer.endsWith("result"), answer);
+            assertEquals(how == End.GRACEFUL, answer.endsWith("result"), answer);
         }
     }
 
@@ -177,17 +178,17 @@
     @Test
     void requestThatHasBeenReadIsAnsweredAtTheConnectionLimit() throws Exception {
         try (SocketGatewayHarness gateway = SocketGatewayHarness.withDescriptors(88, discovery, shelf);
-                Line first = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection first = ScriptedPeer.connect(gateway.address)) {
             gateway.haltAt(event -> event instanceof RequestReceived);
             first.send(SocketGatewayHarness.request(1, 50));
             gateway.awaitHalt();
-            List<Line> clients = new ArrayList<>();
+            List<PeerConnection> clients = new ArrayList<>();
             for (int i = 2; i <= 24; i++) {
                 clients.add(
                         ScriptedPeer.connect(gateway.address).send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"));
             }
             gateway.resume();
-            for (Line client : clients) {
+            for (PeerConnection client : clients) {
                 assertTrue(client.read().startsWith("HTTP/1.1 200 "), "read and closed with no answer");
                 client.close();
             }
--- a/cli/src/test/java/garnetreel/cli/SocketGatewayFixture.java
+++ b/cli/src/test/java/garnetreel/cli/SocketGatewayFixture.java
@@ -33,7 +33,7 @@
     /** A head whose shelf's connections do not come up before they are brought up. */
     final SocketGatewayHarness gatewayOfABusyShelf() throws Exception {
         shelf.close();
-        shelf = ScriptedPeer.busy();
+        shelf = ScriptedPeer.listeningWithFullQueue();
         return gateway();
     }
 
--- a/cli/src/test/java/garnetreel/cli/StaleListTest.java
+++ b/cli/src/test/java/garnetreel/cli/StaleListTest.java
@@ -9,7 +9,7 @@
 import garnetreel.policy.event.EndpointUpdate;
 import garnetreel.policy.event.EndpointUpdateKind;
 import garnetreel.testbed.peer.ScriptedPeer;
-import garnetreel.testbed.peer.ScriptedPeer.Line;
+import garnetreel.testbed.peer.ScriptedPeer.PeerConnection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -26,9 +26,9 @@
     }
 
     /** Lets a watch deliver one list and then fall silent, and the next call wait for its answer in vain. */
-    private Line loseTheList(SocketGatewayHarness gateway, Runnable whileSilent) throws Exception {
+    private PeerConnection loseTheList(SocketGatewayHarness gateway, Runnable whileSilent) throws Exception {
         gateway.afterStartDelay();
-        try (Line watch = discovery.accept()) {
+        try (PeerConnection watch = discovery.accept()) {
             watch.read();
             watch.send(SocketGatewayHarness.watch(
                     SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(shelf.address(), "up"))));
@@ -37,7 +37,7 @@
             awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
             whileSilent.run();
             gateway.advance(800_000);
-            Line call = discovery.accept();
+            PeerConnection call = discovery.accept();
             call.read();
             return call;
         }
@@ -46,9 +46,10 @@
     @Test
     void aServerOfWhichNothingIsKnownGetsNothingOnceTheListIsLost() throws Exception {
         try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, shelf);
-                Line call = loseTheList(gateway, () -> {})) {
+                PeerConnection call = loseTheList(gateway, () -> {})) {
             gateway.advance(2 * SECOND); // 6.0 s since the watch was last heard
-            try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
+            try (PeerConnection client =
+                    ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
                 Object decided = gateway.await(one -> one instanceof SendAttempt || one instanceof RejectRequest);
                 assertInstanceOf(RejectRequest.class, decided);
                 assertTrue(client.read().startsWith("HTTP/1.1 503 "));
@@ -56,8 +57,9 @@
                         SocketGatewayHarness.list(3, true, SocketGatewayHarness.entry(shelf.address(), "up"))));
                 awaitList(gateway, EndpointUpdateKind.SNAPSHOT);
             }
-            try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50));
-                    Line sent = shelf.accept()) {
+            try (PeerConnection client =
+                            ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50));
+                    PeerConnection sent = shelf.accept()) {
                 assertTrue(sent.read().contains("0000000000000002"), "with the list back all is as before");
                 sent.send(SocketGatewayHarness.response("result"));
                 assertTrue(client.read().endsWith("result"));
@@ -68,7 +70,7 @@
     @Test
     void aServerThatTookOnARequestLatelyGetsMore() throws Exception {
         try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, shelf)) {
-            Line unanswered = loseTheList(gateway, () -> serve(gateway, 1));
+            PeerConnection unanswered = loseTheList(gateway, () -> serve(gateway, 1));
             gateway.advance(2 * SECOND);
             serve(gateway, 2);
             gateway.advance(500_000); // discovery's answer has not been waited for in full yet
@@ -81,7 +83,7 @@
     @Test
     void anOutageOfDiscoveryStopsNothing() throws Exception {
         try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, shelf).afterStartDelay()) {
-            Line watch = discovery.accept();
+            PeerConnection watch = discovery.accept();
             watch.read();
             watch.send(SocketGatewayHarness.watch(
                     SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(shelf.address(), "up"))));
@@ -90,7 +92,7 @@
             awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
             for (int i = 0; i < 4; i++) {
                 gateway.advance(3_900_000);
-                Line call = discovery.accept();
+                PeerConnection call = discovery.accept();
                 call.read();
                 gateway.advance(2 * SECOND);
                 call.send("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
@@ -98,11 +100,12 @@
             }
             serve(gateway, 1);
             gateway.advance(3_900_000);
-            Line call = discovery.accept();
+            PeerConnection call = discovery.accept();
             call.read();
             call.send("HTTP/1.1 503 Crowded\r\nContent-Length: 0\r\n\r\n");
             awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
-            try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
+            try (PeerConnection client =
+                    ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
                 assertInstanceOf(
                         RejectRequest.class,
                         gateway.await(one -> one instanceof SendAttempt || one instanceof RejectRequest),
@@ -113,11 +116,12 @@
     }
 
     private void serve(SocketGatewayHarness gateway, int number) {
-        try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(number, 50))) {
+        try (PeerConnection client =
+                ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(number, 50))) {
             assertInstanceOf(
                     SendAttempt.class,
                     gateway.await(one -> one instanceof SendAttempt || one instanceof RejectRequest));
-            try (Line sent = shelf.accept()) {
+            try (PeerConnection sent = shelf.accept()) {
                 sent.read();
                 sent.send(SocketGatewayHarness.response("result").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
                 assertTrue(client.read().endsWith("result"));
--- a/codec/src/main/java/garnetreel/codec/rsync/Delta.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/Delta.java
@@ -41,7 +41,7 @@
                     || blockLength < 0
                     || blockLength > Rsync.MAX_BLOCK_LENGTH
                     || strongLength < 0
-                    || strongLength > Rsync.STRONG
+                    || strongLength > Rsync.STRONG_SUM_LENGTH
                     || lastBlockLength < 0
                     || lastBlockLength > blockLength
                     || count > 0 && (blockLength == 0 || strongLength == 0)) {
@@ -58,21 +58,21 @@
         }
 
         /** Reads the checksums of the next block; true if it was the last one. */
-        public boolean read(RsyncIn in) throws RsyncIn.Short {
+        public boolean read(RsyncIn in) throws RsyncIn.IncompleteInputException {
             rollingSums[blocksRead] = in.i32();
             System.arraycopy(in.take(strongLength), 0, strongSums, blocksRead * strongLength, strongLength);
             blocksRead++;
-            if (full()) {
+            if (isComplete()) {
                 for (int i = count - 1; i >= 0; i--) {
                     Integer next = firstIndexByRolling.put(rollingSums[i], i);
                     nextIndexWithSameRolling[i] = next == null ? -1 : next;
                 }
             }
-            return full();
+            return isComplete();
         }
 
         /** Whether the checksums of all blocks have been read. */
-        public boolean full() {
+        public boolean isComplete() {
             return blocksRead == count;
         }
 
@@ -81,7 +81,7 @@
         }
 
         /** Writes the checksum header, which the sender echoes to the receiver. */
-        public void writeHead(RsyncOut out) {
+        public void writeHeader(RsyncOut out) {
             out.i32(count).i32(blockLength).i32(strongLength).i32(lastBlockLength);
         }
     }
--- a/codec/src/main/java/garnetreel/codec/rsync/FileListCodec.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/FileListCodec.java
@@ -10,9 +10,9 @@
     private static final int MAX_ONE_BYTE_LENGTH = 255;
 
     /** The negotiated options that determine which fields an entry has. */
-    public record Form(boolean links, boolean owner, boolean group, boolean sums) {}
+    public record Options(boolean links, boolean owner, boolean group, boolean sums) {}
 
-    private final Form form;
+    private final Options form;
     private String previousName = "";
     private int previousMode;
     private long previousTime;
@@ -21,7 +21,7 @@
     private boolean failed;
 
     /** A codec at the start of a list. */
-    public FileListCodec(Form form) {
+    public FileListCodec(Options form) {
         this.form = form;
     }
 
@@ -75,7 +75,7 @@
             out.varint(item.target().length()).text(item.target());
         }
         if (form.sums() && item.regular()) {
-            out.bytes(item.sum() == null ? new byte[Rsync.STRONG] : item.sum());
+            out.bytes(item.sum() == null ? new byte[Rsync.STRONG_SUM_LENGTH] : item.sum());
         }
         setPrevious(item.name(), item.mode(), item.modified());
     }
@@ -88,7 +88,7 @@
     }
 
     /** Reads an entry; returns null at the end of the list. */
-    public FileItem read(RsyncIn in) throws RsyncIn.Short, ProtocolException {
+    public FileItem read(RsyncIn in) throws RsyncIn.IncompleteInputException, ProtocolException {
         int flags = in.u8();
         if (flags == 0) {
             ended = true;
@@ -131,7 +131,8 @@
             }
             target = in.text(length);
         }
-        byte[] sum = form.sums() && (mode & Rsync.FILE_TYPE_MASK) == Rsync.REGULAR ? in.take(Rsync.STRONG) : null;
+        byte[] sum =
+                form.sums() && (mode & Rsync.FILE_TYPE_MASK) == Rsync.REGULAR ? in.take(Rsync.STRONG_SUM_LENGTH) : null;
         if (size < 0) {
             throw new ProtocolException("a file of " + size + " bytes");
         }
@@ -139,7 +140,8 @@
         return new FileItem(name, mode, size, time, target, sum);
     }
 
-    private static void skipOwner(RsyncIn in, boolean withName) throws RsyncIn.Short, ProtocolException {
+    private static void skipOwner(RsyncIn in, boolean withName)
+            throws RsyncIn.IncompleteInputException, ProtocolException {
         in.varint();
         if (withName) {
             in.text(in.u8());
@@ -152,7 +154,7 @@
     }
 
     /** Whether the sender reported an I/O error, so that the list may be incomplete. */
-    public boolean failed() {
+    public boolean hasIoError() {
         return failed;
     }
 }
--- a/codec/src/main/java/garnetreel/codec/rsync/MultiplexedFrames.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/MultiplexedFrames.java
@@ -46,7 +46,7 @@
                     messageHandler.message(kind, body);
                 }
             }
-        } catch (RsyncIn.Short e) {
+        } catch (RsyncIn.IncompleteInputException e) {
             input.reset();
         }
     }
--- a/codec/src/main/java/garnetreel/codec/rsync/Rsync.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/Rsync.java
@@ -9,7 +9,7 @@
     public static final int MIN_VERSION = 30;
 
     /** Sent instead of a file index: the end of a phase. */
-    public static final int DONE = -1;
+    public static final int PHASE_END = -1;
 
     // Flags of a file list entry.
 
@@ -94,7 +94,7 @@
     public static final int SYMLINK = 0120000;
 
     /** Length of a full strong checksum in bytes: that of MD5. */
-    public static final int STRONG = 16;
+    public static final int STRONG_SUM_LENGTH = 16;
     /** Longest name in bytes. */
     public static final int MAX_NAME_LENGTH = 4096;
 
--- a/codec/src/main/java/garnetreel/codec/rsync/RsyncIn.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/RsyncIn.java
@@ -7,18 +7,18 @@
 
 /**
  * Input buffer that decodes the primitive types of rsync protocol 30. A unit of input starts with {@link #mark}; if it is
- * incomplete, {@link Short} is thrown and the caller returns to its start with {@link #reset}, to retry with more bytes.
+ * incomplete, {@link IncompleteInputException} is thrown and the caller returns to its start with {@link #reset}, to retry with more bytes.
  *
  * <p>Integers are little-endian; the varint, varlong and index encodings are those of rsync's io.c as its documentation
  * and captures show them.
  */
 public final class RsyncIn {
     /** Thrown if the input ends within a unit. */
-    public static final class Short extends Exception {
+    public static final class IncompleteInputException extends Exception {
         private static final long serialVersionUID = 1;
-        private static final Short INSTANCE = new Short();
+        private static final IncompleteInputException INSTANCE = new IncompleteInputException();
 
-        private Short() {
+        private IncompleteInputException() {
             super(null, null, false, false);
         }
     }
@@ -74,27 +74,27 @@
         previousNegativeIndex = markedPreviousNegativeIndex;
     }
 
-    private int advance(int count) throws Short {
+    private int advance(int count) throws IncompleteInputException {
         if (size() < count) {
-            throw Short.INSTANCE;
+            throw IncompleteInputException.INSTANCE;
         }
         readPosition += count;
         return readPosition - count;
     }
 
     /** Reads an unsigned 8-bit number. */
-    public int u8() throws Short {
+    public int u8() throws IncompleteInputException {
         return bytes[advance(1)] & 0xff;
     }
 
     /** Reads an unsigned 16-bit number. */
-    public int u16() throws Short {
+    public int u16() throws IncompleteInputException {
         int start = advance(2);
         return bytes[start] & 0xff | (bytes[start + 1] & 0xff) << 8;
     }
 
     /** Reads a 32-bit number. */
-    public int i32() throws Short {
+    public int i32() throws IncompleteInputException {
         return (int) littleEndian(advance(4), 4);
     }
 
@@ -107,7 +107,7 @@
     }
 
     /** Reads so many bytes. */
-    public byte[] take(int count) throws Short {
+    public byte[] take(int count) throws IncompleteInputException {
         int start = advance(count);
         return Arrays.copyOfRange(bytes, start, start + count);
     }
@@ -120,7 +120,7 @@
     }
 
     /** Reads a 32-bit number in the variable-length encoding. */
-    public int varint() throws Short, ProtocolException {
+    public int varint() throws IncompleteInputException, ProtocolException {
         int first = u8();
         int extraBytes = extraBytes(first);
         if (extraBytes > 4) {
@@ -135,7 +135,7 @@
      *
      * @param minLength minimum length of the number in bytes, which the writer must use too
      */
-    public long varlong(int minLength) throws Short, ProtocolException {
+    public long varlong(int minLength) throws IncompleteInputException, ProtocolException {
         int first = u8();
         int extraBytes = extraBytes(first);
         if (minLength + extraBytes > 9) {
@@ -147,11 +147,11 @@
         return lowBytes >= 8 ? value : value | high << 8 * lowBytes;
     }
 
-    /** Reads a file index, sent as its difference from the previous one; {@link Rsync#DONE} at the end of a phase. */
-    public int index() throws Short {
+    /** Reads a file index, sent as its difference from the previous one; {@link Rsync#PHASE_END} at the end of a phase. */
+    public int index() throws IncompleteInputException {
         int first = u8();
         if (first == 0) {
-            return Rsync.DONE;
+            return Rsync.PHASE_END;
         }
         boolean negative = first == 0xff;
         int difference = negative ? u8() : first;
@@ -179,7 +179,7 @@
     }
 
     /** Reads a string after its length, which has one byte, or two if the top bit of the first is set. */
-    public String vstring() throws Short {
+    public String vstring() throws IncompleteInputException {
         int length = u8();
         if ((length & 0x80) != 0) {
             length = (length & 0x7f) << 8 | u8();
@@ -188,7 +188,7 @@
     }
 
     /** Reads so many bytes as a string of one character per byte, so that any name is preserved. */
-    public String text(int length) throws Short {
+    public String text(int length) throws IncompleteInputException {
         int start = advance(length);
         return new String(bytes, start, length, StandardCharsets.ISO_8859_1);
     }
--- a/codec/src/main/java/garnetreel/codec/rsync/RsyncOut.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/RsyncOut.java
@@ -89,7 +89,7 @@
 
     /** Writes a file index as its difference from the previous one. */
     public RsyncOut index(int index) {
-        if (index == Rsync.DONE) {
+        if (index == Rsync.PHASE_END) {
             return u8(0);
         }
         int value = Math.abs(index);
--- a/codec/src/test/java/garnetreel/codec/RsyncTest.java
+++ b/codec/src/test/java/garnetreel/codec/RsyncTest.java
@@ -57,7 +57,7 @@
             }
         }
         RsyncOut out = new RsyncOut();
-        int[] indexes = {0, 1, 254, 255, 600, 5, 40_000, Rsync.DONE, 40_001, 1 << 24, 3, Integer.MAX_VALUE - 1};
+        int[] indexes = {0, 1, 254, 255, 600, 5, 40_000, Rsync.PHASE_END, 40_001, 1 << 24, 3, Integer.MAX_VALUE - 1};
         for (int index : indexes) {
             out.index(index);
         }
@@ -103,7 +103,7 @@
 
     @Test
     void fileListsRoundTripByteByByte() throws Exception {
-        FileListCodec.Form form = new FileListCodec.Form(true, true, true, true);
+        FileListCodec.Options form = new FileListCodec.Options(true, true, true, true);
         List<FileItem> items = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             int kind = i % 3;
@@ -141,7 +141,7 @@
                             List.of(item.mode(), item.size(), item.modified() & 0xffffffffL, item.target()));
                     assertTrue(Arrays.equals(expected.sum(), item.sum()));
                 }
-            } catch (RsyncIn.Short e) {
+            } catch (RsyncIn.IncompleteInputException e) {
                 in.reset();
             }
         }
@@ -161,7 +161,7 @@
                 rebuilt.write(basis, from, Math.min(blockLength, basis.length - from));
             }
         }
-        assertArrayEquals(Checksums.md5().digest(rebuilt.toByteArray()), in.take(Rsync.STRONG));
+        assertArrayEquals(Checksums.md5().digest(rebuilt.toByteArray()), in.take(Rsync.STRONG_SUM_LENGTH));
         return rebuilt.toByteArray();
     }
 
@@ -176,7 +176,7 @@
                     .bytes(Checksums.strong(md5, basisContents, i * blockLength, length, SEED), 0, strongLength);
         }
         RsyncIn in = in(out);
-        while (!basis.full()) {
+        while (!basis.isComplete()) {
             basis.read(in);
         }
         return basis;
@@ -273,15 +273,15 @@
             random.nextBytes(bytes);
             RsyncIn in = new RsyncIn();
             in.add(ByteBuffer.wrap(bytes));
-            FileListCodec list =
-                    new FileListCodec(new FileListCodec.Form(run % 2 == 0, run % 3 == 0, run % 5 == 0, run % 7 == 0));
+            FileListCodec list = new FileListCodec(
+                    new FileListCodec.Options(run % 2 == 0, run % 3 == 0, run % 5 == 0, run % 7 == 0));
             try {
                 while (list.read(in) != null) {
                     in.mark();
                 }
                 new MultiplexedFrames().add(ByteBuffer.wrap(bytes), new RsyncIn(), (kind, body) -> {});
                 new Delta.Basis(in.i32(), in.i32(), in.i32(), in.i32());
-            } catch (RsyncIn.Short | ProtocolException e) {
+            } catch (RsyncIn.IncompleteInputException | ProtocolException e) {
                 errors++;
             }
         }
--- a/core/src/main/java/garnetreel/core/Gateway.java
+++ b/core/src/main/java/garnetreel/core/Gateway.java
@@ -74,7 +74,7 @@
      * @param cachedMap the same under {@link MapServiceClient#CACHE_NAME}
      */
     public Gateway(GatewaySettings settings, Scheduler scheduler, byte[] cachedNodeList, byte[] cachedMap) {
-        this(settings, scheduler, cachedNodeList, cachedMap, FileCatalogueStore.StoredCatalogue.NOTHING);
+        this(settings, scheduler, cachedNodeList, cachedMap, FileCatalogueStore.StoredCatalogue.EMPTY);
     }
 
     /**
--- a/core/src/main/java/garnetreel/core/server/NbdServer.java
+++ b/core/src/main/java/garnetreel/core/server/NbdServer.java
@@ -24,7 +24,7 @@
     }
 
     ByteBudget byteBudget() {
-        return room;
+        return byteBudget;
     }
 
     /** The export of a name; the empty name is the first export. Null when there is none. */
--- a/core/src/main/java/garnetreel/core/server/ProtocolServer.java
+++ b/core/src/main/java/garnetreel/core/server/ProtocolServer.java
@@ -65,7 +65,7 @@
     /** Settings of the gateway. */
     protected final GatewaySettings settings;
     /** The byte budget of the gateway. */
-    protected final ByteBudget room;
+    protected final ByteBudget byteBudget;
 
     private final Map<Long, S> sessions = new TreeMap<>();
     /** Sessions in their handshake, in the order they were accepted, which is the order of their deadlines. */
@@ -79,7 +79,7 @@
     /** A server without connections. */
     protected ProtocolServer(GatewaySettings settings, ByteBudget byteBudget) {
         this.settings = settings;
-        this.room = byteBudget;
+        this.byteBudget = byteBudget;
     }
 
     /**
@@ -174,7 +174,7 @@
     public final void ended(S session) {
         sessions.remove(session.conn);
         handshaking.remove(session);
-        room.removeListener(session);
+        byteBudget.removeListener(session);
         if (session.rejected) {
             rejected--;
         }
--- a/core/src/main/java/garnetreel/core/server/rsync/BasisChecksums.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/BasisChecksums.java
@@ -59,7 +59,7 @@
      */
     private static int strongLength(long size, int blockLength) {
         int bits = 10 + 2 * (64 - Long.numberOfLeadingZeros(size)) - (32 - Integer.numberOfLeadingZeros(blockLength));
-        return Math.max(2, Math.min(Rsync.STRONG, (bits - 32 + 7) / 8));
+        return Math.max(2, Math.min(Rsync.STRONG_SUM_LENGTH, (bits - 32 + 7) / 8));
     }
 
     /** Starts reads and sends the checksums of blocks that have been read; true if there was progress. */
--- a/core/src/main/java/garnetreel/core/server/rsync/FileCatalogueStore.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileCatalogueStore.java
@@ -26,7 +26,7 @@
     /** The snapshot and the journal records of an earlier run. */
     public record StoredCatalogue(byte[] snapshot, List<byte[]> records) {
         /** The state of a gateway that has never stored files. */
-        public static final StoredCatalogue NOTHING = new StoredCatalogue(null, List.of());
+        public static final StoredCatalogue EMPTY = new StoredCatalogue(null, List.of());
     }
 
     private record PendingCommit(FileChange change, Runnable done) {}
--- a/core/src/main/java/garnetreel/core/server/rsync/FileReceiver.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileReceiver.java
@@ -94,7 +94,7 @@
         this.seed = seed;
         this.catalogue = session.server.files.catalogue();
         this.listCodec = new FileListCodec(
-                new FileListCodec.Form(options.links, options.owner, options.group, options.checksum));
+                new FileListCodec.Options(options.links, options.owner, options.group, options.checksum));
         this.state = options.delete || options.pruneEmptyDirs ? State.FILTERS : State.LIST;
         if (options.paths.size() != 1) {
             throw new ProtocolException("a push has one destination");
@@ -117,7 +117,7 @@
                 case CONTENTS -> (generatorProgressed = generate()) | receiveContents();
                 case GOODBYE -> sendGoodbye();
             };
-        } catch (RsyncIn.Short e) {
+        } catch (RsyncIn.IncompleteInputException e) {
             session.in.reset();
             return generatorProgressed;
         }
@@ -125,7 +125,7 @@
 
     // ---------------------------------------------------------------- file list
 
-    private boolean readFilterRule() throws RsyncIn.Short, ProtocolException {
+    private boolean readFilterRule() throws RsyncIn.IncompleteInputException, ProtocolException {
         int length = session.in.i32();
         if (length < 0 || length > Rsync.MAX_NAME_LENGTH) {
             throw new ProtocolException("a filter rule of " + length + " bytes");
@@ -138,7 +138,7 @@
         return true;
     }
 
-    private boolean readListEntry() throws RsyncIn.Short, ProtocolException {
+    private boolean readListEntry() throws RsyncIn.IncompleteInputException, ProtocolException {
         FileItem item = listCodec.read(session.in);
         if (item == null) {
             state = options.numericIds
@@ -158,7 +158,7 @@
     }
 
     /** Skips the list of user or group names; ownership is not stored. */
-    private boolean skipIdNames(State nextState) throws RsyncIn.Short, ProtocolException {
+    private boolean skipIdNames(State nextState) throws RsyncIn.IncompleteInputException, ProtocolException {
         if (state == State.GROUP_NAMES && !options.group) {
             state = nextState;
             completeList();
@@ -265,7 +265,7 @@
 
     /** Deletes entries that the client's directories do not contain, unless the client failed to read all of them. */
     private void deleteExtraneous() {
-        if (listCodec.failed() || session.peerIoError()) {
+        if (listCodec.hasIoError() || session.peerIoError()) {
             session.sendMessage(Rsync.INFO, "IO error encountered -- skipping file deletion\n");
             return;
         }
@@ -345,7 +345,7 @@
             return true;
         }
         if (phaseEndsSent == phase && phaseEndsSent < LAST_PHASE && redo.isEmpty()) {
-            session.out.index(Rsync.DONE);
+            session.out.index(Rsync.PHASE_END);
             session.flush();
             phaseEndsSent++;
             return true;
@@ -410,13 +410,13 @@
 
     // ---------------------------------------------------------------- receiver
 
-    private boolean readReply() throws RsyncIn.Short, ProtocolException {
+    private boolean readReply() throws RsyncIn.IncompleteInputException, ProtocolException {
         session.in.mark();
         if (incomingFile != null) {
             return false;
         }
         int index = session.in.index();
-        if (index == Rsync.DONE) {
+        if (index == Rsync.PHASE_END) {
             phase++;
             if (phase > phaseEndsSent) {
                 throw new ProtocolException("a phase ended that had not begun");
@@ -451,7 +451,7 @@
         return true;
     }
 
-    private boolean readChecksumHeader() throws RsyncIn.Short, ProtocolException {
+    private boolean readChecksumHeader() throws RsyncIn.IncompleteInputException, ProtocolException {
         int blockCount = session.in.i32();
         int blockLength = session.in.i32();
         session.in.i32();
@@ -476,7 +476,7 @@
         return true;
     }
 
-    private boolean receiveContents() throws RsyncIn.Short, ProtocolException {
+    private boolean receiveContents() throws RsyncIn.IncompleteInputException, ProtocolException {
         if (!incomingFile.step()) {
             return false;
         }
@@ -548,7 +548,7 @@
         if (pendingCommits > 0) {
             return false;
         }
-        session.out.index(Rsync.DONE);
+        session.out.index(Rsync.PHASE_END);
         session.finish();
         return false;
     }
--- a/core/src/main/java/garnetreel/core/server/rsync/FileSender.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileSender.java
@@ -82,7 +82,7 @@
         this.seed = seed;
         this.volume = session.server.files.volume(module.name());
         this.listCodec = new FileListCodec(
-                new FileListCodec.Form(options.links, options.owner, options.group, options.checksum));
+                new FileListCodec.Options(options.links, options.owner, options.group, options.checksum));
     }
 
     @Override
@@ -99,7 +99,7 @@
                 case CONTENTS -> sendContents();
                 case GOODBYE -> readGoodbye();
             };
-        } catch (RsyncIn.Short e) {
+        } catch (RsyncIn.IncompleteInputException e) {
             session.in.reset();
             return false;
         }
@@ -107,7 +107,7 @@
 
     // ---------------------------------------------------------------- file list
 
-    private boolean readFilterRule() throws RsyncIn.Short, ProtocolException {
+    private boolean readFilterRule() throws RsyncIn.IncompleteInputException, ProtocolException {
         int length = session.in.i32();
         if (length < 0 || length > Rsync.MAX_NAME_LENGTH) {
             throw new ProtocolException("a filter rule of " + length + " bytes");
@@ -251,13 +251,13 @@
 
     // ---------------------------------------------------------------- requests
 
-    private boolean readRequest() throws RsyncIn.Short, ProtocolException {
+    private boolean readRequest() throws RsyncIn.IncompleteInputException, ProtocolException {
         if (!session.canWrite()) {
             return false;
         }
         index = session.in.index();
-        if (index == Rsync.DONE) {
-            session.out.index(Rsync.DONE);
+        if (index == Rsync.PHASE_END) {
+            session.out.index(Rsync.PHASE_END);
             if (++phase > LAST_PHASE) {
                 session.out
                         .varlong(session.bytesReceived(), 3)
@@ -300,14 +300,14 @@
         }
     }
 
-    private boolean readChecksumHeader() throws RsyncIn.Short, ProtocolException {
+    private boolean readChecksumHeader() throws RsyncIn.IncompleteInputException, ProtocolException {
         basis = new Delta.Basis(session.in.i32(), session.in.i32(), session.in.i32(), session.in.i32());
         state = State.BLOCK_CHECKSUMS;
         return true;
     }
 
-    private boolean readBlockChecksums() throws RsyncIn.Short {
-        while (!basis.full()) {
+    private boolean readBlockChecksums() throws RsyncIn.IncompleteInputException {
+        while (!basis.isComplete()) {
             session.in.mark();
             basis.read(session.in);
         }
@@ -327,7 +327,7 @@
         currentFile = current;
         session.server.files.catalogue().open(currentFile);
         echoItem();
-        basis.writeHead(session.out);
+        basis.writeHeader(session.out);
         delta = new Delta(basis, seed, session.out);
         readOffset = 0;
         sentBytes = 0;
@@ -379,7 +379,7 @@
         session.server.files.catalogue().close(currentFile);
         if (error != null || damaged) {
             String reason = damaged ? "its contents do not match their checksum" : error;
-            session.out.corrupt(Rsync.STRONG);
+            session.out.corrupt(Rsync.STRONG_SUM_LENGTH);
             session.sendMessage(
                     Rsync.ERROR_XFER,
                     "rsync: read errors mapping \"/" + FileNames.printable(currentFile.path()) + "\" (in "
@@ -391,8 +391,8 @@
         state = State.REQUESTS;
     }
 
-    private boolean readGoodbye() throws RsyncIn.Short, ProtocolException {
-        if (session.in.index() != Rsync.DONE) {
+    private boolean readGoodbye() throws RsyncIn.IncompleteInputException, ProtocolException {
+        if (session.in.index() != Rsync.PHASE_END) {
             throw new ProtocolException("something else than a goodbye");
         }
         session.finish();
--- a/core/src/main/java/garnetreel/core/server/rsync/IncomingFile.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/IncomingFile.java
@@ -69,7 +69,7 @@
     }
 
     /** Processes the next token or part of a literal; false while it waits for input or block operations. */
-    boolean step() throws RsyncIn.Short, ProtocolException {
+    boolean step() throws RsyncIn.IncompleteInputException, ProtocolException {
         if (basisReadPending || error == null && session.blockIo.outstanding() >= MAX_OUTSTANDING_WRITES) {
             return false;
         }
@@ -99,7 +99,7 @@
         return true;
     }
 
-    private boolean readFileSum() throws RsyncIn.Short {
+    private boolean readFileSum() throws RsyncIn.IncompleteInputException {
         expectedSum = session.in.take(16);
         actualSum = md5.digest();
         if (buffered > 0) {
--- a/core/src/main/java/garnetreel/core/server/rsync/RsyncServer.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/RsyncServer.java
@@ -40,7 +40,7 @@
     }
 
     ByteBudget byteBudget() {
-        return room;
+        return byteBudget;
     }
 
     long time() {
--- a/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
@@ -440,7 +440,7 @@
     private static byte[] takeAll(RsyncIn from) {
         try {
             return from.take(from.size());
-        } catch (RsyncIn.Short e) {
+        } catch (RsyncIn.IncompleteInputException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/testbed/src/main/java/garnetreel/testbed/client/ExpectedPages.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/ExpectedPages.java
@@ -16,7 +16,7 @@
     /** Microseconds for which a write of unknown outcome may still take effect: a node completes work it has begun. */
     private static final long LATE_WRITE_WINDOW = 2_000_000;
 
-    private static final int WORDS_PER_PAGE = MemoryDisk.PAGE / Long.BYTES;
+    private static final int WORDS_PER_PAGE = MemoryDisk.PAGE_BYTES / Long.BYTES;
 
     private static final class Page {
         /** Stamp of the last acknowledged write. */
@@ -38,7 +38,7 @@
 
     /** Records that a write was acknowledged without an error. */
     void recordAcknowledged(long offset, int length, long stamp, long now) {
-        for (long position = offset; position < offset + length; position += MemoryDisk.PAGE) {
+        for (long position = offset; position < offset + length; position += MemoryDisk.PAGE_BYTES) {
             Page page = page(position);
             page.acknowledged = stamp;
             page.unknownOutcomes.values().removeIf(since -> since < now - LATE_WRITE_WINDOW);
@@ -47,7 +47,7 @@
 
     /** Records that a write failed or was not answered. */
     void recordUnknownOutcome(long offset, int length, long stamp, long now) {
-        for (long position = offset; position < offset + length; position += MemoryDisk.PAGE) {
+        for (long position = offset; position < offset + length; position += MemoryDisk.PAGE_BYTES) {
             page(position).unknownOutcomes.put(stamp, now);
         }
     }
@@ -55,7 +55,7 @@
     /** Describes how data that was read differs from the expected contents; null if it does not. */
     String mismatch(long offset, byte[] data) {
         ByteBuffer contents = ByteBuffer.wrap(data);
-        for (int position = 0; position < data.length; position += MemoryDisk.PAGE) {
+        for (int position = 0; position < data.length; position += MemoryDisk.PAGE_BYTES) {
             Page page = page(offset + position);
             long stamp = contents.getLong(position);
             for (int word = 1; word < WORDS_PER_PAGE; word++) {
@@ -72,13 +72,13 @@
     }
 
     private Page page(long offset) {
-        return pages.computeIfAbsent(offset / MemoryDisk.PAGE, index -> new Page());
+        return pages.computeIfAbsent(offset / MemoryDisk.PAGE_BYTES, index -> new Page());
     }
 
     /** Offsets of the slots that contain a written page, in ascending order. */
     List<Long> writtenSlots(int slotBytes) {
         return pages.keySet().stream()
-                .map(page -> page * MemoryDisk.PAGE / slotBytes * slotBytes)
+                .map(page -> page * MemoryDisk.PAGE_BYTES / slotBytes * slotBytes)
                 .distinct()
                 .sorted()
                 .toList();
--- a/testbed/src/main/java/garnetreel/testbed/client/NbdLoadGenerator.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/NbdLoadGenerator.java
@@ -47,21 +47,21 @@
     /** Outcome counters of one operation. */
     public static final class Tally {
         /** Requests; retries are not counted. */
-        public long asked;
+        public long requests;
         /** Requests answered without an error. */
         public long served;
         /** Requests in {@link #served} answered within the latency objective. */
         public long inTime;
         /** Requests whose last attempt was rejected with ENOMEM. */
-        public long refused;
+        public long rejected;
         /** Requests whose last attempt was answered with another error. */
         public long failed;
         /** Requests whose connection was not ready or was lost. */
         public long unreachable;
         /** Attempts, including retries. */
-        public long tries;
+        public long attempts;
         /** Reads that returned unexpected data. */
-        public long misread;
+        public long mismatches;
     }
 
     private final NbdLoadSettings settings;
@@ -185,7 +185,7 @@
     }
 
     private void sendNew(LoadRequest request) {
-        tally(request).asked++;
+        tally(request).requests++;
         send(request);
     }
 
@@ -196,12 +196,12 @@
             return;
         }
         request.attempts++;
-        tally(request).tries++;
+        tally(request).attempts++;
         long tag = clientNumber << CLIENT_NUMBER_SHIFT | ++lastTag;
         LoadAttempt attempt = new LoadAttempt(request);
         connection.inFlight.put(tag, attempt);
         pendingReplies.add(tag, attempt, now + settings.deadlines().of(request.operation));
-        trace(Kind.ASK, tag, request, Integer.toString(request.attempts - 1));
+        trace(Kind.REQUEST, tag, request, Integer.toString(request.attempts - 1));
         actions.add(new NetAction.Write(connection.connectionId, encode(tag, request)));
     }
 
@@ -260,7 +260,7 @@
             case Nbd.ENOMEM -> {
                 trace(Kind.REPLY, tag, request, "refused");
                 if (!retry(attempt)) {
-                    tally(request).refused++;
+                    tally(request).rejected++;
                     abandon(request);
                 }
             }
@@ -290,7 +290,7 @@
         } else if (request.operation.isRead()) {
             String mismatch = expectedPages.mismatch(request.offset, attempt.data);
             if (mismatch != null) {
-                tally.misread++;
+                tally.mismatches++;
                 trace(Kind.MISREAD, tag, request, mismatch);
             }
         }
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncClientSession.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncClientSession.java
@@ -89,7 +89,7 @@
                 case TRANSFER -> advanceTransfer();
                 case ENDED -> false;
             };
-        } catch (RsyncIn.Short e) {
+        } catch (RsyncIn.IncompleteInputException e) {
             in.reset();
             return false;
         }
@@ -119,7 +119,7 @@
         return true;
     }
 
-    private boolean readSetup() throws RsyncIn.Short, ProtocolException {
+    private boolean readSetup() throws RsyncIn.IncompleteInputException, ProtocolException {
         in.varint(); // compatibility flags
         int seed = in.i32();
         // Bytes received after the setup are the start of the multiplexed stream.
@@ -133,7 +133,7 @@
         return true;
     }
 
-    private boolean advanceTransfer() throws RsyncIn.Short, ProtocolException {
+    private boolean advanceTransfer() throws RsyncIn.IncompleteInputException, ProtocolException {
         boolean progress = transfer.step();
         if (transfer.isEnded()) {
             flush();
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncLoadGenerator.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncLoadGenerator.java
@@ -31,19 +31,19 @@
         /** Pulls started. */
         public long pulls;
         /** Runs that completed the goodbye exchange without an error. */
-        public long whole;
+        public long completed;
         /** Runs that completed the goodbye exchange with errors; also counted in {@link #broken}. */
         public long completedWithErrors;
         /** Runs that ended but are not counted in {@link #whole}. */
-        public long broken;
+        public long failed;
         /** Files transferred. */
         public long files;
         /** Bytes of those files. */
         public long bytes;
         /** Bytes that pushes sent literally, as the server's copy had no matching block. */
-        public long literal;
+        public long literalBytes;
         /** Pulled files that were missing or had unexpected contents. */
-        public long misread;
+        public long mismatches;
     }
 
     private final RsyncLoadSettings settings;
@@ -152,15 +152,15 @@
         connectionId = 0;
         runDeadline = Long.MAX_VALUE;
         nextRunAt = now + (complete ? (long) (-Math.log(1 - random.nextDouble()) * settings.meanPause()) : RETRY_DELAY);
-        tally.whole += complete ? 1 : 0;
-        tally.broken += complete ? 0 : 1;
+        tally.completed += complete ? 1 : 0;
+        tally.failed += complete ? 0 : 1;
         if (push) {
             files.recordPush(complete);
         }
     }
 
     private void reportMismatch(String name, String mismatch) {
-        tally.misread++;
+        tally.mismatches++;
         trace.add(TraceEvent.client(
                 now,
                 settings.name(),
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncPull.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncPull.java
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public boolean step() throws RsyncIn.Short, ProtocolException {
+    public boolean step() throws RsyncIn.IncompleteInputException, ProtocolException {
         switch (state) {
             case FILE_LIST -> readFileList();
             case FILES -> readFileHeader();
@@ -71,7 +71,7 @@
         return true;
     }
 
-    private void readFileList() throws RsyncIn.Short, ProtocolException {
+    private void readFileList() throws RsyncIn.IncompleteInputException, ProtocolException {
         FileItem item = fileList.read(in);
         if (item != null) {
             items.add(item);
@@ -83,7 +83,7 @@
                 requestWholeFile(i);
             }
         }
-        out.index(Rsync.DONE).index(Rsync.DONE).index(Rsync.DONE);
+        out.index(Rsync.PHASE_END).index(Rsync.PHASE_END).index(Rsync.PHASE_END);
         files.pushedFilesMissingFrom(items).forEach(name -> onMismatch.accept(name, "is not there"));
         state = State.FILES;
     }
@@ -98,9 +98,9 @@
                 .i32(0);
     }
 
-    private void readFileHeader() throws RsyncIn.Short, ProtocolException {
+    private void readFileHeader() throws RsyncIn.IncompleteInputException, ProtocolException {
         index = in.index();
-        if (index == Rsync.DONE) {
+        if (index == Rsync.PHASE_END) {
             if (++phasesEnded == PHASES) {
                 state = State.GOODBYE;
             }
@@ -118,7 +118,7 @@
     }
 
     /** Reads a token or part of its data; returns false if more bytes are needed. */
-    private boolean readContents() throws RsyncIn.Short {
+    private boolean readContents() throws RsyncIn.IncompleteInputException {
         if (literalRemaining > 0) {
             int part = Math.min(literalRemaining, in.size());
             contents.writeBytes(in.take(part));
@@ -130,7 +130,7 @@
             literalRemaining = token;
             return true;
         }
-        byte[] checksum = in.take(Rsync.STRONG);
+        byte[] checksum = in.take(Rsync.STRONG_SUM_LENGTH);
         verifyFile(items.get(index).name(), contents.toByteArray(), checksum);
         state = State.FILES;
         return true;
@@ -146,7 +146,7 @@
         }
     }
 
-    private void readGoodbye() throws RsyncIn.Short {
+    private void readGoodbye() throws RsyncIn.IncompleteInputException {
         for (int i = 0; i < STATISTICS_COUNT; i++) {
             try {
                 in.varlong(MIN_STATISTIC_BYTES);
@@ -154,7 +154,7 @@
                 errors = true;
             }
         }
-        out.index(Rsync.DONE);
+        out.index(Rsync.PHASE_END);
         state = State.ENDED;
     }
 
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncPush.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncPush.java
@@ -50,12 +50,12 @@
     }
 
     @Override
-    public boolean step() throws RsyncIn.Short, ProtocolException {
+    public boolean step() throws RsyncIn.IncompleteInputException, ProtocolException {
         switch (state) {
             case REQUESTS -> readRequest();
             case CHECKSUMS -> sendDelta();
             case GOODBYE -> {
-                if (in.index() == Rsync.DONE) {
+                if (in.index() == Rsync.PHASE_END) {
                     state = State.ENDED;
                 }
             }
@@ -64,10 +64,10 @@
         return true;
     }
 
-    private void readRequest() throws RsyncIn.Short, ProtocolException {
+    private void readRequest() throws RsyncIn.IncompleteInputException, ProtocolException {
         index = in.index();
-        if (index == Rsync.DONE) {
-            out.index(Rsync.DONE);
+        if (index == Rsync.PHASE_END) {
+            out.index(Rsync.PHASE_END);
             if (++phasesEnded == PHASES) {
                 state = State.GOODBYE;
             }
@@ -78,21 +78,21 @@
         state = State.CHECKSUMS;
     }
 
-    private void sendDelta() throws RsyncIn.Short {
-        while (!basis.full()) {
+    private void sendDelta() throws RsyncIn.IncompleteInputException {
+        while (!basis.isComplete()) {
             // Keeps the checksums read so far if the input runs short.
             in.mark();
             basis.read(in);
         }
         out.index(index).u16(itemFlags);
-        basis.writeHead(out);
+        basis.writeHeader(out);
         byte[] contents = files.contents(items.get(index).name());
         Delta delta = new Delta(basis, checksumSeed, out);
         delta.add(contents, 0, contents.length);
         delta.end();
         tally.files++;
         tally.bytes += contents.length;
-        tally.literal += contents.length - delta.matched();
+        tally.literalBytes += contents.length - delta.matched();
         state = State.REQUESTS;
     }
 
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncTransfer.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncTransfer.java
@@ -8,17 +8,17 @@
 /** The exchange of an rsync client inside the multiplexed stream of a run: a push or a pull. */
 interface RsyncTransfer {
     /** Form of the file list under the options of this client. */
-    FileListCodec.Form LIST_FORM = new FileListCodec.Form(true, false, false, false);
+    FileListCodec.Options LIST_FORM = new FileListCodec.Options(true, false, false, false);
 
     /** Starts the transfer, and writes what is sent before anything is read. */
     void begin(RsyncIn input, RsyncOut output, int checksumSeed);
 
     /**
-     * Processes the next protocol element. The caller marks the input, and resets it on {@link RsyncIn.Short}.
+     * Processes the next protocol element. The caller marks the input, and resets it on {@link RsyncIn.IncompleteInputException}.
      *
      * @return false if more bytes are needed
      */
-    boolean step() throws RsyncIn.Short, ProtocolException;
+    boolean step() throws RsyncIn.IncompleteInputException, ProtocolException;
 
     /** Whether the goodbye exchange is complete. */
     boolean isEnded();
--- a/testbed/src/main/java/garnetreel/testbed/list/FakeNodeList.java
+++ b/testbed/src/main/java/garnetreel/testbed/list/FakeNodeList.java
@@ -248,7 +248,7 @@
                     now,
                     name,
                     client.name,
-                    TraceEvent.Kind.TOLD,
+                    TraceEvent.Kind.NOTIFY,
                     entry.address(),
                     entry.shard(),
                     TraceLabels.of(entry.state())));
--- a/testbed/src/main/java/garnetreel/testbed/node/MapServiceOrderHandler.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/MapServiceOrderHandler.java
@@ -47,7 +47,7 @@
     }
 
     private Report loadReport(Order order) {
-        ByteBuffer load = meter.takeReport(turn.now(), settings.cores(), disk.used(), settings.capacity());
+        ByteBuffer load = meter.takeReport(turn.now(), settings.cores(), disk.usedBytes(), settings.capacity());
         return new Report(order.seq(), true, false, nodeIncarnation, 0, load);
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/MemoryDisk.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/MemoryDisk.java
@@ -13,7 +13,7 @@
  */
 public final class MemoryDisk {
     /** Size of a page in bytes. */
-    public static final int PAGE = 4096;
+    public static final int PAGE_BYTES = 4096;
     /** Flags of an unallocated range, as in NBD's base:allocation context. */
     private static final int HOLE_AND_ZERO = 3;
     /** Flag of an allocated range that reads as zeroes. */
@@ -21,7 +21,7 @@
     /** Maximum number of pages of a volume: a page's key is the volume's number times this plus the page's index. */
     private static final long PAGES_PER_VOLUME = 1L << 40;
 
-    private static final byte[] ZERO_BYTES = new byte[PAGE];
+    private static final byte[] ZERO_BYTES = new byte[PAGE_BYTES];
     /** Stands for each page that was written with zeroes as a whole. */
     private static final Page ZEROES = new Page(ZERO_BYTES);
     /** Stands for each page that was trimmed. */
@@ -38,7 +38,7 @@
 
         int computeChecksum() {
             CRC32C crc32c = new CRC32C();
-            crc32c.update(bytes, 0, PAGE);
+            crc32c.update(bytes, 0, PAGE_BYTES);
             return (int) crc32c.getValue();
         }
     }
@@ -70,13 +70,13 @@
 
     /** Whether the page at an offset is allocated. */
     boolean exists(long volume, long offset) {
-        Page page = page(volume, offset / PAGE);
+        Page page = page(volume, offset / PAGE_BYTES);
         return page != null && page != TRIMMED;
     }
 
     /** Durably discards a range whose extent is owned by another node. */
     void discard(long volume, long offset, long length) {
-        for (long index = offset / PAGE; index < (offset + length) / PAGE; index++) {
+        for (long index = offset / PAGE_BYTES; index < (offset + length) / PAGE_BYTES; index++) {
             unflushed.remove(key(volume, index));
             durable.remove(key(volume, index));
         }
@@ -97,12 +97,12 @@
         long position = offset;
         long end = offset + length;
         while (position < end) {
-            int offsetInPage = (int) (position % PAGE);
-            int partLength = (int) Math.min(PAGE - offsetInPage, end - position);
-            Page page = page(volume, position / PAGE);
+            int offsetInPage = (int) (position % PAGE_BYTES);
+            int partLength = (int) Math.min(PAGE_BYTES - offsetInPage, end - position);
+            Page page = page(volume, position / PAGE_BYTES);
             if (page != null && page.computeChecksum() != page.checksum) {
                 throw new DamagedPageException(
-                        "page " + position / PAGE + " of volume " + volume + " does not match its checksum");
+                        "page " + position / PAGE_BYTES + " of volume " + volume + " does not match its checksum");
             }
             target.put(page == null ? ZERO_BYTES : page.bytes, offsetInPage, partLength);
             position += partLength;
@@ -114,12 +114,12 @@
         ByteBuffer from = data.duplicate();
         long position = offset;
         while (from.hasRemaining()) {
-            int offsetInPage = (int) (position % PAGE);
-            int partLength = Math.min(PAGE - offsetInPage, from.remaining());
-            Page old = partLength == PAGE ? null : page(volume, position / PAGE);
-            byte[] bytes = old == null ? new byte[PAGE] : old.bytes.clone();
+            int offsetInPage = (int) (position % PAGE_BYTES);
+            int partLength = Math.min(PAGE_BYTES - offsetInPage, from.remaining());
+            Page old = partLength == PAGE_BYTES ? null : page(volume, position / PAGE_BYTES);
+            byte[] bytes = old == null ? new byte[PAGE_BYTES] : old.bytes.clone();
             from.get(bytes, offsetInPage, partLength);
-            unflushed.put(key(volume, position / PAGE), new Page(bytes));
+            unflushed.put(key(volume, position / PAGE_BYTES), new Page(bytes));
             position += partLength;
         }
     }
@@ -129,11 +129,11 @@
         long position = offset;
         long end = offset + length;
         while (position < end) {
-            int offsetInPage = (int) (position % PAGE);
-            int partLength = (int) Math.min(PAGE - offsetInPage, end - position);
-            if (partLength == PAGE) {
-                unflushed.put(key(volume, position / PAGE), trim ? TRIMMED : ZEROES);
-            } else if (page(volume, position / PAGE) != null || !trim) {
+            int offsetInPage = (int) (position % PAGE_BYTES);
+            int partLength = (int) Math.min(PAGE_BYTES - offsetInPage, end - position);
+            if (partLength == PAGE_BYTES) {
+                unflushed.put(key(volume, position / PAGE_BYTES), trim ? TRIMMED : ZEROES);
+            } else if (page(volume, position / PAGE_BYTES) != null || !trim) {
                 write(volume, position, ByteBuffer.allocate(partLength));
             }
             position += partLength;
@@ -146,8 +146,8 @@
         long position = offset;
         long end = offset + length;
         while (position < end) {
-            int partLength = (int) Math.min(PAGE - position % PAGE, end - position);
-            Page page = page(volume, position / PAGE);
+            int partLength = (int) Math.min(PAGE_BYTES - position % PAGE_BYTES, end - position);
+            Page page = page(volume, position / PAGE_BYTES);
             int flags = allocationFlags(page);
             AllocationRange last = ranges.isEmpty() ? null : ranges.get(ranges.size() - 1);
             if (last != null && last.flags() == flags) {
@@ -208,23 +208,23 @@
     }
 
     /** Allocated bytes. */
-    public long used() {
+    public long usedBytes() {
         long pages = durable.size();
         for (Map.Entry<Long, Page> entry : unflushed.entrySet()) {
             int before = durable.containsKey(entry.getKey()) ? 1 : 0;
             int after = entry.getValue() == TRIMMED ? 0 : 1;
             pages += after - before;
         }
-        return pages * PAGE;
+        return pages * PAGE_BYTES;
     }
 
     /** CRC32C of the data that a read of a range returns. */
     int checksum(long volume, long offset, long length) throws DamagedPageException {
         CRC32C crc = new CRC32C();
-        ByteBuffer page = ByteBuffer.allocate(PAGE);
-        for (long position = offset; position < offset + length; position += PAGE) {
+        ByteBuffer page = ByteBuffer.allocate(PAGE_BYTES);
+        for (long position = offset; position < offset + length; position += PAGE_BYTES) {
             page.clear();
-            read(volume, position, (int) Math.min(PAGE, offset + length - position), page);
+            read(volume, position, (int) Math.min(PAGE_BYTES, offset + length - position), page);
             crc.update(page.flip());
         }
         return (int) crc.getValue();
@@ -232,11 +232,11 @@
 
     /** Flips a bit of a stored page, to test checksums; false if there are no stored bytes at the offset. */
     public boolean damage(long volume, long offset) {
-        Page page = page(volume, offset / PAGE);
+        Page page = page(volume, offset / PAGE_BYTES);
         if (page == null || page == ZEROES || page == TRIMMED) {
             return false;
         }
-        page.bytes[(int) (offset % PAGE)] ^= 1;
+        page.bytes[(int) (offset % PAGE_BYTES)] ^= 1;
         return true;
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/MigrationParticipant.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/MigrationParticipant.java
@@ -21,7 +21,7 @@
     /** Size in bytes of an entry in an ownership report. */
     private static final int OWNERSHIP_ENTRY = 29;
     /** Size in bytes of a page on the wire: its index and its data. */
-    private static final int PAGE_ENTRY = Integer.BYTES + MemoryDisk.PAGE;
+    private static final int PAGE_ENTRY = Integer.BYTES + MemoryDisk.PAGE_BYTES;
 
     private final MemoryDisk disk;
     private final long nodeIncarnation;
@@ -88,8 +88,8 @@
         }
         entry.state = State.SERVING;
         entry.changedPages = new TreeSet<>();
-        for (int page = 0; page < order.extentBytes() / MemoryDisk.PAGE; page++) {
-            if (disk.exists(order.volume(), extentOffset(order) + (long) page * MemoryDisk.PAGE)) {
+        for (int page = 0; page < order.extentBytes() / MemoryDisk.PAGE_BYTES; page++) {
+            if (disk.exists(order.volume(), extentOffset(order) + (long) page * MemoryDisk.PAGE_BYTES)) {
                 entry.changedPages.add(page);
             }
         }
@@ -103,11 +103,11 @@
         ByteBuffer pages = ByteBuffer.allocate(Math.max(PAGE_ENTRY, order.room()));
         while (!entry.changedPages.isEmpty() && pages.remaining() >= PAGE_ENTRY) {
             int page = entry.changedPages.first();
-            long offset = extentOffset(order) + (long) page * MemoryDisk.PAGE;
+            long offset = extentOffset(order) + (long) page * MemoryDisk.PAGE_BYTES;
             try {
                 if (disk.exists(order.volume(), offset)) {
                     pages.putInt(page);
-                    disk.read(order.volume(), offset, MemoryDisk.PAGE, pages);
+                    disk.read(order.volume(), offset, MemoryDisk.PAGE_BYTES, pages);
                 } else {
                     pages.putInt(page | HOLE);
                 }
@@ -178,12 +178,12 @@
         ByteBuffer pages = order.data().duplicate();
         while (pages.remaining() >= Integer.BYTES) {
             int page = pages.getInt();
-            long offset = extentOffset(order) + (long) (page & ~HOLE) * MemoryDisk.PAGE;
+            long offset = extentOffset(order) + (long) (page & ~HOLE) * MemoryDisk.PAGE_BYTES;
             if ((page & HOLE) != 0) {
-                disk.zero(order.volume(), offset, MemoryDisk.PAGE, true);
+                disk.zero(order.volume(), offset, MemoryDisk.PAGE_BYTES, true);
             } else {
-                disk.write(order.volume(), offset, pages.slice(pages.position(), MemoryDisk.PAGE));
-                pages.position(pages.position() + MemoryDisk.PAGE);
+                disk.write(order.volume(), offset, pages.slice(pages.position(), MemoryDisk.PAGE_BYTES));
+                pages.position(pages.position() + MemoryDisk.PAGE_BYTES);
             }
         }
         // The received pages must survive a crash that the map service does not notice.
--- a/testbed/src/main/java/garnetreel/testbed/node/NodeTrace.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/NodeTrace.java
@@ -24,7 +24,7 @@
     }
 
     void collapsed(String reason) {
-        state(Kind.FELL, "", reason);
+        state(Kind.COLLAPSE, "", reason);
     }
 
     void fault(NodeFault fault) {
@@ -41,7 +41,7 @@
                 turn.now(),
                 settings.name(),
                 "map",
-                Kind.STEP,
+                Kind.MIGRATION_STEP,
                 0,
                 order.seq(),
                 0,
--- a/testbed/src/main/java/garnetreel/testbed/node/OwnershipTable.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/OwnershipTable.java
@@ -99,8 +99,8 @@
             return;
         }
         long begin = extent(volume, offset) * extentBytes.get(volume);
-        long first = (offset - begin) / MemoryDisk.PAGE;
-        long last = (offset + length - 1 - begin) / MemoryDisk.PAGE;
+        long first = (offset - begin) / MemoryDisk.PAGE_BYTES;
+        long last = (offset + length - 1 - begin) / MemoryDisk.PAGE_BYTES;
         for (long page = first; page <= last; page++) {
             entry.changedPages.add((int) page);
         }
--- a/testbed/src/main/java/garnetreel/testbed/node/RequestExecutor.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/RequestExecutor.java
@@ -52,7 +52,7 @@
         if (request.sync() || request.op() == Op.FLUSH || settings.journal()) {
             disk.flush(windowStart);
         }
-        trace.request(Kind.RUN, connection, request, "");
+        trace.request(Kind.EXECUTE, connection, request, "");
         return data;
     }
 
--- a/testbed/src/main/java/garnetreel/testbed/peer/ScriptedPeer.java
+++ b/testbed/src/main/java/garnetreel/testbed/peer/ScriptedPeer.java
@@ -34,13 +34,13 @@
     /** How the other side ended a connection. */
     public enum End {
         /** It shut down sending or closed the connection (FIN). */
-        IN_ORDER,
+        GRACEFUL,
         /** It reset the connection (RST). */
         RESET
     }
 
     /** Everything received up to the end of the connection, and how it ended. */
-    public record Rest(String text, End end) {}
+    public record Remainder(String text, End end) {}
 
     private final ServerSocket server;
     private final List<Socket> fillers = new ArrayList<>();
@@ -58,10 +58,10 @@
 
     /**
      * Creates a listening peer to which no connection gets established: its accept queue of minimum length is full, so
-     * the kernel drops further attempts. After {@link #bringUp} has emptied the queue, a client connects at its next
+     * the kernel drops further attempts. After {@link #emptyAcceptQueue} has emptied the queue, a client connects at its next
      * attempt, a second after its first.
      */
-    public static ScriptedPeer busy() throws IOException {
+    public static ScriptedPeer listeningWithFullQueue() throws IOException {
         ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         server.setSoTimeout(WAIT_MILLIS);
         ScriptedPeer peer = new ScriptedPeer(server);
@@ -73,7 +73,7 @@
     }
 
     /** Empties the accept queue, so that connections can be established. */
-    public void bringUp() throws IOException {
+    public void emptyAcceptQueue() throws IOException {
         for (Socket filler : fillers) {
             filler.close();
             server.accept().close();
@@ -87,12 +87,12 @@
     }
 
     /** Accepts the next connection. */
-    public Line accept() throws IOException {
-        return new Line(server.accept());
+    public PeerConnection accept() throws IOException {
+        return new PeerConnection(server.accept());
     }
 
     /** Connects as a client. */
-    public static Line connect(String address) throws IOException {
+    public static PeerConnection connect(String address) throws IOException {
         return connect(address, 0);
     }
 
@@ -101,7 +101,7 @@
      *
      * @param buffer size of the receive buffer, in bytes; 0 for the system's default
      */
-    public static Line connect(String address, int buffer) throws IOException {
+    public static PeerConnection connect(String address, int buffer) throws IOException {
         Socket socket = new Socket();
         if (buffer > 0) {
             socket.setReceiveBufferSize(buffer);
@@ -109,7 +109,7 @@
         int colon = address.lastIndexOf(':');
         socket.connect(
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))));
-        return new Line(socket);
+        return new PeerConnection(socket);
     }
 
     /** Stops listening. */
@@ -122,11 +122,11 @@
     }
 
     /** One connection of the peer. */
-    public static final class Line implements AutoCloseable {
+    public static final class PeerConnection implements AutoCloseable {
         private final Socket socket;
         private final InputStream in;
 
-        private Line(Socket socket) throws IOException {
+        private PeerConnection(Socket socket) throws IOException {
             this.socket = socket;
             socket.setSoTimeout(WAIT_MILLIS);
             socket.setTcpNoDelay(true);
@@ -137,7 +137,7 @@
          * Waits until the connection is established on the other side too. It can be established here before the last
          * handshake segment has arrived there, and a listener that closes at that moment does not find it in its queue.
          */
-        public Line untilTheOtherSideStands() throws IOException {
+        public PeerConnection awaitEstablishedByPeer() throws IOException {
             Pattern peerEntry = Pattern.compile(
                     String.format(Locale.ROOT, ":%04X [0-9A-F]+:%04X 01 ", socket.getPort(), socket.getLocalPort()));
             for (int polls = 0; polls < MAX_POLLS; polls++) {
@@ -152,7 +152,7 @@
         }
 
         /** Sends text unchanged, one byte per character (ISO 8859-1). */
-        public Line send(String text) throws IOException {
+        public PeerConnection send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(BYTES));
             return this;
         }
@@ -191,10 +191,10 @@
         }
 
         /** Reads until the other side ends the connection. */
-        public Rest readToEnd() throws IOException {
+        public Remainder readToEnd() throws IOException {
             ByteArrayOutputStream received = new ByteArrayOutputStream();
             byte[] buffer = new byte[1 << 16];
-            End end = End.IN_ORDER;
+            End end = End.GRACEFUL;
             try {
                 for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
                     received.write(buffer, 0, count);
@@ -202,11 +202,11 @@
             } catch (SocketException e) {
                 end = End.RESET;
             }
-            return new Rest(received.toString(BYTES), end);
+            return new Remainder(received.toString(BYTES), end);
         }
 
         /** Shuts down the sending direction only. */
-        public void endSending() throws IOException {
+        public void shutdownOutput() throws IOException {
             socket.shutdownOutput();
         }
 
--- a/testbed/src/main/java/garnetreel/testbed/rules/AtMostOnceRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/AtMostOnceRule.java
@@ -68,7 +68,7 @@
                 if (requestClass == null || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
                     continue;
                 }
-                if (event.kind() == Kind.RUN) {
+                if (event.kind() == Kind.EXECUTE) {
                     checkExecution(event, requestClass);
                 } else if (event.kind() == Kind.ARRIVE && !provenNotExecuted.contains(Attempt.of(event))) {
                     checkRetry(event, requestClass);
--- a/testbed/src/main/java/garnetreel/testbed/rules/ColdNodeOverloadRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/ColdNodeOverloadRule.java
@@ -40,13 +40,13 @@
                         started.put(event.observer(), event);
                         recent.remove(event.observer());
                     }
-                    case TOLD -> {
+                    case NOTIFY -> {
                         if (event.outcome().equals("up")) {
                             notifiedUp.put(new GatewayNode(event.counterpart(), event.operation()), event.time());
                         }
                     }
                     case ARRIVE -> recordArrival(event);
-                    case FELL -> checkCollapse(event);
+                    case COLLAPSE -> checkCollapse(event);
                     default -> {
                         // Other events do not load a node.
                     }
--- a/testbed/src/main/java/garnetreel/testbed/rules/DrainRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/DrainRule.java
@@ -19,7 +19,7 @@
         for (TraceEvent event : run.events()) {
             switch (event.kind()) {
                 case START -> addresses.put(event.observer(), event.operation());
-                case TOLD -> {
+                case NOTIFY -> {
                     GatewayNode pair = new GatewayNode(event.counterpart(), event.operation());
                     if (event.outcome().equals("up")) {
                         notifiedDown.remove(pair);
--- a/testbed/src/main/java/garnetreel/testbed/rules/OneAnswerRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/OneAnswerRule.java
@@ -20,7 +20,7 @@
         Map<Long, TraceEvent> ended = new HashMap<>();
         for (TraceEvent event : run.events()) {
             switch (event.kind()) {
-                case ASK -> {
+                case REQUEST -> {
                     findings.recordCheck();
                     requests.put(event.tag(), event);
                 }
--- a/testbed/src/main/java/garnetreel/testbed/rules/RulesChecker.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/RulesChecker.java
@@ -26,7 +26,7 @@
     /**
      * The verdicts on the seven safety rules, followed by an eighth on whether each read returned acknowledged data.
      */
-    public static List<Verdict> judge(RuleSettings settings, List<TraceEvent> events) {
+    public static List<Verdict> check(RuleSettings settings, List<TraceEvent> events) {
         Run run = new Run(settings, events);
         List<Verdict> verdicts = new ArrayList<>();
         for (Rule rule : RULES) {
--- a/testbed/src/main/java/garnetreel/testbed/scenario/Deployment.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/Deployment.java
@@ -98,7 +98,7 @@
 
         void start() {
             GatewaySettings settings = scenario.gatewaySettings()
-                    .apply(new Scenario.GatewayPlace(number, environment.now(), address, listAddress, mapAddress));
+                    .apply(new Scenario.GatewayParameters(number, environment.now(), address, listAddress, mapAddress));
             GatewaySettings.Files files = settings.files();
             boolean servesFiles = !files.modules().isEmpty();
             if (servesFiles) {
@@ -231,7 +231,7 @@
     void startMapService() {
         Scenario.MapScenario map = scenario.map();
         MemoryStore.Journal journal = mapStore.journal();
-        MapState state = MapState.recover(map.begin(), journal.snapshot(), journal.records());
+        MapState state = MapState.recover(map.initialMaps(), journal.snapshot(), journal.records());
         MapService service = new MapService(map.settings().apply(mapAddress, listAddress), state);
         mapService = environment.launch(MAP_SERVICE, service, mapStore);
         mapAddress = mapService.address(MapService.LISTENER);
--- a/testbed/src/main/java/garnetreel/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/Scenario.java
@@ -40,7 +40,7 @@
         int gateways,
         List<NodeSettings> nodes,
         long listLag,
-        Function<GatewayPlace, GatewaySettings> gatewaySettings,
+        Function<GatewayParameters, GatewaySettings> gatewaySettings,
         BiFunction<SchedulerSettings, Long, Scheduler> scheduler,
         Function<List<String>, List<NbdLoadSettings>> nbdLoads,
         Function<List<String>, List<RsyncLoadSettings>> rsyncLoads,
@@ -60,10 +60,10 @@
      */
     public record MapScenario(
             BiFunction<String, String, MapServiceSettings> settings,
-            Whole begin,
+            Whole initialMaps,
             int migrations,
-            long migrationsFrom,
-            long migrationsFor,
+            long migrationsStart,
+            long migrationsDuration,
             List<ScriptedCommand> script) {}
 
     /**
@@ -82,7 +82,7 @@
      * @param list address of the node list
      * @param map address of the map service; empty for none
      */
-    public record GatewayPlace(int gateway, long incarnation, String listen, String list, String map) {}
+    public record GatewayParameters(int gateway, long incarnation, String listen, String list, String map) {}
 
     /** A copy with another seed. */
     public Scenario withSeed(long newSeed) {
@@ -96,14 +96,14 @@
 
     /** A copy with other gateway settings and another scheduler. */
     public Scenario withGateways(
-            Function<GatewayPlace, GatewaySettings> newGateway,
+            Function<GatewayParameters, GatewaySettings> newGateway,
             BiFunction<SchedulerSettings, Long, Scheduler> newScheduler) {
         return with(seed, newGateway, newScheduler, map);
     }
 
     private Scenario with(
             long newSeed,
-            Function<GatewayPlace, GatewaySettings> newGateway,
+            Function<GatewayParameters, GatewaySettings> newGateway,
             BiFunction<SchedulerSettings, Long, Scheduler> newScheduler,
             MapScenario newMap) {
         return new Scenario(
--- a/testbed/src/main/java/garnetreel/testbed/scenario/ScenarioRunner.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/ScenarioRunner.java
@@ -39,8 +39,8 @@
      * @param unverified number of places that were written and not read back
      */
     public record Result(
-            Map<String, Map<String, NbdLoadGenerator.Tally>> tallies,
-            Map<String, RsyncLoadGenerator.Tally> folders,
+            Map<String, Map<String, NbdLoadGenerator.Tally>> nbdTallies,
+            Map<String, RsyncLoadGenerator.Tally> rsyncTallies,
             List<Verdict> verdicts,
             List<TraceEvent> events,
             int unverified) {
@@ -130,14 +130,14 @@
         if (map == null) {
             return;
         }
-        List<VolumeMap> volumes = map.begin().volumes();
+        List<VolumeMap> volumes = map.initialMaps().volumes();
         List<Integer> shards = deployment.shards();
         for (int i = 0; i < map.migrations(); i++) {
             VolumeMap volume = volumes.get(random.nextInt(volumes.size()));
             long extent = random.nextLong(volume.extents());
             int shard = shards.get(random.nextInt(shards.size()));
             MapService.MigrateCommand command = new MapService.MigrateCommand(volume.volume(), extent, shard);
-            long time = begin + map.migrationsFrom() + map.migrationsFor() * i / map.migrations();
+            long time = begin + map.migrationsStart() + map.migrationsDuration() * i / map.migrations();
             timeline.schedule(time, () -> deployment.mapService().send(command));
         }
         for (Scenario.ScriptedCommand scripted : map.script()) {
@@ -155,6 +155,6 @@
         int unverified = nbdLoads.values().stream()
                 .mapToInt(NbdLoadGenerator::unverified)
                 .sum();
-        return new Result(tallies, rsyncTallies, RulesChecker.judge(scenario.rules(), events), events, unverified);
+        return new Result(tallies, rsyncTallies, RulesChecker.check(scenario.rules(), events), events, unverified);
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/trace/TraceEvent.java
+++ b/testbed/src/main/java/garnetreel/testbed/trace/TraceEvent.java
@@ -48,7 +48,7 @@
     /** Kinds of events. */
     public enum Kind {
         /** A client sent a request. */
-        ASK("ask"),
+        REQUEST("ask"),
         /** A client received the answer to a request. */
         REPLY("reply"),
         /** A client stopped waiting for an answer. */
@@ -60,7 +60,7 @@
         /** An attempt arrived at a node. */
         ARRIVE("arrive"),
         /** A node executed an attempt: it changed or read its data. */
-        RUN("run"),
+        EXECUTE("run"),
         /** A node did not execute an attempt because it had executed the request before. */
         REPEAT("repeat"),
         /** A node answered an attempt. */
@@ -68,16 +68,16 @@
         /** A node started, at the address in {@code operation}. */
         START("start"),
         /** A node collapsed under overload while it was cold. */
-        FELL("fell"),
+        COLLAPSE("fell"),
         /** A node executed or rejected a step of a migration; {@code key} is the extent. */
-        STEP("step"),
+        MIGRATION_STEP("step"),
         /** A fault of a component of the testbed was activated or cleared. */
         FAULT("fault"),
         /**
          * The node list notified a gateway of a node's state, given in {@code outcome}; {@code operation} is its
          * address.
          */
-        TOLD("told");
+        NOTIFY("told");
 
         private static final Map<String, Kind> BY_LABEL =
                 Stream.of(values()).collect(Collectors.toUnmodifiableMap(Kind::label, kind -> kind));
--- a/testbed/src/test/java/garnetreel/testbed/node/MigrationFailureTest.java
+++ b/testbed/src/test/java/garnetreel/testbed/node/MigrationFailureTest.java
@@ -19,7 +19,7 @@
  * All failures are tried exhaustively at each step and at each pair of steps. A client writes between any two steps.
  */
 class MigrationFailureTest {
-    private static final int EXTENT_BYTES = 8 * MemoryDisk.PAGE;
+    private static final int EXTENT_BYTES = 8 * MemoryDisk.PAGE_BYTES;
     private static final long VOLUME = 3;
     private static final long EXTENT = 2;
     private static final long EXTENT_OFFSET = EXTENT * EXTENT_BYTES;
@@ -71,10 +71,10 @@
         /** A client that knows the current map writes a page; the write is acknowledged if the node serves the extent. */
         void write(int page) {
             if (nodes[owner].serves(version)) {
-                ByteBuffer data = ByteBuffer.allocate(MemoryDisk.PAGE).putLong(0, ++stamp);
-                long offset = EXTENT_OFFSET + (long) page * MemoryDisk.PAGE;
+                ByteBuffer data = ByteBuffer.allocate(MemoryDisk.PAGE_BYTES).putLong(0, ++stamp);
+                long offset = EXTENT_OFFSET + (long) page * MemoryDisk.PAGE_BYTES;
                 nodes[owner].disk.write(VOLUME, offset, data);
-                nodes[owner].disk.ownership().markChanged(VOLUME, offset, MemoryDisk.PAGE);
+                nodes[owner].disk.ownership().markChanged(VOLUME, offset, MemoryDisk.PAGE_BYTES);
                 nodes[owner].disk.flush(0);
                 acknowledged.put(page, stamp);
             }
@@ -100,9 +100,12 @@
                 assertFalse(nodes[0].serves(1) && nodes[1].serves(2), "two owners at step " + steps + " " + failures);
             }
             for (Map.Entry<Integer, Long> page : acknowledged.entrySet()) {
-                ByteBuffer data = ByteBuffer.allocate(MemoryDisk.PAGE);
+                ByteBuffer data = ByteBuffer.allocate(MemoryDisk.PAGE_BYTES);
                 nodes[owner].disk.read(
-                        VOLUME, EXTENT_OFFSET + (long) page.getKey() * MemoryDisk.PAGE, MemoryDisk.PAGE, data);
+                        VOLUME,
+                        EXTENT_OFFSET + (long) page.getKey() * MemoryDisk.PAGE_BYTES,
+                        MemoryDisk.PAGE_BYTES,
+                        data);
                 assertEquals(page.getValue(), data.getLong(0), "page " + page.getKey() + " " + failures);
             }
             assertTrue(nodes[owner].serves(version), "the owner does not serve the extent " + failures);
