--- a/codec/src/main/java/garnetreel/codec/ByteQueue.java
+++ b/codec/src/main/java/garnetreel/codec/ByteQueue.java
@@ -4,44 +4,44 @@
 import java.util.ArrayDeque;
 
 /**
- * Bytes received and not yet parsed, as the pieces they came in. Parsers read from the front only; nothing is copied
- * until a field or payload is taken. All integers are big-endian, as in the protocols spoken here.
+ * Bytes received and not yet parsed, held in the buffers they arrived in. Parsers read from the front only; nothing is
+ * copied until a field or payload is taken. All integers are big-endian, as in the protocols that use this class.
  *
- * <p>The queue itself sets no bound: whoever fills it stops reading from the socket while {@link #size()} is past the
- * bound of its connection.
+ * <p>The queue itself is unbounded: its owner stops reading from the socket while {@link #size()} exceeds the
+ * connection's bound.
  */
 public final class ByteQueue {
-    private final ArrayDeque<ByteBuffer> pieces = new ArrayDeque<>();
+    private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
     private int size;
 
-    /** Takes over a piece; the caller must not touch it again. */
-    public void add(ByteBuffer piece) {
-        if (piece.hasRemaining()) {
-            pieces.add(piece);
-            size += piece.remaining();
+    /** Appends a buffer and takes ownership of it; the caller must not use it again. */
+    public void add(ByteBuffer buffer) {
+        if (buffer.hasRemaining()) {
+            buffers.add(buffer);
+            size += buffer.remaining();
         }
     }
 
-    /** Bytes held. */
+    /** Number of bytes in the queue. */
     public int size() {
         return size;
     }
 
-    /** The unsigned byte at a distance from the front, left where it is; the caller has checked {@link #size()}. */
+    /** The unsigned byte at an offset from the front, without removing it; the caller has checked {@link #size()}. */
     public int peek(int offset) {
-        int left = offset;
-        for (ByteBuffer piece : pieces) {
-            if (left < piece.remaining()) {
-                return piece.get(piece.position() + left) & 0xff;
+        int remaining = offset;
+        for (ByteBuffer buffer : buffers) {
+            if (remaining < buffer.remaining()) {
+                return buffer.get(buffer.position() + remaining) & 0xff;
             }
-            left -= piece.remaining();
+            remaining -= buffer.remaining();
         }
         throw new IndexOutOfBoundsException("byte " + offset + " of " + size);
     }
 
-    /** The big-endian integer of {@code bytes} bytes at a distance from the front, left where it is. */
+    /** The big-endian integer of {@code bytes} bytes at an offset from the front, without removing it. */
     public long peekInt(int offset, int bytes) {
-        ByteBuffer first = pieces.peekFirst();
+        ByteBuffer first = buffers.peekFirst();
         if (first != null && first.remaining() >= offset + bytes) {
             int at = first.position() + offset;
             switch (bytes) {
@@ -86,46 +86,46 @@
         return value;
     }
 
-    /** Moves up to {@code length} bytes to {@code target}; returns how many there were. */
+    /** Moves up to {@code length} bytes to {@code target}; returns the number of bytes moved. */
     public int take(byte[] target, int offset, int length) {
         int done = 0;
-        while (done < length && !pieces.isEmpty()) {
-            ByteBuffer piece = pieces.peekFirst();
-            int part = Math.min(length - done, piece.remaining());
-            piece.get(target, offset + done, part);
-            done += part;
-            drop(piece);
+        while (done < length && !buffers.isEmpty()) {
+            ByteBuffer buffer = buffers.peekFirst();
+            int count = Math.min(length - done, buffer.remaining());
+            buffer.get(target, offset + done, count);
+            done += count;
+            removeIfEmpty(buffer);
         }
         size -= done;
         return done;
     }
 
-    /** The next {@code length} bytes; the caller has checked {@link #size()}. */
+    /** Removes and returns the next {@code length} bytes; the caller has checked {@link #size()}. */
     public byte[] take(int length) {
         byte[] bytes = new byte[length];
         if (take(bytes, 0, length) != length) {
-            throw new IndexOutOfBoundsException("too few bytes");
+            throw new IndexOutOfBoundsException("fewer bytes in the queue than requested");
         }
         return bytes;
     }
 
-    /** Drops up to {@code length} bytes; returns how many there were. */
+    /** Discards up to {@code length} bytes; returns the number of bytes discarded. */
     public int skip(int length) {
         int done = 0;
-        while (done < length && !pieces.isEmpty()) {
-            ByteBuffer piece = pieces.peekFirst();
-            int part = Math.min(length - done, piece.remaining());
-            piece.position(piece.position() + part);
-            done += part;
-            drop(piece);
+        while (done < length && !buffers.isEmpty()) {
+            ByteBuffer buffer = buffers.peekFirst();
+            int count = Math.min(length - done, buffer.remaining());
+            buffer.position(buffer.position() + count);
+            done += count;
+            removeIfEmpty(buffer);
         }
         size -= done;
         return done;
     }
 
-    private void drop(ByteBuffer piece) {
-        if (!piece.hasRemaining()) {
-            pieces.removeFirst();
+    private void removeIfEmpty(ByteBuffer buffer) {
+        if (!buffer.hasRemaining()) {
+            buffers.removeFirst();
         }
     }
 }
--- a/codec/src/main/java/garnetreel/codec/http/BodyReader.java
+++ b/codec/src/main/java/garnetreel/codec/http/BodyReader.java
@@ -5,20 +5,21 @@
 import java.util.Arrays;
 
 /**
- * Reads one body: of a stated length, in chunks, or up to the connection's end. The last is whole only where the connection
- * ends in order; that is for the caller to know. What it holds is bounded.
+ * Reads one message body: of a known length, chunked, or delimited by the end of the connection. In the last case the
+ * caller has to know whether the connection was closed properly, which alone makes the body complete. The buffered
+ * bytes are bounded.
  */
 final class BodyReader {
-    /** A chunk's size line or a trailer line; sizes have at most 8 digits, and nobody here sends extensions. */
-    private static final int LINE_MOST = 256;
+    /** Limit of a chunk-size or trailer line; sizes have at most 8 digits, and the peers send no chunk extensions. */
+    private static final int MAX_LINE_LENGTH = 256;
 
-    private static final int TRAILERS_MOST = 16;
-    private static final int SIZE_DIGITS = 8;
-    private static final byte[] NOTHING = {};
+    private static final int MAX_TRAILERS = 16;
+    private static final int MAX_SIZE_DIGITS = 8;
+    private static final byte[] EMPTY = {};
 
     private enum State {
         DATA,
-        UNTIL_END,
+        UNTIL_CLOSE,
         CHUNK_LINE,
         CHUNK_DATA,
         CHUNK_END,
@@ -26,55 +27,55 @@
         DONE
     }
 
-    private final int most;
+    private final int maxBytes;
     private final StringBuilder line = new StringBuilder();
-    /** Grows with what has come, not with what is said to come. */
-    private byte[] body = NOTHING;
+    /** Grows with the bytes received, not with the announced length. */
+    private byte[] body = EMPTY;
 
     private int size;
     private State state;
-    private long left;
+    private long remaining;
     private int trailers;
 
-    private BodyReader(State state, long left, int most) throws ProtocolException {
-        if (state == State.DATA && left > most) {
-            throw new ProtocolException("body of " + left + " bytes, " + most + " at most");
+    private BodyReader(State state, long remaining, int maxBytes) throws ProtocolException {
+        if (state == State.DATA && remaining > maxBytes) {
+            throw new ProtocolException("body of " + remaining + " bytes, " + maxBytes + " at most");
         }
-        this.state = state == State.DATA && left == 0 ? State.DONE : state;
-        this.left = left;
-        this.most = most;
+        this.state = state == State.DATA && remaining == 0 ? State.DONE : state;
+        this.remaining = remaining;
+        this.maxBytes = maxBytes;
     }
 
-    static BodyReader sized(long length, int most) throws ProtocolException {
-        return new BodyReader(State.DATA, length, most);
+    static BodyReader ofLength(long length, int maxBytes) throws ProtocolException {
+        return new BodyReader(State.DATA, length, maxBytes);
     }
 
-    static BodyReader chunked(int most) throws ProtocolException {
-        return new BodyReader(State.CHUNK_LINE, 0, most);
+    static BodyReader chunked(int maxBytes) throws ProtocolException {
+        return new BodyReader(State.CHUNK_LINE, 0, maxBytes);
     }
 
-    static BodyReader untilEnd(int most) throws ProtocolException {
-        return new BodyReader(State.UNTIL_END, Long.MAX_VALUE, most);
+    static BodyReader untilClose(int maxBytes) throws ProtocolException {
+        return new BodyReader(State.UNTIL_CLOSE, Long.MAX_VALUE, maxBytes);
     }
 
     boolean endsWithConnection() {
-        return state == State.UNTIL_END;
+        return state == State.UNTIL_CLOSE;
     }
 
-    /** Takes what belongs to the body; true once it is whole. */
+    /** Consumes the bytes that belong to the body; true once it is complete. */
     boolean read(ByteBuffer in) throws ProtocolException {
         while (state != State.DONE && in.hasRemaining()) {
             switch (state) {
                 case DATA, CHUNK_DATA -> {
-                    left -= data(in, left);
-                    if (left == 0) {
+                    remaining -= append(in, remaining);
+                    if (remaining == 0) {
                         state = state == State.DATA ? State.DONE : State.CHUNK_END;
                     }
                 }
-                case UNTIL_END -> data(in, Long.MAX_VALUE);
+                case UNTIL_CLOSE -> append(in, Long.MAX_VALUE);
                 default -> {
-                    if (lineEnded(in)) {
-                        line(line.toString());
+                    if (readLine(in)) {
+                        handleLine(line.toString());
                         line.setLength(0);
                     }
                 }
@@ -83,72 +84,72 @@
         return state == State.DONE;
     }
 
-    private long data(ByteBuffer in, long wanted) throws ProtocolException {
-        int part = (int) Math.min(in.remaining(), wanted);
-        int after = size + part;
-        if (after > most) {
-            throw new ProtocolException("body of more than " + most + " bytes");
+    private long append(ByteBuffer in, long wanted) throws ProtocolException {
+        int count = (int) Math.min(in.remaining(), wanted);
+        int newSize = size + count;
+        if (newSize > maxBytes) {
+            throw new ProtocolException("body of more than " + maxBytes + " bytes");
         }
-        if (after > body.length) {
-            long last = state == State.DATA ? size + wanted : most;
-            body = Arrays.copyOf(body, (int) Math.min(last, Math.max(after, 2L * body.length)));
+        if (newSize > body.length) {
+            long limit = state == State.DATA ? size + wanted : maxBytes;
+            body = Arrays.copyOf(body, (int) Math.min(limit, Math.max(newSize, 2L * body.length)));
         }
-        in.get(body, size, part);
-        size = after;
-        return part;
+        in.get(body, size, count);
+        size = newSize;
+        return count;
     }
 
-    private boolean lineEnded(ByteBuffer in) throws ProtocolException {
+    private boolean readLine(ByteBuffer in) throws ProtocolException {
         while (in.hasRemaining()) {
-            char one = (char) (in.get() & 0xff);
+            char next = (char) (in.get() & 0xff);
             boolean afterReturn = line.length() > 0 && line.charAt(line.length() - 1) == '\r';
-            if (afterReturn != (one == '\n') || line.length() == LINE_MOST) {
-                throw new ProtocolException("line of a chunked body that does not end with CRLF");
+            if (afterReturn != (next == '\n') || line.length() == MAX_LINE_LENGTH) {
+                throw new ProtocolException("line of a chunked body is too long or does not end with CRLF");
             }
-            if (one == '\n') {
+            if (next == '\n') {
                 line.setLength(line.length() - 1);
                 return true;
             }
-            line.append(one);
+            line.append(next);
         }
         return false;
     }
 
-    private void line(String text) throws ProtocolException {
+    private void handleLine(String text) throws ProtocolException {
         if (state == State.CHUNK_END) {
             if (!text.isEmpty()) {
-                throw new ProtocolException("chunk longer than its size");
+                throw new ProtocolException("chunk is longer than its size");
             }
             state = State.CHUNK_LINE;
         } else if (state == State.CHUNK_LINE) {
             int semicolon = text.indexOf(';');
-            left = size((semicolon < 0 ? text : text.substring(0, semicolon)).strip());
-            state = left == 0 ? State.TRAILERS : State.CHUNK_DATA;
+            remaining = parseSize((semicolon < 0 ? text : text.substring(0, semicolon)).strip());
+            state = remaining == 0 ? State.TRAILERS : State.CHUNK_DATA;
         } else if (text.isEmpty()) {
             state = State.DONE;
-        } else if (++trailers > TRAILERS_MOST) {
-            throw new ProtocolException("more than " + TRAILERS_MOST + " trailers");
+        } else if (++trailers > MAX_TRAILERS) {
+            throw new ProtocolException("more than " + MAX_TRAILERS + " trailers");
         }
     }
 
-    private static long size(String digits) throws ProtocolException {
+    private static long parseSize(String digits) throws ProtocolException {
         if (digits.isEmpty()
-                || digits.length() > SIZE_DIGITS
+                || digits.length() > MAX_SIZE_DIGITS
                 || !digits.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 0x80)) {
-            throw new ProtocolException("chunk size that is none");
+            throw new ProtocolException("invalid chunk size");
         }
         return Long.parseLong(digits, 16);
     }
 
-    /** Bytes held that have come and were not taken yet. */
-    int held() {
+    /** Number of bytes received and not taken yet. */
+    int bufferedBytes() {
         return size;
     }
 
-    /** What has come and was not taken yet. */
+    /** Removes and returns the bytes received so far. */
     byte[] take() {
         byte[] bytes = size == body.length ? body : Arrays.copyOf(body, size);
-        body = NOTHING;
+        body = EMPTY;
         size = 0;
         return bytes;
     }
--- a/codec/src/main/java/garnetreel/codec/http/Fields.java
+++ b/codec/src/main/java/garnetreel/codec/http/Fields.java
@@ -6,31 +6,31 @@
 import java.util.List;
 
 /**
- * Header fields in the order they came. Names compare without regard to case (RFC 9110, 5.1).
+ * Header fields in the order received. Names are case-insensitive (RFC 9110, 5.1).
  *
- * <p>Here and in the parsers loops stand where streams or patterns would do: a head's first second runs in the JVM's
- * interpreter, where those cost some tenths of a millisecond a request.
+ * <p>This class and the parsers use loops instead of streams or patterns: in the first second of a gateway the JVM
+ * still interprets the code, and they would cost some tenths of a millisecond per request.
  */
 public final class Fields {
-    private static final boolean[] TOKEN = new boolean[128];
+    private static final boolean[] TOKEN_CHARS = new boolean[128];
 
     static {
-        for (char mark = 0; mark < TOKEN.length; mark++) {
-            TOKEN[mark] = mark >= 'a' && mark <= 'z'
-                    || mark >= 'A' && mark <= 'Z'
-                    || mark >= '0' && mark <= '9'
-                    || "!#$%&'*+-.^_`|~".indexOf(mark) >= 0;
+        for (char c = 0; c < TOKEN_CHARS.length; c++) {
+            TOKEN_CHARS[c] = c >= 'a' && c <= 'z'
+                    || c >= 'A' && c <= 'Z'
+                    || c >= '0' && c <= '9'
+                    || "!#$%&'*+-.^_`|~".indexOf(c) >= 0;
         }
     }
 
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
 
-    /** Adds a field line as received, without its line end. */
+    /** Adds a field line as received, without its line terminator. */
     void addLine(byte[] bytes, int from, int to) throws ProtocolException {
         int colon = from;
         while (colon < to && bytes[colon] != ':') {
-            if (bytes[colon] < 0 || !TOKEN[bytes[colon]]) {
+            if (bytes[colon] < 0 || !TOKEN_CHARS[bytes[colon]]) {
                 throw new ProtocolException("header name holds a mark that is none of a token");
             }
             colon++;
@@ -40,10 +40,10 @@
         }
         int start = colon + 1;
         int end = to;
-        while (start < end && blank(bytes[start])) {
+        while (start < end && isBlank(bytes[start])) {
             start++;
         }
-        while (end > start && blank(bytes[end - 1])) {
+        while (end > start && isBlank(bytes[end - 1])) {
             end--;
         }
         add(
@@ -51,8 +51,8 @@
                 new String(bytes, start, end - start, StandardCharsets.ISO_8859_1));
     }
 
-    private static boolean blank(byte one) {
-        return one == ' ' || one == '\t';
+    private static boolean isBlank(byte value) {
+        return value == ' ' || value == '\t';
     }
 
     public Fields add(String name, String value) {
@@ -62,9 +62,9 @@
     }
 
     /** Whether a text is a token (RFC 9110, 5.6.2). */
-    static boolean token(String text) {
+    static boolean isToken(String text) {
         for (int i = 0; i < text.length(); i++) {
-            if (text.charAt(i) >= TOKEN.length || !TOKEN[text.charAt(i)]) {
+            if (text.charAt(i) >= TOKEN_CHARS.length || !TOKEN_CHARS[text.charAt(i)]) {
                 return false;
             }
         }
@@ -80,29 +80,29 @@
         return -1;
     }
 
-    /** The value of a field that may be there once at most; null where it is not. */
+    /** The value of a field that may occur at most once; null if it is absent. */
     public String only(String name) throws ProtocolException {
-        int at = find(name, 0);
-        if (at >= 0 && find(name, at + 1) >= 0) {
+        int index = find(name, 0);
+        if (index >= 0 && find(name, index + 1) >= 0) {
             throw new ProtocolException(name + " is there twice");
         }
-        return at < 0 ? null : values.get(at);
+        return index < 0 ? null : values.get(index);
     }
 
-    /** The first value of a field; null where there is none. */
+    /** The first value of a field; null if it is absent. */
     public String first(String name) {
-        int at = find(name, 0);
-        return at < 0 ? null : values.get(at);
+        int index = find(name, 0);
+        return index < 0 ? null : values.get(index);
     }
 
     public boolean has(String name) {
         return find(name, 0) >= 0;
     }
 
-    /** Whether one of the values of a list field is this token. */
+    /** Whether the values of a list field contain this token, in any case. */
     public boolean hasToken(String name, String token) {
-        for (int at = find(name, 0); at >= 0; at = find(name, at + 1)) {
-            for (String part : values.get(at).split(",")) {
+        for (int index = find(name, 0); index >= 0; index = find(name, index + 1)) {
+            for (String part : values.get(index).split(",")) {
                 if (part.strip().equalsIgnoreCase(token)) {
                     return true;
                 }
@@ -115,11 +115,11 @@
         return names.size();
     }
 
-    String name(int at) {
-        return names.get(at);
+    String name(int index) {
+        return names.get(index);
     }
 
-    String value(int at) {
-        return values.get(at);
+    String value(int index) {
+        return values.get(index);
     }
 }
--- a/codec/src/main/java/garnetreel/codec/http/HeadReader.java
+++ b/codec/src/main/java/garnetreel/codec/http/HeadReader.java
@@ -6,52 +6,55 @@
 import java.util.Arrays;
 
 /**
- * Reads the start line and the header section up to the empty line. Strict: lines end with CRLF, and there is no control
- * character and no folded line, so that two readers of one head can't read two things into it.
+ * Reads a message's head: the start line and the header section, up to the empty line. It is strict, so that two
+ * parsers cannot interpret the same head differently: lines end with CRLF, and control characters and folded lines are
+ * rejected.
  */
 final class HeadReader {
-    private static final int FIRST_ROOM = 512;
+    private static final int INITIAL_CAPACITY = 512;
     private static final byte DELETE = 0x7f;
 
-    private final int most;
-    private final int mostFields;
-    private final String begin;
+    private final int maxBytes;
+    private final int maxFields;
+    private final String requiredPrefix;
     private byte[] bytes = new byte[0];
     private int length;
     private int lineStart;
     private String startLine;
     private Fields fields = new Fields();
 
-    /** @param begin what a head must begin with; noise is known by its first byte, and nobody waits for its end */
-    HeadReader(int most, int mostFields, String begin) {
-        this.begin = begin;
-        this.most = most;
-        this.mostFields = mostFields;
+    /**
+     * @param requiredPrefix start of every valid head; other data is rejected at its first byte rather than buffered
+     */
+    HeadReader(int maxBytes, int maxFields, String requiredPrefix) {
+        this.requiredPrefix = requiredPrefix;
+        this.maxBytes = maxBytes;
+        this.maxFields = maxFields;
     }
 
-    /** Takes bytes up to and including the empty line; true once that has come. */
+    /** Consumes bytes up to and including the empty line; true once that has been received. */
     boolean read(ByteBuffer in) throws ProtocolException {
-        int part = Math.min(in.remaining(), most - length);
-        if (part == 0 && in.hasRemaining()) {
-            throw new ProtocolException("head of more than " + most + " bytes");
+        int count = Math.min(in.remaining(), maxBytes - length);
+        if (count == 0 && in.hasRemaining()) {
+            throw new ProtocolException("head of more than " + maxBytes + " bytes");
         }
-        if (length + part > bytes.length) {
+        if (length + count > bytes.length) {
             bytes = Arrays.copyOf(
-                    bytes, Math.min(most, Math.max(length + part, Math.max(FIRST_ROOM, 2 * bytes.length))));
+                    bytes, Math.min(maxBytes, Math.max(length + count, Math.max(INITIAL_CAPACITY, 2 * bytes.length))));
         }
-        in.get(bytes, length, part);
-        int end = length + part;
+        in.get(bytes, length, count);
+        int end = length + count;
         for (int at = length; at < end; at++) {
-            byte one = bytes[at];
-            boolean afterReturn = at > lineStart && bytes[at - 1] == '\r';
-            if (afterReturn != (one == '\n')
-                    || one >= 0 && one < ' ' && one != '\t' && one != '\r' && one != '\n'
-                    || one == DELETE
-                    || at < begin.length() && one != begin.charAt(at)) {
+            byte value = bytes[at];
+            boolean afterCarriageReturn = at > lineStart && bytes[at - 1] == '\r';
+            if (afterCarriageReturn != (value == '\n')
+                    || value >= 0 && value < ' ' && value != '\t' && value != '\r' && value != '\n'
+                    || value == DELETE
+                    || at < requiredPrefix.length() && value != requiredPrefix.charAt(at)) {
                 throw new ProtocolException(
                         "no head: control character, line that does not end with CRLF, or another protocol");
             }
-            if (one == '\n' && lineEnded(at - 1)) {
+            if (value == '\n' && endLine(at - 1)) {
                 in.position(in.position() - (end - at - 1));
                 length = at + 1;
                 return true;
@@ -59,12 +62,12 @@
         }
         length = end;
         if (in.hasRemaining()) {
-            throw new ProtocolException("head of more than " + most + " bytes");
+            throw new ProtocolException("head of more than " + maxBytes + " bytes");
         }
         return false;
     }
 
-    private boolean lineEnded(int end) throws ProtocolException {
+    private boolean endLine(int end) throws ProtocolException {
         if (end == lineStart) {
             if (startLine != null) {
                 return true;
@@ -72,13 +75,13 @@
             if (lineStart > 0) {
                 throw new ProtocolException("more than one empty line ahead of a start line");
             }
-            lineStart = end + 2; // one is skipped (RFC 9112, 2.2)
+            lineStart = end + 2; // a single empty line before the start line is ignored (RFC 9112, 2.2)
             return false;
         }
         if (startLine == null) {
             startLine = new String(bytes, lineStart, end - lineStart, StandardCharsets.ISO_8859_1);
-        } else if (fields.size() == mostFields) {
-            throw new ProtocolException("more than " + mostFields + " header fields");
+        } else if (fields.size() == maxFields) {
+            throw new ProtocolException("more than " + maxFields + " header fields");
         } else {
             fields.addLine(bytes, lineStart, end);
         }
@@ -86,8 +89,8 @@
         return false;
     }
 
-    /** Whether a byte of a head has come; empty lines ahead of it are none. */
-    boolean begun() {
+    /** Whether a byte of the head has been received, apart from empty lines before it. */
+    boolean hasStarted() {
         return startLine != null || length > lineStart;
     }
 
@@ -99,7 +102,7 @@
         return fields;
     }
 
-    /** Makes ready for the next head. */
+    /** Prepares for the next head. */
     void reset() {
         bytes = new byte[0];
         length = 0;
--- a/codec/src/main/java/garnetreel/codec/http/HttpRequest.java
+++ b/codec/src/main/java/garnetreel/codec/http/HttpRequest.java
@@ -1,6 +1,6 @@
 package garnetreel.codec.http;
 
-/** A whole request. */
+/** A complete request. */
 public record HttpRequest(String method, String target, Fields fields, byte[] body) {
     /** The path without its query. */
     public String path() {
--- a/codec/src/main/java/garnetreel/codec/http/HttpRequestParser.java
+++ b/codec/src/main/java/garnetreel/codec/http/HttpRequestParser.java
@@ -4,32 +4,34 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads one request after another from a connection (RFC 9112, with all that is optional for a receiver left out). Bodies
- * have a Content-Length; a Transfer-Encoding is not accepted at all, so nothing can hide behind one.
+ * Reads the requests of a connection one after another (RFC 9112, without what is optional for a receiver). A body
+ * needs a Content-Length; a Transfer-Encoding is rejected, which rules out request smuggling through one.
  */
 public final class HttpRequestParser {
-    /** Bytes of a head, and fields in it; the platform's own heads have a few hundred bytes and ten fields. */
-    private static final int HEAD_MOST = 8 << 10;
+    /**
+     * Maximum size of a head and number of its fields; the platform's requests have a few hundred bytes and ten fields.
+     */
+    private static final int MAX_HEAD_BYTES = 8 << 10;
 
-    private static final int FIELDS_MOST = 48;
-    /** The platform's bound for bodies. */
-    public static final int BODY_MOST = 64 << 10;
+    private static final int MAX_FIELDS = 48;
+    /** The platform's maximum size of a body. */
+    public static final int MAX_BODY_BYTES = 64 << 10;
 
-    private static final int LENGTH_DIGITS = 18;
+    private static final int MAX_LENGTH_DIGITS = 18;
 
-    private final HeadReader head = new HeadReader(HEAD_MOST, FIELDS_MOST, "");
+    private final HeadReader head = new HeadReader(MAX_HEAD_BYTES, MAX_FIELDS, "");
     private BodyReader body;
     private String method;
     private String target;
 
-    /** The next request once it is whole, or null; stops reading where the request ends. */
+    /** The next request once it is complete, else null; does not consume bytes after the end of the request. */
     public HttpRequest next(ByteBuffer in) throws ProtocolException {
         if (body == null) {
             if (!head.read(in)) {
                 return null;
             }
-            startLine(head.startLine());
-            body = BodyReader.sized(length(head.fields()), BODY_MOST);
+            parseStartLine(head.startLine());
+            body = BodyReader.ofLength(bodyLength(head.fields()), MAX_BODY_BYTES);
         }
         if (!body.read(in)) {
             return null;
@@ -40,29 +42,31 @@
         return request;
     }
 
-    /** Whether a request has begun to come and is not whole. */
+    /** Whether a request has been received in part. */
     public boolean hasPartialMessage() {
-        return head.begun();
+        return head.hasStarted();
     }
 
-    private void startLine(String line) throws ProtocolException {
-        int first = line.indexOf(' ');
-        int last = line.lastIndexOf(' ');
-        if (first <= 0 || last <= first + 1 || !line.substring(last + 1).equals("HTTP/1.1")) {
+    private void parseStartLine(String line) throws ProtocolException {
+        int firstSpace = line.indexOf(' ');
+        int lastSpace = line.lastIndexOf(' ');
+        if (firstSpace <= 0
+                || lastSpace <= firstSpace + 1
+                || !line.substring(lastSpace + 1).equals("HTTP/1.1")) {
             throw new ProtocolException("start line that is none of HTTP/1.1");
         }
-        method = line.substring(0, first);
-        target = line.substring(first + 1, last);
-        boolean visible = target.charAt(0) == '/';
-        for (int i = 0; visible && i < target.length(); i++) {
-            visible = target.charAt(i) > ' ' && target.charAt(i) < 0x7f;
+        method = line.substring(0, firstSpace);
+        target = line.substring(firstSpace + 1, lastSpace);
+        boolean valid = target.charAt(0) == '/';
+        for (int i = 0; valid && i < target.length(); i++) {
+            valid = target.charAt(i) > ' ' && target.charAt(i) < 0x7f;
         }
-        if (!visible || !Fields.token(method)) {
+        if (!valid || !Fields.isToken(method)) {
             throw new ProtocolException("method or target that is none");
         }
     }
 
-    private static long length(Fields fields) throws ProtocolException {
+    private static long bodyLength(Fields fields) throws ProtocolException {
         if (fields.only("Host") == null) {
             throw new ProtocolException("no Host");
         }
@@ -72,16 +76,16 @@
         return contentLength(fields.only("Content-Length"), 0);
     }
 
-    /** The number in a Content-Length field; {@code otherwise} where there is none. */
-    static long contentLength(String text, long otherwise) throws ProtocolException {
+    /** The number in a Content-Length field; {@code absent} if the field is absent. */
+    static long contentLength(String text, long absent) throws ProtocolException {
         if (text == null) {
-            return otherwise;
+            return absent;
         }
-        boolean digits = !text.isEmpty() && text.length() <= LENGTH_DIGITS;
-        for (int i = 0; digits && i < text.length(); i++) {
-            digits = text.charAt(i) >= '0' && text.charAt(i) <= '9';
+        boolean valid = !text.isEmpty() && text.length() <= MAX_LENGTH_DIGITS;
+        for (int i = 0; valid && i < text.length(); i++) {
+            valid = text.charAt(i) >= '0' && text.charAt(i) <= '9';
         }
-        if (!digits) {
+        if (!valid) {
             throw new ProtocolException("Content-Length that is none");
         }
         return Long.parseLong(text);
--- a/codec/src/main/java/garnetreel/codec/http/HttpResponse.java
+++ b/codec/src/main/java/garnetreel/codec/http/HttpResponse.java
@@ -1,8 +1,8 @@
 package garnetreel.codec.http;
 
 /**
- * A whole response.
+ * A complete response.
  *
- * @param reusable whether its connection may carry another request
+ * @param reusable whether the connection can be used for another request
  */
 public record HttpResponse(int status, Fields fields, byte[] body, boolean reusable) {}
--- a/codec/src/main/java/garnetreel/codec/http/HttpResponseParser.java
+++ b/codec/src/main/java/garnetreel/codec/http/HttpResponseParser.java
@@ -4,76 +4,80 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads one response after another from a connection. Interim (1xx) ones are passed over. A long one can be read as it comes
- * with {@link #part()}. One without a length ends with its connection, which {@link #ended()} tells.
+ * Reads the responses of a connection one after another. Interim (1xx) responses are skipped. A long response can be
+ * read while it is being received, with {@link #part()}. A response without a length ends with its connection; {@link
+ * #ended()} returns it.
  */
 public final class HttpResponseParser {
-    private static final int HEAD_MOST = 16 << 10;
-    private static final int FIELDS_MOST = 96;
-    /** Interim answers ahead of one answer; more are taken for noise. */
-    private static final int INTERIM_MOST = 16;
+    private static final int MAX_HEAD_BYTES = 16 << 10;
+    private static final int MAX_FIELDS = 96;
+    /** Maximum number of interim responses before a final one; more are treated as a protocol error. */
+    private static final int MAX_INTERIM_RESPONSES = 16;
 
     private static final String VERSION = "HTTP/1.1 ";
     private static final int STATUS_END = 12;
-    private static final int STATUS_LEAST = 100;
-    private static final int STATUS_MOST = 599;
-    private static final int SWITCHING = 101;
+    private static final int MIN_STATUS = 100;
+    private static final int MAX_STATUS = 599;
+    private static final int SWITCHING_PROTOCOLS = 101;
     private static final int OK = 200;
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
 
-    private final HeadReader head = new HeadReader(HEAD_MOST, FIELDS_MOST, VERSION);
-    private final int bodyMost;
+    private final HeadReader head = new HeadReader(MAX_HEAD_BYTES, MAX_FIELDS, VERSION);
+    private final int maxBodyBytes;
     private BodyReader body;
     private int status;
-    private int interim;
+    private int interimResponses;
     private boolean reusable;
 
-    /** @param bodyMost most bytes of a body that are held */
-    public HttpResponseParser(int bodyMost) {
-        this.bodyMost = bodyMost;
+    /** @param maxBodyBytes maximum bytes of a body that are buffered */
+    public HttpResponseParser(int maxBodyBytes) {
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** The next response once it is whole, or null; stops reading where the response ends. */
+    /** The next response once it is complete, else null; does not consume bytes after the end of the response. */
     public HttpResponse next(ByteBuffer in) throws ProtocolException {
         while (body == null) {
             if (!head.read(in)) {
                 return null;
             }
-            begin();
+            parseHead();
         }
-        return body.read(in) ? whole() : null;
+        return body.read(in) ? complete() : null;
     }
 
-    /** Status of a response whose head has come; 0 before. */
+    /** Status of the response whose head has been received; 0 if there is none. */
     public int status() {
         return body == null ? 0 : status;
     }
 
-    /** Bytes of a body held. */
+    /** Number of buffered bytes of the body. */
     public int held() {
-        return body == null ? 0 : body.held();
+        return body == null ? 0 : body.bufferedBytes();
     }
 
-    /** What has come of the body since it was last asked for. */
+    /** Removes and returns the bytes of the body received since the last call. */
     public byte[] part() {
         return body == null ? new byte[0] : body.take();
     }
 
-    /** The response that ends with its connection: one that states no length; null where none has begun or it was cut short. */
+    /**
+     * The response that the end of the connection completes, which is one without a length; null if none has begun or
+     * it was truncated.
+     */
     public HttpResponse ended() {
-        return body != null && body.endsWithConnection() ? whole() : null;
+        return body != null && body.endsWithConnection() ? complete() : null;
     }
 
-    private HttpResponse whole() {
+    private HttpResponse complete() {
         HttpResponse response = new HttpResponse(status, head.fields(), body.take(), reusable);
         head.reset();
         body = null;
-        interim = 0;
+        interimResponses = 0;
         return response;
     }
 
-    private void begin() throws ProtocolException {
+    private void parseHead() throws ProtocolException {
         String line = head.startLine();
         status = 0;
         for (int i = VERSION.length(); i < STATUS_END && i < line.length(); i++) {
@@ -81,14 +85,14 @@
             status = digit < 0 || digit > 9 ? Integer.MIN_VALUE / 10 : 10 * status + digit;
         }
         if (line.length() < STATUS_END
-                || status < STATUS_LEAST
-                || status > STATUS_MOST
+                || status < MIN_STATUS
+                || status > MAX_STATUS
                 || line.length() > STATUS_END && line.charAt(STATUS_END) != ' ') {
-            throw new ProtocolException("status line that is none of HTTP/1.1");
+            throw new ProtocolException("invalid HTTP/1.1 status line");
         }
         if (status < OK) {
-            if (status == SWITCHING || ++interim > INTERIM_MOST) {
-                throw new ProtocolException("interim answers that lead nowhere");
+            if (status == SWITCHING_PROTOCOLS || ++interimResponses > MAX_INTERIM_RESPONSES) {
+                throw new ProtocolException("too many interim responses, or an unrequested protocol switch");
             }
             head.reset();
             return;
@@ -98,17 +102,17 @@
         long length = HttpRequestParser.contentLength(fields.only("Content-Length"), -1);
         String coding = fields.only("Transfer-Encoding");
         if (coding != null && (length >= 0 || !coding.equalsIgnoreCase("chunked"))) {
-            throw new ProtocolException("Transfer-Encoding that can't be followed");
+            throw new ProtocolException("unsupported Transfer-Encoding, or one with a Content-Length");
         }
         if (status == NO_CONTENT || status == NOT_MODIFIED) {
-            body = BodyReader.sized(0, bodyMost);
+            body = BodyReader.ofLength(0, maxBodyBytes);
         } else if (coding != null) {
-            body = BodyReader.chunked(bodyMost);
+            body = BodyReader.chunked(maxBodyBytes);
         } else if (length >= 0) {
-            body = BodyReader.sized(length, bodyMost);
+            body = BodyReader.ofLength(length, maxBodyBytes);
         } else {
             reusable = false;
-            body = BodyReader.untilEnd(bodyMost);
+            body = BodyReader.untilClose(maxBodyBytes);
         }
     }
 }
--- a/codec/src/main/java/garnetreel/codec/http/HttpWriter.java
+++ b/codec/src/main/java/garnetreel/codec/http/HttpWriter.java
@@ -3,11 +3,11 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Writes a request or a response whole; bodies always have a Content-Length. */
+/** Writes a complete request or response; a body always has a Content-Length. */
 public final class HttpWriter {
-    private static final int ROOM = 256;
+    private static final int INITIAL_CAPACITY = 256;
 
-    /** Fields that concern one connection only, or that whoever writes a message states itself (RFC 9110, 7.6.1). */
+    /** Fields that concern a single connection (RFC 9110, 7.6.1), or that the sender of a message writes itself. */
     private static final String[] HOP_BY_HOP = {
         "Connection",
         "Host",
@@ -23,7 +23,7 @@
         "Proxy-Authorization"
     };
 
-    private final StringBuilder head = new StringBuilder(ROOM);
+    private final StringBuilder head = new StringBuilder(INITIAL_CAPACITY);
 
     private HttpWriter(String startLine) {
         head.append(startLine).append("\r\n");
@@ -34,51 +34,53 @@
     }
 
     public static HttpWriter response(int status) {
-        return new HttpWriter("HTTP/1.1 " + status + " " + reason(status));
+        return new HttpWriter("HTTP/1.1 " + status + " " + reasonPhrase(status));
     }
 
-    /** Adds a field; the value must hold no line end, which is so for whatever a parser here gave out. */
+    /**
+     * Adds a field; the value must not contain a line terminator, which holds for all values returned by the parsers.
+     */
     public HttpWriter field(String name, String value) {
         head.append(name).append(": ").append(value).append("\r\n");
         return this;
     }
 
     /**
-     * Adds the fields of a message that passes through, as they came: what a head does not know, such as an idempotency key,
-     * may be what its shelf goes by.
+     * Adds the end-to-end fields of a forwarded message unchanged: the endpoint may rely on a field that the gateway
+     * does not know, such as an idempotency key.
      *
-     * @param but a field that the caller states itself
+     * @param except field to leave out, as the caller adds it itself
      */
-    public HttpWriter passOn(Fields fields, String but) {
-        for (int at = 0; at < fields.size(); at++) {
-            String name = fields.name(at);
-            if (!name.equalsIgnoreCase(but) && !hopByHop(name) && !fields.hasToken("Connection", name)) {
-                field(name, fields.value(at));
+    public HttpWriter passOn(Fields fields, String except) {
+        for (int i = 0; i < fields.size(); i++) {
+            String name = fields.name(i);
+            if (!name.equalsIgnoreCase(except) && !isHopByHop(name) && !fields.hasToken("Connection", name)) {
+                field(name, fields.value(i));
             }
         }
         return this;
     }
 
-    private static boolean hopByHop(String name) {
-        for (String one : HOP_BY_HOP) {
-            if (one.equalsIgnoreCase(name)) {
+    private static boolean isHopByHop(String name) {
+        for (String field : HOP_BY_HOP) {
+            if (field.equalsIgnoreCase(name)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Ends the head and adds the body; a request without one states no length. */
-    public ByteBuffer body(byte[] body, boolean stateLength) {
-        if (stateLength) {
+    /** Ends the head and adds the body; a request without a body needs no Content-Length. */
+    public ByteBuffer body(byte[] body, boolean withLength) {
+        if (withLength) {
             field("Content-Length", Integer.toString(body.length));
         }
-        byte[] start = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuffer bytes = ByteBuffer.allocate(start.length + body.length);
-        return bytes.put(start).put(body).flip();
+        byte[] encodedHead = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
+        ByteBuffer bytes = ByteBuffer.allocate(encodedHead.length + body.length);
+        return bytes.put(encodedHead).put(body).flip();
     }
 
-    private static String reason(int status) {
+    private static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 400 -> "Bad Request";
--- a/codec/src/main/java/garnetreel/codec/http/package-info.java
+++ b/codec/src/main/java/garnetreel/codec/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1: parsers of requests and responses with their bodies, and a writer. */
+/** HTTP/1.1: parsers of requests and responses, and a writer. */
 package garnetreel.codec.http;
--- a/codec/src/main/java/garnetreel/codec/map/MapCodec.java
+++ b/codec/src/main/java/garnetreel/codec/map/MapCodec.java
@@ -18,25 +18,28 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Bytes to {@link MapMessage}s and back. The same bytes keep a head's map and the service's snapshots on disk. */
+/**
+ * Encodes and decodes {@link MapMessage}s. Gateways cache the maps on disk in the same encoding, and the map service
+ * writes its snapshots in it.
+ */
 public final class MapCodec {
     private static final int SUBSCRIBE = 65;
-    private static final int WHOLE = 66;
+    private static final int SNAPSHOT = 66;
     private static final int CHANGES = 67;
     private static final int BUSY = 68;
     private static final int COMMAND = 69;
     private static final int RESULT = 70;
-    /** A whole map of three million extents that have all moved. */
-    private static final int MOST = 64 << 20;
+    /** Maximum size of a body: a snapshot of three million extents that have all moved. */
+    private static final int MAX_BODY_BYTES = 64 << 20;
 
     private static final int MOVED_BYTES = 20;
     private static final int CHANGE_BYTES = 28;
 
     private MapCodec() {}
 
-    /** The next message, or null while it has not all come. */
+    /** The next message, or null until it has been received completely. */
     public static MapMessage next(ByteQueue in) throws ProtocolException {
-        LengthPrefixedFrames.Frame frame = LengthPrefixedFrames.next(in, MOST);
+        LengthPrefixedFrames.Frame frame = LengthPrefixedFrames.next(in, MAX_BODY_BYTES);
         if (frame == null) {
             return null;
         }
@@ -44,41 +47,41 @@
         try {
             return switch (frame.kind()) {
                 case SUBSCRIBE -> new Subscribe(body.getInt(), body.getLong(), body.getLong());
-                case WHOLE -> whole(body);
-                case CHANGES -> changes(body);
+                case SNAPSHOT -> readSnapshot(body);
+                case CHANGES -> readChanges(body);
                 case BUSY -> new Busy(body.getLong());
-                case COMMAND -> new Command(text(body), text(body));
-                case RESULT -> new Result(body.get() != 0, text(body));
+                case COMMAND -> new Command(readText(body), readText(body));
+                case RESULT -> new Result(body.get() != 0, readText(body));
                 default -> throw new ProtocolException("map message of unknown kind " + frame.kind());
             };
         } catch (BufferUnderflowException e) {
-            throw new ProtocolException("map message of kind " + frame.kind() + " is cut short");
+            throw new ProtocolException("map message of kind " + frame.kind() + " is truncated");
         }
     }
 
-    private static int count(ByteBuffer body, int each) throws ProtocolException {
+    private static int readCount(ByteBuffer body, int entryBytes) throws ProtocolException {
         int count = body.getInt();
-        if (count < 0 || (long) count * each > body.remaining()) {
-            throw new ProtocolException("map message with " + count + " entries in " + body.remaining() + " bytes");
+        if (count < 0 || (long) count * entryBytes > body.remaining()) {
+            throw new ProtocolException("map message claims " + count + " entries in " + body.remaining() + " bytes");
         }
         return count;
     }
 
-    private static Whole whole(ByteBuffer body) throws ProtocolException {
+    private static Whole readSnapshot(ByteBuffer body) throws ProtocolException {
         long epoch = body.getLong();
         long version = body.getLong();
-        int count = count(body, 28);
+        int count = readCount(body, 28);
         List<VolumeMap> volumes = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             long volume = body.getLong();
             long extents = body.getLong();
             int extentBytes = body.getInt();
-            int shardCount = count(body, 4);
+            int shardCount = readCount(body, 4);
             List<Integer> shards = new ArrayList<>(shardCount);
             for (int n = 0; n < shardCount; n++) {
                 shards.add(body.getInt());
             }
-            int movedCount = count(body, MOVED_BYTES);
+            int movedCount = readCount(body, MOVED_BYTES);
             List<Moved> moved = new ArrayList<>(movedCount);
             for (int n = 0; n < movedCount; n++) {
                 moved.add(new Moved(body.getLong(), body.getInt(), body.getLong()));
@@ -91,11 +94,11 @@
         return new Whole(epoch, version, volumes);
     }
 
-    private static Changes changes(ByteBuffer body) throws ProtocolException {
+    private static Changes readChanges(ByteBuffer body) throws ProtocolException {
         long epoch = body.getLong();
         long since = body.getLong();
         long version = body.getLong();
-        int count = count(body, CHANGE_BYTES);
+        int count = readCount(body, CHANGE_BYTES);
         List<Change> changes = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             changes.add(new Change(body.getLong(), body.getLong(), body.getInt(), body.getLong()));
@@ -103,13 +106,13 @@
         return new Changes(epoch, since, version, changes);
     }
 
-    private static String text(ByteBuffer body) throws ProtocolException {
-        byte[] bytes = new byte[count(body, 1)];
+    private static String readText(ByteBuffer body) throws ProtocolException {
+        byte[] bytes = new byte[readCount(body, 1)];
         body.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** The frame of a message. */
+    /** Encodes a message as a frame. */
     public static ByteBuffer frame(MapMessage message) {
         ByteBuffer frame;
         if (message instanceof Subscribe s) {
@@ -122,7 +125,7 @@
             for (VolumeMap v : w.volumes()) {
                 size += 28 + 4 * v.shards().size() + MOVED_BYTES * v.moved().size();
             }
-            frame = LengthPrefixedFrames.begin(WHOLE, size)
+            frame = LengthPrefixedFrames.begin(SNAPSHOT, size)
                     .putLong(w.epoch())
                     .putLong(w.version())
                     .putInt(w.volumes().size());
--- a/codec/src/main/java/garnetreel/codec/map/MapMessage.java
+++ b/codec/src/main/java/garnetreel/codec/map/MapMessage.java
@@ -2,39 +2,40 @@
 
 import java.util.List;
 
-/** What the map service and its clients say to each other; docs/extent-map.md has the bytes. */
+/** Messages between the map service and its clients; docs/extent-map.md defines the encoding. */
 public sealed interface MapMessage {
 
-    /** An extent that is not where the volume's first rule put it. */
+    /** An extent that has moved from its initial place, with its shard and version now. */
     record Moved(long extent, int shard, long version) {}
 
     /**
-     * A whole volume.
+     * The extent map of a volume.
      *
-     * @param extentBytes size of its extents
-     * @param shards the first rule: extent n began at shard n modulo their number, under version 1
-     * @param moved what has moved since, by extent
+     * @param extents number of extents
+     * @param extentBytes size of an extent
+     * @param shards initial layout: extent n was on the shard at index n modulo the size of this list, under version 1
+     * @param moved the extents that have moved since, ordered by extent
      */
     record VolumeMap(long volume, long extents, int extentBytes, List<Integer> shards, List<Moved> moved) {}
 
-    /** One change of one extent. */
+    /** An extent's new shard and version. */
     record Change(long volume, long extent, int shard, long version) {}
 
-    /** A head asks for what came after a version of an epoch, and from now on; version 0 asks for everything. */
+    /** A gateway subscribes to the changes after a version of an epoch; version 0 requests a snapshot first. */
     record Subscribe(int head, long epoch, long version) implements MapMessage {}
 
-    /** Everything, as of a version. */
+    /** A snapshot: the maps of all volumes as of a version. */
     record Whole(long epoch, long version, List<VolumeMap> volumes) implements MapMessage {}
 
-    /** Changes on top of {@code since}; none is a sign of life. */
+    /** Changes after version {@code since}; a message without changes is a heartbeat. */
     record Changes(long epoch, long since, long version, List<Change> changes) implements MapMessage {}
 
-    /** Too much is asked of the service: come back after so many microseconds. */
+    /** The service is overloaded; the client should retry after this many microseconds. */
     record Busy(long micros) implements MapMessage {}
 
-    /** An order of an operator, in words. */
+    /** An operator's command as text. */
     record Command(String who, String text) implements MapMessage {}
 
-    /** What came of it, as JSON. */
+    /** The result of a command, as JSON. */
     record Result(boolean ok, String json) implements MapMessage {}
 }
--- a/codec/src/main/java/garnetreel/codec/map/package-info.java
+++ b/codec/src/main/java/garnetreel/codec/map/package-info.java
@@ -1,2 +1,2 @@
-/** The protocol between the map service and those who subscribe to extent maps or command it. */
+/** The protocol of the map service: subscriptions to extent maps, and commands of operators. */
 package garnetreel.codec.map;
--- a/codec/src/main/java/garnetreel/codec/nbd/HandshakeParser.java
+++ b/codec/src/main/java/garnetreel/codec/nbd/HandshakeParser.java
@@ -4,18 +4,20 @@
 import garnetreel.codec.ProtocolException;
 
 /**
- * What a client says before the transmission phase: its flags, then options. One object a connection.
+ * Parses a client's handshake: its flags, then options. One instance per connection.
  *
- * <p>An option longer than {@link #OPTION_MOST} is read past without being kept, and handed on as one that is too big;
- * one past {@link #SKIP_MOST} ends the connection, since nobody waits for gigabytes of it.
+ * <p>The data of an option longer than {@link #MAX_OPTION_BYTES} is skipped, and the option is returned without data.
+ * One longer than {@link #MAX_SKIPPED_BYTES} is a protocol error, as skipping up to gigabytes would take too long.
  */
 public final class HandshakeParser {
-    /** Most bytes of an option that are kept: a SET_META_CONTEXT with a full name and a dozen long queries. */
-    public static final int OPTION_MOST = 64 << 10;
-    /** Most bytes of an option that are read past. */
-    public static final int SKIP_MOST = 1 << 20;
+    /**
+     * Maximum bytes of an option that are kept: a SET_META_CONTEXT with a name of full length and a dozen long queries.
+     */
+    public static final int MAX_OPTION_BYTES = 64 << 10;
+    /** Maximum bytes of an option that are skipped. */
+    public static final int MAX_SKIPPED_BYTES = 1 << 20;
 
-    private static final int OPTION_HEADER = 16;
+    private static final int OPTION_HEADER_BYTES = 16;
 
     private enum State {
         FLAGS,
@@ -23,21 +25,21 @@
         SKIP
     }
 
-    /** A step of the client. */
-    public sealed interface Step {}
+    /** A message of the client. */
+    public sealed interface ClientMessage {}
 
     /** The client's handshake flags. */
-    public record Flags(int flags) implements Step {}
+    public record Flags(int flags) implements ClientMessage {}
 
-    /** An option; {@code data} is null when it was too big to keep. */
-    public record Option(int code, byte[] data) implements Step {}
+    /** An option; {@code data} is null if it was too long to keep. */
+    public record Option(int code, byte[] data) implements ClientMessage {}
 
     private State state = State.FLAGS;
     private int code;
-    private int left;
+    private int remaining;
 
-    /** The next step, or null while it has not all come. */
-    public Step next(ByteQueue in) throws ProtocolException {
+    /** The next message, or null until it has been received completely. */
+    public ClientMessage next(ByteQueue in) throws ProtocolException {
         switch (state) {
             case FLAGS -> {
                 if (in.size() < 4) {
@@ -51,17 +53,18 @@
                     return null;
                 }
                 if (in.peekInt(0, 8) != Nbd.OPTION_MAGIC) {
-                    throw new ProtocolException("option magic is 0x" + Long.toHexString(in.peekInt(0, 8)));
+                    throw new ProtocolException("invalid option magic 0x" + Long.toHexString(in.peekInt(0, 8)));
                 }
-                if (in.size() < OPTION_HEADER) {
+                if (in.size() < OPTION_HEADER_BYTES) {
                     return null;
                 }
                 long length = in.peekInt(12, 4);
-                if (length > SKIP_MOST) {
-                    throw new ProtocolException("option of " + length + " bytes, " + SKIP_MOST + " at most");
+                if (length > MAX_SKIPPED_BYTES) {
+                    throw new ProtocolException(
+                            "option of " + length + " bytes exceeds the maximum of " + MAX_SKIPPED_BYTES + " bytes");
                 }
-                if (length <= OPTION_MOST) {
-                    if (in.size() < OPTION_HEADER + length) {
+                if (length <= MAX_OPTION_BYTES) {
+                    if (in.size() < OPTION_HEADER_BYTES + length) {
                         return null;
                     }
                     in.skip(8);
@@ -71,13 +74,13 @@
                 }
                 in.skip(8);
                 code = (int) in.takeU32();
-                left = (int) in.takeU32();
+                remaining = (int) in.takeU32();
                 state = State.SKIP;
                 return next(in);
             }
             default -> {
-                left -= in.skip(left);
-                if (left > 0) {
+                remaining -= in.skip(remaining);
+                if (remaining > 0) {
                     return null;
                 }
                 state = State.OPTION;
--- a/codec/src/main/java/garnetreel/codec/nbd/Nbd.java
+++ b/codec/src/main/java/garnetreel/codec/nbd/Nbd.java
@@ -1,7 +1,7 @@
 package garnetreel.codec.nbd;
 
 /**
- * Numbers of the NBD protocol, from its published specification (doc/proto.md of the NBD project: "Values", "Option
+ * Constants of the NBD protocol, from its published specification (doc/proto.md of the NBD project: "Values", "Option
  * types", "Option reply types", "Request types", "Reply flags and types", "Error values").
  */
 public final class Nbd {
@@ -14,7 +14,7 @@
     public static final int SIMPLE_REPLY_MAGIC = 0x67446698;
     public static final int CHUNK_MAGIC = 0x668e33ef;
 
-    /** Handshake flags of the server, and of the client. */
+    /** Handshake flags; server and client use the same values. */
     public static final int FIXED_NEWSTYLE = 1;
 
     public static final int NO_ZEROES = 2;
@@ -89,16 +89,16 @@
     public static final int ENOTSUP = 95;
     public static final int ESHUTDOWN = 108;
 
-    /** Flags of base:allocation. */
+    /** Status flags of the metadata context base:allocation. */
     public static final int STATE_HOLE = 1;
 
     public static final int STATE_ZERO = 2;
     public static final String BASE_ALLOCATION = "base:allocation";
 
-    /** Names and descriptions are at most so long, in bytes of UTF-8. */
-    public static final int STRING_MOST = 4096;
-    /** A client that negotiated nothing may send this much in one request. */
-    public static final int PAYLOAD_DEFAULT = 32 << 20;
+    /** Maximum length of names and descriptions, in bytes of UTF-8. */
+    public static final int MAX_STRING_BYTES = 4096;
+    /** Maximum payload of a request unless client and server have negotiated block sizes. */
+    public static final int DEFAULT_MAX_PAYLOAD = 32 << 20;
 
     private Nbd() {}
 }
--- a/codec/src/main/java/garnetreel/codec/nbd/NbdReplies.java
+++ b/codec/src/main/java/garnetreel/codec/nbd/NbdReplies.java
@@ -5,9 +5,9 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The client's side of NBD: what it says in the handshake, and the replies it reads. */
+/** The client side of NBD: encodes its handshake and requests, and parses the server's messages. */
 public final class NbdReplies {
-    private static final int CHUNK_MOST = 64 << 20;
+    private static final int MAX_CHUNK_BYTES = 64 << 20;
 
     private enum State {
         GREETING,
@@ -15,20 +15,27 @@
         TRANSMISSION
     }
 
-    /** Something the server said. */
+    /** A message of the server. */
     public sealed interface Said {}
 
-    /** The handshake is over and requests may be sent. */
+    /** The handshake is complete and requests may be sent. */
     public record Ready() implements Said {}
 
-    /** A reply, or one chunk of it. Data chunks and holes bring {@code offset}; a hole has no data. */
+    /**
+     * A simple reply, or a chunk of a structured reply.
+     *
+     * @param done whether this is the last chunk of the reply
+     * @param offset offset of the data or hole
+     * @param data data of a data chunk, else null
+     * @param hole length of a hole, else 0
+     */
     public record Piece(long cookie, boolean done, int error, String message, long offset, byte[] data, int hole)
             implements Said {}
 
     private State state = State.GREETING;
     private int acks;
 
-    /** All the client says after the greeting: structured replies, and the export. */
+    /** All messages of the client's handshake: its flags, and options for structured replies and the export. */
     public static ByteBuffer opening(String export) {
         byte[] name = export.getBytes(StandardCharsets.UTF_8);
         ByteBuffer out = ByteBuffer.allocate(4 + 16 + 16 + 4 + name.length + 2);
@@ -43,7 +50,7 @@
         return out.flip();
     }
 
-    /** A request's bytes. */
+    /** Encodes a request; {@code data} is null unless it has a payload. */
     public static ByteBuffer request(int type, int flags, long cookie, long offset, int length, byte[] data) {
         ByteBuffer out = ByteBuffer.allocate(28 + (data == null ? 0 : data.length));
         out.putInt(Nbd.REQUEST_MAGIC)
@@ -55,7 +62,7 @@
         return (data == null ? out : out.put(data)).flip();
     }
 
-    /** The next thing the server said, or null while it has not all come; data of READs are in data chunks only. */
+    /** The next message, or null until it has been received completely. Data of a READ arrives in data chunks only. */
     public Said next(ByteQueue in) throws ProtocolException {
         return switch (state) {
             case GREETING -> {
@@ -63,32 +70,32 @@
                     yield null;
                 }
                 if (in.takeLong() != Nbd.MAGIC || in.takeLong() != Nbd.OPTION_MAGIC) {
-                    throw new ProtocolException("no NBD server");
+                    throw new ProtocolException("the peer is not an NBD server");
                 }
                 in.skip(2);
                 state = State.OPTIONS;
                 yield next(in);
             }
-            case OPTIONS -> option(in);
-            case TRANSMISSION -> reply(in);
+            case OPTIONS -> readOption(in);
+            case TRANSMISSION -> readReply(in);
         };
     }
 
-    private Said option(ByteQueue in) throws ProtocolException {
+    private Said readOption(ByteQueue in) throws ProtocolException {
         while (in.size() >= 20) {
             long length = in.peekInt(16, 4);
             if (in.size() < 20 + length) {
                 return null;
             }
             if (in.takeLong() != Nbd.OPTION_REPLY_MAGIC) {
-                throw new ProtocolException("option reply magic differs");
+                throw new ProtocolException("invalid option reply magic");
             }
             in.skip(4);
             int type = (int) in.takeU32();
             in.skip(4);
             byte[] data = in.take((int) length);
             if (type < 0) {
-                throw new ProtocolException("option refused: " + new String(data, StandardCharsets.UTF_8));
+                throw new ProtocolException("NBD option rejected: " + new String(data, StandardCharsets.UTF_8));
             }
             if (type == Nbd.REP_ACK && ++acks == 2) {
                 state = State.TRANSMISSION;
@@ -98,7 +105,7 @@
         return null;
     }
 
-    private Said reply(ByteQueue in) throws ProtocolException {
+    private Said readReply(ByteQueue in) throws ProtocolException {
         if (in.size() < 16) {
             return null;
         }
@@ -109,13 +116,13 @@
             return new Piece(in.takeLong(), true, error, "", 0, null, 0);
         }
         if (magic != Nbd.CHUNK_MAGIC) {
-            throw new ProtocolException("reply magic is 0x" + Integer.toHexString(magic));
+            throw new ProtocolException("invalid reply magic 0x" + Integer.toHexString(magic));
         }
         if (in.size() < 20) {
             return null;
         }
         long length = in.peekInt(16, 4);
-        if (length > CHUNK_MOST) {
+        if (length > MAX_CHUNK_BYTES) {
             throw new ProtocolException("chunk of " + length + " bytes");
         }
         if (in.size() < 20 + length) {
--- a/codec/src/main/java/garnetreel/codec/nbd/NbdRequestParser.java
+++ b/codec/src/main/java/garnetreel/codec/nbd/NbdRequestParser.java
@@ -4,62 +4,67 @@
 import garnetreel.codec.ProtocolException;
 
 /**
- * Requests of the transmission phase, in two steps so that the owner can wait with a payload until there is room for
- * it: {@link #header} first, then, for a write, {@link #payload} until it is complete. One object a connection.
+ * Parses requests of the transmission phase in two steps, so that the caller can delay reading a payload until there is
+ * capacity for it: {@link #readHeader} first, then, for a write, {@link #readPayload} until it is complete. One
+ * instance per connection.
  */
 public final class NbdRequestParser {
-    private static final int HEADER = 28;
-    /** A payload past the largest that is taken is read past up to this, and answered; beyond it the stream ends. */
-    public static final int SKIP_MOST = 64 << 20;
+    private static final int HEADER_BYTES = 28;
+    /**
+     * Maximum payload that is skipped so that its request can be answered with an error; a longer one is a protocol
+     * error.
+     */
+    public static final int MAX_SKIPPED_BYTES = 64 << 20;
 
-    /** A request without its payload. */
+    /** Header of a request. */
     public record Header(int flags, int type, long cookie, long offset, long length) {}
 
     private byte[] payload;
-    private int got;
-    private long skip;
+    private int receivedBytes;
+    private long bytesToSkip;
 
-    /** The next header, or null while it has not all come. Only between requests. */
-    public Header header(ByteQueue in) throws ProtocolException {
+    /** The next header, or null until it has been received completely. To be called between requests only. */
+    public Header readHeader(ByteQueue in) throws ProtocolException {
         if (in.size() >= 4 && (int) in.peekInt(0, 4) != Nbd.REQUEST_MAGIC) {
-            throw new ProtocolException("request magic is 0x" + Long.toHexString(in.peekInt(0, 4)));
+            throw new ProtocolException("invalid request magic 0x" + Long.toHexString(in.peekInt(0, 4)));
         }
-        if (in.size() < HEADER) {
+        if (in.size() < HEADER_BYTES) {
             return null;
         }
         in.skip(4);
         return new Header(in.takeU16(), in.takeU16(), in.takeLong(), in.takeLong(), in.takeU32());
     }
 
-    /** Begins a payload that is kept. */
-    public void keep(int length) {
+    /** Begins a payload to be kept. */
+    public void beginPayload(int length) {
         payload = new byte[length];
-        got = 0;
+        receivedBytes = 0;
     }
 
-    /** Begins a payload that is read past, as of a request that is answered with an error. */
-    public void drop(long length) throws ProtocolException {
-        if (length > SKIP_MOST) {
-            throw new ProtocolException("payload of " + length + " bytes, " + SKIP_MOST + " at most");
+    /** Begins a payload to be skipped, as its request is answered with an error. */
+    public void skipPayload(long length) throws ProtocolException {
+        if (length > MAX_SKIPPED_BYTES) {
+            throw new ProtocolException(
+                    "payload of " + length + " bytes exceeds the maximum of " + MAX_SKIPPED_BYTES + " bytes");
         }
         payload = null;
-        skip = length;
+        bytesToSkip = length;
     }
 
-    /** Takes what has come of the payload; true once it is complete. */
-    public boolean payload(ByteQueue in) {
+    /** Consumes received bytes of the payload; true once it is complete. */
+    public boolean readPayload(ByteQueue in) {
         if (payload == null) {
-            skip -= in.skip((int) skip);
-            return skip == 0;
+            bytesToSkip -= in.skip((int) bytesToSkip);
+            return bytesToSkip == 0;
         }
-        got += in.take(payload, got, payload.length - got);
-        return got == payload.length;
+        receivedBytes += in.take(payload, receivedBytes, payload.length - receivedBytes);
+        return receivedBytes == payload.length;
     }
 
-    /** The payload kept, handed over; null for one that was read past. */
+    /** Removes and returns the payload; null if it was skipped. */
     public byte[] takePayload() {
-        byte[] whole = payload;
+        byte[] complete = payload;
         payload = null;
-        return whole;
+        return complete;
     }
 }
--- a/codec/src/main/java/garnetreel/codec/nbd/NbdWriter.java
+++ b/codec/src/main/java/garnetreel/codec/nbd/NbdWriter.java
@@ -4,19 +4,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** What a server says, as buffers ready to be sent. */
+/** Encodes the server's messages. */
 public final class NbdWriter {
-    private static final int CHUNK_HEADER = 20;
-    private static final byte[] NOTHING = new byte[0];
-    /** Messages in error chunks are cut to this; the specification allows 4,096. */
-    private static final int MESSAGE_MOST = 1024;
+    private static final int CHUNK_HEADER_BYTES = 20;
+    private static final byte[] EMPTY = new byte[0];
+    /** Maximum bytes of the message in an error chunk, beyond which it is truncated; the specification allows 4,096. */
+    private static final int MAX_MESSAGE_BYTES = 1024;
 
     private NbdWriter() {}
 
-    /** A stretch of base:allocation. */
+    /** Length and base:allocation flags of an extent in a block status reply. */
     public record Extent(int length, int flags) {}
 
-    /** The first words of the server. */
+    /** The server's first message. */
     public static ByteBuffer greeting() {
         return ByteBuffer.allocate(18)
                 .putLong(Nbd.MAGIC)
@@ -25,14 +25,14 @@
                 .flip();
     }
 
-    /** Answer to EXPORT_NAME: there is no reply type, and zeroes follow unless the client wants none. */
+    /** Reply to EXPORT_NAME, which has no reply header and ends with zeroes unless the client set NO_ZEROES. */
     public static ByteBuffer exportName(long size, int flags, boolean zeroes) {
         ByteBuffer out =
                 ByteBuffer.allocate(10 + (zeroes ? 124 : 0)).putLong(size).putShort((short) flags);
         return out.position(out.capacity()).flip();
     }
 
-    /** A reply to an option, with its data. */
+    /** A reply to an option. */
     public static ByteBuffer optionReply(int option, int type, byte[] data) {
         return ByteBuffer.allocate(20 + data.length)
                 .putLong(Nbd.OPTION_REPLY_MAGIC)
@@ -43,17 +43,17 @@
                 .flip();
     }
 
-    /** The reply that ends an option without an error. */
+    /** The reply that completes an option successfully. */
     public static ByteBuffer optionAck(int option) {
-        return optionReply(option, Nbd.REP_ACK, NOTHING);
+        return optionReply(option, Nbd.REP_ACK, EMPTY);
     }
 
-    /** An error to an option, with text for people. */
+    /** An error reply to an option, with a human-readable message. */
     public static ByteBuffer optionError(int option, int type, String message) {
         return optionReply(option, type, message.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** One export of a list. */
+    /** An export in the reply to LIST. */
     public static ByteBuffer optionServer(int option, String name) {
         byte[] text = name.getBytes(StandardCharsets.UTF_8);
         return optionReply(
@@ -77,7 +77,7 @@
                         .array());
     }
 
-    /** Information about an export that is a text, such as its name. */
+    /** Textual information about an export, such as its name. */
     public static ByteBuffer infoText(int option, int info, String value) {
         byte[] text = value.getBytes(StandardCharsets.UTF_8);
         return optionReply(
@@ -89,20 +89,20 @@
                         .array());
     }
 
-    /** Block sizes that an export accepts. */
-    public static ByteBuffer infoBlockSize(int option, int least, int preferred, int most) {
+    /** The block sizes of an export. */
+    public static ByteBuffer infoBlockSize(int option, int minimum, int preferred, int maximum) {
         return optionReply(
                 option,
                 Nbd.REP_INFO,
                 ByteBuffer.allocate(14)
                         .putShort((short) Nbd.INFO_BLOCK_SIZE)
-                        .putInt(least)
+                        .putInt(minimum)
                         .putInt(preferred)
-                        .putInt(most)
+                        .putInt(maximum)
                         .array());
     }
 
-    /** A metadata context that was selected, and the number under which it is reported. */
+    /** A metadata context, and the id that refers to it in block status replies. */
     public static ByteBuffer metaContext(int option, int id, String name) {
         byte[] text = name.getBytes(StandardCharsets.UTF_8);
         return optionReply(
@@ -111,17 +111,17 @@
                 ByteBuffer.allocate(4 + text.length).putInt(id).put(text).array());
     }
 
-    /** A simple reply; data only where {@code error} is 0. */
-    public static ByteBuffer simple(int error, long cookie, int dataLength) {
+    /** A simple reply, positioned at its data; there must be data only if {@code error} is 0. */
+    public static ByteBuffer simpleReply(int error, long cookie, int dataLength) {
         return ByteBuffer.allocate(16 + dataLength)
                 .putInt(Nbd.SIMPLE_REPLY_MAGIC)
                 .putInt(error)
                 .putLong(cookie);
     }
 
-    /** Header of a chunk, with room for its payload behind it. */
+    /** A chunk whose header is written, positioned at its payload. */
     public static ByteBuffer chunk(boolean done, int type, long cookie, int length) {
-        return ByteBuffer.allocate(CHUNK_HEADER + length)
+        return ByteBuffer.allocate(CHUNK_HEADER_BYTES + length)
                 .putInt(Nbd.CHUNK_MAGIC)
                 .putShort((short) (done ? Nbd.CHUNK_DONE : 0))
                 .putShort((short) type)
@@ -129,39 +129,39 @@
                 .putInt(length);
     }
 
-    /** Header of a data chunk; the data is written behind it. */
-    public static ByteBuffer chunkOfData(boolean done, long cookie, long offset, int length) {
+    /** Header of a data chunk; the caller sends the data after it. */
+    public static ByteBuffer dataChunkHeader(boolean done, long cookie, long offset, int length) {
         return chunk(done, Nbd.CHUNK_DATA, cookie, 8)
-                .putInt(CHUNK_HEADER - 4, 8 + length)
+                .putInt(CHUNK_HEADER_BYTES - 4, 8 + length)
                 .putLong(offset)
                 .flip();
     }
 
-    /** The chunk that ends a reply without more to say. */
+    /** An empty chunk that ends a reply. */
     public static ByteBuffer done(long cookie) {
         return chunk(true, Nbd.CHUNK_NONE, cookie, 0).flip();
     }
 
     /** A chunk for a range that reads as zeroes. */
-    public static ByteBuffer hole(boolean done, long cookie, long offset, int length) {
+    public static ByteBuffer holeChunk(boolean done, long cookie, long offset, int length) {
         return chunk(done, Nbd.CHUNK_HOLE, cookie, 12)
                 .putLong(offset)
                 .putInt(length)
                 .flip();
     }
 
-    /** An error that ends the reply; {@code offset} below 0 says nothing of where. */
-    public static ByteBuffer error(long cookie, int error, String message, long offset) {
+    /** An error chunk, which ends the reply; a negative {@code offset} means that the error is not about an offset. */
+    public static ByteBuffer errorChunk(long cookie, int error, String message, long offset) {
         byte[] text = message.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(MESSAGE_MOST, text.length);
-        boolean placed = offset >= 0;
-        ByteBuffer out =
-                chunk(true, placed ? Nbd.CHUNK_ERROR_OFFSET : Nbd.CHUNK_ERROR, cookie, 6 + length + (placed ? 8 : 0));
+        int length = Math.min(MAX_MESSAGE_BYTES, text.length);
+        boolean hasOffset = offset >= 0;
+        ByteBuffer out = chunk(
+                true, hasOffset ? Nbd.CHUNK_ERROR_OFFSET : Nbd.CHUNK_ERROR, cookie, 6 + length + (hasOffset ? 8 : 0));
         out.putInt(error).putShort((short) length).put(text, 0, length);
-        return (placed ? out.putLong(offset) : out).flip();
+        return (hasOffset ? out.putLong(offset) : out).flip();
     }
 
-    /** The chunk that ends a reply with the status of consecutive extents. */
+    /** A chunk with the status of consecutive extents, which ends the reply. */
     public static ByteBuffer blockStatus(long cookie, int context, List<Extent> extents) {
         ByteBuffer out = chunk(true, Nbd.CHUNK_BLOCK_STATUS, cookie, 4 + 8 * extents.size())
                 .putInt(context);
--- a/codec/src/main/java/garnetreel/codec/node/NodeCodec.java
+++ b/codec/src/main/java/garnetreel/codec/node/NodeCodec.java
@@ -21,7 +21,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Bytes to {@link NodeMessage}s and back. */
+/** Encodes and decodes {@link NodeMessage}s. */
 public final class NodeCodec {
     private static final int HELLO = 1;
     private static final int REQUEST = 2;
@@ -32,21 +32,23 @@
     private static final int WELCOME = 7;
     private static final int ORDER = 8;
     private static final int REPORT = 9;
-    /** Fixed fields of a request and of an answer, in bytes. */
-    private static final int REQUEST_FIXED = 8 + 2 + 8 + 1 + 1 + 8 + 8 + 4 + 4 + 8 + 8 + 8 + 4;
+    /** Sizes of the fixed fields of a request and of an answer. */
+    private static final int REQUEST_FIXED_BYTES = 8 + 2 + 8 + 1 + 1 + 8 + 8 + 4 + 4 + 8 + 8 + 8 + 4;
 
-    private static final int ANSWER_FIXED = 8 + 2 + 1 + 4 + 4 + 8;
-    /** A load report names at most so many values, as WIRE's feedback does, and names are short. */
-    private static final int LOAD_MOST = 4;
+    private static final int ANSWER_FIXED_BYTES = 8 + 2 + 1 + 4 + 4 + 8;
+    /**
+     * Maximum number of metrics in a load report (as in the protocol of the HTTP platform), and length of their names.
+     */
+    private static final int MAX_LOAD_METRICS = 4;
 
-    private static final int NAME_MOST = 64;
+    private static final int MAX_NAME_BYTES = 64;
     private static final Op[] OPS = Op.values();
     private static final Result[] RESULTS = Result.values();
     private static final Step[] STEPS = Step.values();
 
     private NodeCodec() {}
 
-    /** The next message, or null while it has not all come. */
+    /** The next message, or null until it has been received completely. */
     public static NodeMessage next(ByteQueue in) throws ProtocolException {
         LengthPrefixedFrames.Frame frame = LengthPrefixedFrames.next(in);
         if (frame == null) {
@@ -57,52 +59,52 @@
             NodeMessage message =
                     switch (frame.kind()) {
                         case HELLO -> new Hello(body.getInt(), body.getLong());
-                        case REQUEST -> request(body);
+                        case REQUEST -> readRequest(body);
                         case ANSWER -> new Answer(
                                 body.getLong(),
                                 body.getShort() & 0xffff,
-                                of(RESULTS, body.get()),
+                                constant(RESULTS, body.get()),
                                 body.getInt(),
                                 body.getInt(),
                                 body.getLong(),
-                                load(body),
-                                rest(body));
+                                readLoad(body),
+                                remainder(body));
                         case CANCEL -> new Cancel(body.getLong(), body.getShort() & 0xffff);
                         case PROBE -> new Probe(body.getLong());
-                        case PROBED -> new Probed(body.getLong(), body.getLong(), load(body));
+                        case PROBED -> new Probed(body.getLong(), body.getLong(), readLoad(body));
                         case ORDER -> new Order(
                                 body.getLong(),
-                                of(STEPS, body.get()),
+                                constant(STEPS, body.get()),
                                 body.getLong(),
                                 body.getLong(),
                                 body.getInt(),
                                 body.getLong(),
                                 body.getInt(),
-                                rest(body));
+                                remainder(body));
                         case REPORT -> new Report(
                                 body.getLong(),
                                 body.get() != 0,
                                 body.get() != 0,
                                 body.getLong(),
                                 body.getLong(),
-                                rest(body));
+                                remainder(body));
                         case WELCOME -> new Welcome(body.getLong(), body.getLong());
                         default -> throw new ProtocolException("node message of unknown kind " + frame.kind());
                     };
             if (body.hasRemaining()) {
-                throw new ProtocolException("node message with " + body.remaining() + " bytes too many");
+                throw new ProtocolException("node message has " + body.remaining() + " trailing bytes");
             }
             return message;
         } catch (BufferUnderflowException e) {
-            throw new ProtocolException("node message of kind " + frame.kind() + " is cut short");
+            throw new ProtocolException("node message of kind " + frame.kind() + " is truncated");
         }
     }
 
-    private static Request request(ByteBuffer body) throws ProtocolException {
+    private static Request readRequest(ByteBuffer body) throws ProtocolException {
         long id = body.getLong();
         int attempt = body.getShort() & 0xffff;
         long tag = body.getLong();
-        Op op = of(OPS, body.get());
+        Op op = constant(OPS, body.get());
         int flags = body.get();
         Request request = new Request(
                 id,
@@ -119,51 +121,52 @@
                 body.getLong(),
                 body.getLong(),
                 body.getInt(),
-                rest(body));
+                remainder(body));
         if (request.length() < 0 || request.offset() < 0 || request.units() < 0) {
-            throw new ProtocolException("node request with a negative size");
+            throw new ProtocolException("node request with a negative length, offset or unit count");
         }
         if (op == Op.WRITE
                 ? request.data().remaining() != request.length()
                 : request.data().hasRemaining()) {
-            throw new ProtocolException("node request says " + request.length() + " bytes and brings "
+            throw new ProtocolException("node request of length " + request.length() + " has a payload of size "
                     + request.data().remaining());
         }
         return request;
     }
 
-    private static <T> T of(T[] values, int code) throws ProtocolException {
+    private static <T> T constant(T[] values, int code) throws ProtocolException {
         if (code < 0 || code >= values.length) {
             throw new ProtocolException("node message with unknown code " + code);
         }
         return values[code];
     }
 
-    private static ByteBuffer rest(ByteBuffer body) {
-        ByteBuffer rest = body.slice();
+    private static ByteBuffer remainder(ByteBuffer body) {
+        ByteBuffer remainder = body.slice();
         body.position(body.limit());
-        return rest;
+        return remainder;
     }
 
-    private static Map<String, Double> load(ByteBuffer body) throws ProtocolException {
+    private static Map<String, Double> readLoad(ByteBuffer body) throws ProtocolException {
         int count = body.get();
-        if (count < 0 || count > LOAD_MOST) {
-            throw new ProtocolException("load report of " + count + " values");
+        if (count < 0 || count > MAX_LOAD_METRICS) {
+            throw new ProtocolException("load report claims " + count + " metrics");
         }
         Map<String, Double> load = count == 0 ? Map.of() : new LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
-            byte[] name = new byte[Math.min(NAME_MOST, body.get() & 0xff)];
+            byte[] name = new byte[Math.min(MAX_NAME_BYTES, body.get() & 0xff)];
             body.get(name);
             load.put(new String(name, StandardCharsets.UTF_8), body.getDouble());
         }
         return load;
     }
 
-    /** The frame of a message. */
+    /** Encodes a message as a frame. */
     public static ByteBuffer frame(NodeMessage message) {
         ByteBuffer frame;
         if (message instanceof Request r) {
-            frame = LengthPrefixedFrames.begin(REQUEST, REQUEST_FIXED + r.data().remaining());
+            frame = LengthPrefixedFrames.begin(
+                    REQUEST, REQUEST_FIXED_BYTES + r.data().remaining());
             frame.putLong(r.id())
                     .putShort((short) r.attempt())
                     .putLong(r.tag())
@@ -180,14 +183,15 @@
                     .put(r.data().duplicate());
         } else if (message instanceof Answer a) {
             frame = LengthPrefixedFrames.begin(
-                    ANSWER, ANSWER_FIXED + size(a.load()) + a.data().remaining());
+                    ANSWER,
+                    ANSWER_FIXED_BYTES + encodedSize(a.load()) + a.data().remaining());
             frame.putLong(a.id())
                     .putShort((short) a.attempt())
                     .put((byte) a.result().ordinal())
                     .putInt(a.used())
                     .putInt(a.cost())
                     .putLong(a.life());
-            put(frame, a.load());
+            writeLoad(frame, a.load());
             frame.put(a.data().duplicate());
         } else if (message instanceof Hello h) {
             frame = LengthPrefixedFrames.begin(HELLO, 12).putInt(h.head()).putLong(h.incarnation());
@@ -217,15 +221,15 @@
             frame = LengthPrefixedFrames.begin(PROBE, 8).putLong(p.id());
         } else {
             Probed p = (Probed) message;
-            frame = LengthPrefixedFrames.begin(PROBED, 16 + size(p.load()))
+            frame = LengthPrefixedFrames.begin(PROBED, 16 + encodedSize(p.load()))
                     .putLong(p.id())
                     .putLong(p.life());
-            put(frame, p.load());
+            writeLoad(frame, p.load());
         }
         return LengthPrefixedFrames.seal(frame);
     }
 
-    private static int size(Map<String, Double> load) {
+    private static int encodedSize(Map<String, Double> load) {
         int size = 1;
         for (String name : load.keySet()) {
             size += 1 + name.getBytes(StandardCharsets.UTF_8).length + 8;
@@ -233,7 +237,7 @@
         return size;
     }
 
-    private static void put(ByteBuffer frame, Map<String, Double> load) {
+    private static void writeLoad(ByteBuffer frame, Map<String, Double> load) {
         frame.put((byte) load.size());
         load.forEach((name, value) -> {
             byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
--- a/codec/src/main/java/garnetreel/codec/node/NodeMessage.java
+++ b/codec/src/main/java/garnetreel/codec/node/NodeMessage.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * What a head and a storage node say to each other; docs/node-protocol.md has the bytes. A head opens the connection
- * and says {@link Hello}; both may then have any number of messages under way, answers in any order.
+ * Messages between a gateway and a storage node; docs/node-protocol.md defines the encoding. The gateway opens the
+ * connection and sends {@link Hello}. After the {@link Welcome}, any number of messages may be in flight both ways, and
+ * requests may be answered in any order.
  */
 public sealed interface NodeMessage {
 
-    /** What is asked for. The order is that of the wire. */
+    /** Operation of a request. The ordinal is the code on the wire. */
     enum Op {
         READ,
         WRITE,
@@ -19,31 +20,31 @@
         CACHE,
         STATUS;
 
-        /** Whether data on the node may change. */
+        /** Whether the operation may change data on the node. */
         public boolean changes() {
             return this == WRITE || this == ZERO || this == TRIM;
         }
     }
 
-    /** How the node answers. The order is that of the wire. */
+    /** Result of an attempt. The ordinal is the code on the wire. */
     enum Result {
-        /** Done. */
+        /** Executed. */
         OK,
-        /** Not done, or done in part: it may have run. */
+        /** Failed; it may have been executed wholly or in part. */
         ERROR,
-        /** Not looked at: the queue is full or the node drains. */
+        /** Not started: the queue is full or the node is draining. */
         FULL,
-        /** Not looked at: the node does not hold that shard. */
+        /** Not started: the node does not hold the shard. */
         MOOT,
-        /** Not looked at: the node holds the extent under another version, or does not serve it now. */
+        /** Not started: the node holds the extent under another version, or is not serving it now. */
         STALE
     }
 
     /**
-     * First message of a connection; nothing else is sent before the {@link Welcome}.
+     * First message of a connection; the gateway sends nothing else before the {@link Welcome}.
      *
-     * @param head number of the head
-     * @param incarnation tells one life of that head from the next; repeats are known within one only
+     * @param head id of the gateway
+     * @param incarnation differs after each restart of the gateway; repeated requests are only recognised within one
      */
     record Hello(int head, long incarnation) implements NodeMessage {}
 
@@ -51,32 +52,32 @@
      * The node's answer to {@link Hello}.
      *
      * @param life incarnation of the node
-     * @param clock the node's clock as it answers, in microseconds. A head that has it at its own time t knows that the
-     *     node's clock shows no more than {@code clock + (u - t)} at its time u, as the message took time to come:
-     *     deadlines can be told in the node's clock, and run out early rather than late, with no clocks in step. The two
-     *     clocks must run at the same rate over the life of a connection, that is all.
+     * @param clock the node's clock when it answered, in microseconds. A gateway that receives it at its own time t
+     *     knows that at its time u the node's clock shows at least {@code clock + (u - t)}, as the message took time to
+     *     arrive. A deadline u converted to {@code clock + (u - t)} therefore expires early rather than late. The
+     *     clocks need not be synchronised; they only have to run at the same rate for the life of a connection.
      */
     record Welcome(long life, long clock) implements NodeMessage {}
 
-    /** No data; read-only use of a buffer's content never moves its position. */
+    /** An empty buffer, for a message without data. Readers of a message's data must not move the buffer's position. */
     static ByteBuffer none() {
         return ByteBuffer.allocate(0);
     }
 
     /**
-     * One attempt.
+     * One attempt of a request.
      *
-     * @param id request id of the head, never used again within an incarnation
-     * @param attempt 0 for the first
-     * @param tag what the client named the request; for traces only
-     * @param dropsRepeats the class is keyed: the node answers a repeat of the id from memory
+     * @param id request id chosen by the gateway, unique within its incarnation
+     * @param attempt index of the attempt, from 0
+     * @param tag the client's own id of the request; for traces only
+     * @param dropsRepeats the request's class is keyed: the node answers a repeated id with the result it remembers
      * @param sync the effect must be durable before the answer
-     * @param deadline time of the node's clock from which it must not begin this: whoever asked has given up by then, and
-     *     may already have written something newer
-     * @param units size in units
-     * @param key piece of data; negative for none
-     * @param offset byte of the volume
-     * @param length bytes asked for, or written
+     * @param deadline time of the node's clock from which it must not start the attempt: the client has given up by
+     *     then and may already have written newer data
+     * @param units cost of the request in units
+     * @param key key of the data; negative for none
+     * @param offset first byte within the volume
+     * @param length number of bytes requested or written
      * @param data bytes to write; empty for other operations
      */
     record Request(
@@ -96,7 +97,7 @@
             int length,
             ByteBuffer data)
             implements NodeMessage {
-        /** The same with another deadline. */
+        /** A copy with another deadline. */
         public Request until(long time) {
             return new Request(
                     id,
@@ -120,11 +121,14 @@
     /**
      * The answer to one attempt.
      *
-     * @param used 1 + units served for the volume everywhere in a finished period, in percent of the plan's rate; 0 untold
-     * @param cost units this node served for the volume through other heads since its last answer here about it
-     * @param life incarnation of the node: a write held in an earlier life and not flushed is lost
-     * @param load load report by name
-     * @param data bytes read, for STATUS pairs of length and flags as in NBD, for a STALE result the version known, u64
+     * @param used 1 + units served for the volume by all nodes in a completed metering period, in percent of the plan's
+     *     rate; 0 if not reported
+     * @param cost units this node served for the volume through other gateways since its last answer about the volume
+     *     on this connection
+     * @param life incarnation of the node: writes of an earlier incarnation that were not flushed are lost
+     * @param load metrics of the load report by name
+     * @param data for READ the bytes read; for STATUS pairs of length and flags as in NBD; for a STALE result the
+     *     version that the node knows, u64
      */
     record Answer(
             long id,
@@ -137,69 +141,75 @@
             ByteBuffer data)
             implements NodeMessage {}
 
-    /** The head no longer waits for an attempt; the node may drop it while it has not begun. */
+    /** The gateway no longer waits for an attempt; the node may drop it if it has not started it. */
     record Cancel(long id, int attempt) implements NodeMessage {}
 
-    /** One step of a move of an extent, as asked of one of its two nodes. Each may be asked again. */
+    /**
+     * Type of an {@link Order}: a step in the migration of an extent, sent to its old or its new holder, or a query.
+     * Each may be repeated. The ordinal is the code on the wire.
+     */
     enum Step {
-        /** To the old holder: from now on keep account of pages that change; all that exist count as changed. */
+        /** To the old holder: track changed pages from now on; all existing pages count as changed. */
         TRACK,
-        /** To the old holder: hand over changed pages, at most {@code room} bytes of them. */
+        /** To the old holder: send changed pages, up to the maximum size in the order. */
         TAKE,
-        /** To the new holder: get ready to receive, dropping what an earlier try left. */
+        /** To the new holder: prepare to receive the extent and drop the data of an earlier attempt. */
         RECEIVE,
-        /** To the new holder: pages. */
+        /** To the new holder: store the pages in the order. */
         PUT,
-        /** To the old holder: durably serve nothing of the extent any more; ok once nothing of it is in work. */
+        /** To the old holder: durably stop serving the extent; ok once no request for it is in progress. */
         FENCE,
-        /** To the new holder: durably serve the extent under {@code version}. */
+        /** To the new holder: durably serve the extent under the order's version. */
         SERVE,
-        /** To the old holder: the move is done; drop the data and remember that {@code version} is elsewhere. */
+        /** To the old holder: migration complete; drop the data and remember that the order's version is elsewhere. */
         RELEASE,
-        /** To the old holder: the move is off; serve again as before. */
+        /** To the old holder: migration rolled back; serve the extent again as before. */
         UNFENCE,
-        /** To the new holder: the move is off; drop what came. */
+        /** To the new holder: migration rolled back; drop the received data. */
         FORGET,
         /**
-         * How the node is: units a second served lately f64, share of its power in use f64, bytes used u64, bytes in all
-         * u64, then volume u64, extent u64 and units a second f64 of the busiest extents.
+         * Query of the node's load. The report has recent units per second f64, share of its capacity in use f64, bytes
+         * used u64, total bytes u64, then volume u64, extent u64 and units per second f64 of each of the busiest
+         * extents.
          */
         LOAD,
-        /** To the holder: CRC32C of all bytes of the extent, u32; refused by whoever does not serve it under the version. */
+        /** To the holder: report the CRC32C of the extent, u32; rejected if it does not serve the extent's version. */
         SUM,
         /**
-         * What the node has an entry for, from the extent after {@code volume} and {@code extent} on: volume u64, extent
-         * u64, extent bytes u32, state u8 (0 serving, 1 fenced, 2 receiving, 3 gone), version u64; {@code more} tells that
-         * there are others.
+         * Query of the extents that the node has an entry for, starting after the order's volume and extent. The report
+         * has volume u64, extent u64, extent bytes u32, state u8 (0 serving, 1 fenced, 2 receiving, 3 gone) and version
+         * u64 of each, and tells whether there are more.
          */
         HOLDS
     }
 
     /**
-     * An order of the map service.
+     * A command of the map service to a node.
      *
-     * @param seq names the order in its report
+     * @param seq sequence number, repeated in the report
      * @param extentBytes size of the volume's extents
-     * @param version version of the extent that the step is about
-     * @param data pages for PUT: u32 index within the extent and the page; the top bit says that it is a hole, without bytes
+     * @param version version of the extent that the step concerns
+     * @param room for TAKE, maximum bytes of pages in the report
+     * @param data pages for PUT, each a u32 index within the extent and the bytes of the page; the top bit of the index
+     *     marks a hole, which has no bytes
      */
     record Order(
             long seq, Step step, long volume, long extent, int extentBytes, long version, int room, ByteBuffer data)
             implements NodeMessage {}
 
     /**
-     * What came of an order.
+     * The node's reply to an {@link Order}.
      *
-     * @param ok done
-     * @param more for TAKE: changed pages remain
-     * @param known the version that the node knows of the extent
+     * @param ok whether the step was executed
+     * @param more for TAKE, changed pages remain; for HOLDS, further extents remain
+     * @param known version of the extent that the node knows
      * @param data pages for TAKE
      */
     record Report(long seq, boolean ok, boolean more, long life, long known, ByteBuffer data) implements NodeMessage {}
 
-    /** A check, answered beside the queue. */
+    /** A health check, which the node answers without queueing it. */
     record Probe(long id) implements NodeMessage {}
 
-    /** The answer to a check. */
+    /** The answer to a health check. */
     record Probed(long id, long life, Map<String, Double> load) implements NodeMessage {}
 }
--- a/codec/src/main/java/garnetreel/codec/nodelist/NodeListCodec.java
+++ b/codec/src/main/java/garnetreel/codec/nodelist/NodeListCodec.java
@@ -21,18 +21,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Bytes to {@link NodeListMessage}s and back. The same bytes keep the remembered list on disk. */
+/** Encodes and decodes {@link NodeListMessage}s. A gateway caches the node list on disk in the same encoding. */
 public final class NodeListCodec {
     private static final int SUBSCRIBE = 33;
     private static final int FETCH = 34;
-    private static final int NEWS = 35;
+    private static final int UPDATE = 35;
     private static final int FAILED = 36;
     private static final int REGISTER = 37;
     private static final State[] STATES = State.values();
 
     private NodeListCodec() {}
 
-    /** The next message, or null while it has not all come. */
+    /** The next message, or null until it has been received completely. */
     public static NodeListMessage next(ByteQueue in) throws ProtocolException {
         LengthPrefixedFrames.Frame frame = LengthPrefixedFrames.next(in);
         if (frame == null) {
@@ -43,49 +43,49 @@
             return switch (frame.kind()) {
                 case SUBSCRIBE -> new Subscribe(body.getInt(), body.get() != 0, body.getLong());
                 case FETCH -> new Fetch(body.getInt());
-                case NEWS -> news(body);
-                case FAILED -> new Failed(text(body));
-                case REGISTER -> new Register(entry(body));
-                default -> throw new ProtocolException("list message of unknown kind " + frame.kind());
+                case UPDATE -> readUpdate(body);
+                case FAILED -> new Failed(readText(body));
+                case REGISTER -> new Register(readEntry(body));
+                default -> throw new ProtocolException("node list message of unknown kind " + frame.kind());
             };
         } catch (BufferUnderflowException e) {
-            throw new ProtocolException("list message of kind " + frame.kind() + " is cut short");
+            throw new ProtocolException("node list message of kind " + frame.kind() + " is truncated");
         }
     }
 
-    private static News news(ByteBuffer body) throws ProtocolException {
+    private static News readUpdate(ByteBuffer body) throws ProtocolException {
         Kind kind = body.get() == 0 ? Kind.CHANGES : Kind.ALL;
         long since = body.getLong();
         long version = body.getLong();
         int count = body.getInt();
         if (count < 0 || count > body.remaining()) {
-            throw new ProtocolException("list of " + count + " entries");
+            throw new ProtocolException("node list update claims " + count + " entries");
         }
         List<Entry> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            entries.add(entry(body));
+            entries.add(readEntry(body));
         }
         return new News(kind, since, version, List.copyOf(entries));
     }
 
-    private static Entry entry(ByteBuffer body) throws ProtocolException {
-        String address = text(body);
-        String zone = text(body);
+    private static Entry readEntry(ByteBuffer body) throws ProtocolException {
+        String address = readText(body);
+        String zone = readText(body);
         int shard = body.getInt();
         int state = body.get();
         if (state < 0 || state >= STATES.length) {
-            throw new ProtocolException("list entry in unknown state " + state);
+            throw new ProtocolException("node list entry with unknown state code " + state);
         }
         return new Entry(address, zone, shard, STATES[state], body.getDouble(), body.getLong());
     }
 
-    private static String text(ByteBuffer body) {
+    private static String readText(ByteBuffer body) {
         byte[] bytes = new byte[body.getShort() & 0xffff];
         body.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** The frame of a message. */
+    /** Encodes a message as a frame. */
     public static ByteBuffer frame(NodeListMessage message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
@@ -99,21 +99,21 @@
             } else if (message instanceof Fetch f) {
                 kind = FETCH;
                 out.writeInt(f.head());
-            } else if (message instanceof News n) {
-                kind = NEWS;
-                out.writeByte(n.kind().ordinal());
-                out.writeLong(n.since());
-                out.writeLong(n.version());
-                out.writeInt(n.entries().size());
-                for (Entry entry : n.entries()) {
-                    put(out, entry);
+            } else if (message instanceof News update) {
+                kind = UPDATE;
+                out.writeByte(update.kind().ordinal());
+                out.writeLong(update.since());
+                out.writeLong(update.version());
+                out.writeInt(update.entries().size());
+                for (Entry entry : update.entries()) {
+                    writeEntry(out, entry);
                 }
             } else if (message instanceof Failed f) {
                 kind = FAILED;
                 out.writeUTF(f.why());
             } else {
                 kind = REGISTER;
-                put(out, ((Register) message).entry());
+                writeEntry(out, ((Register) message).entry());
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -122,7 +122,7 @@
                 LengthPrefixedFrames.begin(kind, bytes.size()).put(bytes.toByteArray()));
     }
 
-    private static void put(DataOutputStream out, Entry entry) throws IOException {
+    private static void writeEntry(DataOutputStream out, Entry entry) throws IOException {
         out.writeUTF(entry.address());
         out.writeUTF(entry.zone());
         out.writeInt(entry.shard());
--- a/codec/src/main/java/garnetreel/codec/nodelist/NodeListMessage.java
+++ b/codec/src/main/java/garnetreel/codec/nodelist/NodeListMessage.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** What the node list and its clients say to each other; docs/node-protocol.md has the bytes. */
+/** Messages between the node list and its clients; docs/node-protocol.md defines the encoding. */
 public sealed interface NodeListMessage {
 
-    /** State of an entry. The order is that of the wire. */
+    /** State of an entry. The ordinal is the code on the wire. */
     enum State {
         UP,
         DRAINING,
         GONE
     }
 
-    /** What a list is. The order is that of the wire. */
+    /** Whether a {@link News} is a delta or a snapshot. The ordinal is the code on the wire. */
     enum Kind {
         CHANGES,
         ALL
@@ -21,23 +21,23 @@
     /**
      * One node.
      *
-     * @param address host:port, the node's name
-     * @param startedAt when its process last started, in microseconds of the epoch; 0 when long ago
+     * @param address host:port, which identifies the node
+     * @param startedAt when its process last started, in microseconds since the epoch; 0 if long ago
      */
     record Entry(String address, String zone, int shard, State state, double weight, long startedAt) {}
 
-    /** A head asks for changes after a version from now on, or ends that; version 0 asks for everything. */
+    /** A gateway subscribes to changes after a version, or unsubscribes; version 0 requests a snapshot first. */
     record Subscribe(int head, boolean on, long version) implements NodeListMessage {}
 
-    /** A head asks for the complete list once. */
+    /** A gateway requests the complete list once. */
     record Fetch(int head) implements NodeListMessage {}
 
-    /** News: changes on top of {@code since}, or everything; it brings the receiver to {@code version}. */
+    /** An update of the list to {@code version}: changes since version {@code since}, or a snapshot. */
     record News(Kind kind, long since, long version, List<Entry> entries) implements NodeListMessage {}
 
-    /** The call failed; the list stays as it was. */
+    /** A call failed; the list is unchanged. */
     record Failed(String why) implements NodeListMessage {}
 
-    /** A node, or its keeper, tells its state; the entry is gone once the connection ends. */
+    /** A node, or its supervisor, registers its state; the entry is removed when the connection ends. */
     record Register(Entry entry) implements NodeListMessage {}
 }
--- a/codec/src/main/java/garnetreel/codec/nodelist/package-info.java
+++ b/codec/src/main/java/garnetreel/codec/nodelist/package-info.java
@@ -1,2 +1,2 @@
-/** The protocol of the node list: subscriptions, snapshots, deltas, registration. */
+/** The protocol of the node list: subscriptions, snapshots, deltas and registration. */
 package garnetreel.codec.nodelist;
--- a/codec/src/main/java/garnetreel/codec/package-info.java
+++ b/codec/src/main/java/garnetreel/codec/package-info.java
@@ -1,2 +1,4 @@
-/** Parsers and writers, a package a protocol: incremental, without I/O, every length bounded; what they share is here. */
+/**
+ * Parsers and writers, one package per protocol, and their shared types: incremental, without I/O, all lengths bounded.
+ */
 package garnetreel.codec;
--- a/codec/src/test/java/garnetreel/codec/ParsersTest.java
+++ b/codec/src/test/java/garnetreel/codec/ParsersTest.java
@@ -133,7 +133,7 @@
                     NodeCodec::next,
                     NodeListCodec::next,
                     new HandshakeParser()::next,
-                    new NbdRequestParser()::header)) {
+                    new NbdRequestParser()::readHeader)) {
                 try {
                     for (int i = 0; i < 10 && parser.next(in) != null; i++) {
                         assertTrue(in.size() <= noise.length);
@@ -174,12 +174,12 @@
         in.add(ByteBuffer.allocate(16)
                 .putLong(Nbd.OPTION_MAGIC)
                 .putInt(7)
-                .putInt(HandshakeParser.OPTION_MOST + 1)
+                .putInt(HandshakeParser.MAX_OPTION_BYTES + 1)
                 .flip());
-        for (int sent = 0; sent <= HandshakeParser.OPTION_MOST; sent += 1024) {
+        for (int sent = 0; sent <= HandshakeParser.MAX_OPTION_BYTES; sent += 1024) {
             assertNull(parser.next(in));
             assertTrue(in.size() <= 1024, "held " + in.size());
-            in.add(ByteBuffer.allocate(Math.min(1024, HandshakeParser.OPTION_MOST + 1 - sent)));
+            in.add(ByteBuffer.allocate(Math.min(1024, HandshakeParser.MAX_OPTION_BYTES + 1 - sent)));
         }
         HandshakeParser.Option option = (HandshakeParser.Option) parser.next(in);
         assertEquals(7, option.code());
@@ -196,15 +196,15 @@
     void payloadsAreKeptOrPassed() throws ProtocolException {
         NbdRequestParser parser = new NbdRequestParser();
         ByteQueue in = new ByteQueue();
-        parser.keep(3);
+        parser.beginPayload(3);
         in.add(ByteBuffer.wrap(new byte[] {1, 2}));
-        assertEquals(false, parser.payload(in));
+        assertEquals(false, parser.readPayload(in));
         in.add(ByteBuffer.wrap(new byte[] {3, 4}));
-        assertEquals(true, parser.payload(in));
+        assertEquals(true, parser.readPayload(in));
         assertArrayEquals(new byte[] {1, 2, 3}, parser.takePayload());
-        parser.drop(1);
-        assertEquals(true, parser.payload(in));
+        parser.skipPayload(1);
+        assertEquals(true, parser.readPayload(in));
         assertNull(parser.takePayload());
-        assertThrows(ProtocolException.class, () -> parser.drop(NbdRequestParser.SKIP_MOST + 1L));
+        assertThrows(ProtocolException.class, () -> parser.skipPayload(NbdRequestParser.MAX_SKIPPED_BYTES + 1L));
     }
 }
--- a/core/src/main/java/garnetreel/core/server/NbdRequest.java
+++ b/core/src/main/java/garnetreel/core/server/NbdRequest.java
@@ -68,7 +68,7 @@
     }
 
     private void writeSimple() {
-        session.write(NbdWriter.simple(0, header.cookie(), 0).flip());
+        session.write(NbdWriter.simpleReply(0, header.cookie(), 0).flip());
     }
 
     private List<NbdWriter.Extent> extents(List<BlockBackend.ExtentStatus> statuses) {
@@ -122,11 +122,11 @@
     }
 
     private void writeHole(int from, int to, boolean last) {
-        session.write(NbdWriter.hole(last, header.cookie(), header.offset() + from, to - from));
+        session.write(NbdWriter.holeChunk(last, header.cookie(), header.offset() + from, to - from));
     }
 
     private void writeDataChunk(ByteBuffer data, int from, int to, boolean last) {
-        session.write(NbdWriter.chunkOfData(last, header.cookie(), header.offset() + from, to - from));
+        session.write(NbdWriter.dataChunkHeader(last, header.cookie(), header.offset() + from, to - from));
         session.write(data.slice(data.position() + from, to - from));
     }
 }
--- a/core/src/main/java/garnetreel/core/server/NbdSession.java
+++ b/core/src/main/java/garnetreel/core/server/NbdSession.java
@@ -208,18 +208,18 @@
     // ---------------------------------------------------------------- handshake
 
     private boolean option() throws ProtocolException {
-        HandshakeParser.Step step = handshake.next(receivedBytes);
-        if (step == null) {
+        HandshakeParser.ClientMessage message = handshake.next(receivedBytes);
+        if (message == null) {
             return false;
         }
-        if (step instanceof HandshakeParser.Flags clientFlags) {
+        if (message instanceof HandshakeParser.Flags clientFlags) {
             acceptFlags(clientFlags.flags());
             return true;
         }
         if (++optionCount > MAX_OPTIONS) {
             throw new ProtocolException("more than " + MAX_OPTIONS + " options");
         }
-        options.handle((HandshakeParser.Option) step);
+        options.handle((HandshakeParser.Option) message);
         return phase == Phase.HANDSHAKE || phase == Phase.REQUEST;
     }
 
@@ -263,7 +263,7 @@
 
     private boolean request() throws ProtocolException {
         if (header == null) {
-            header = requests.header(receivedBytes);
+            header = requests.readHeader(receivedBytes);
         }
         if (header == null) {
             return false;
@@ -277,7 +277,7 @@
         RequestError error = validator.validate(header);
         if (error != null) {
             if (hasPayload) {
-                requests.drop(header.length());
+                requests.skipPayload(header.length());
                 phase = Phase.PAYLOAD;
             } else {
                 reject(error);
@@ -290,7 +290,7 @@
         }
         reserved += bytes;
         if (hasPayload) {
-            requests.keep((int) header.length());
+            requests.beginPayload((int) header.length());
             phase = Phase.PAYLOAD;
         } else {
             start(null);
@@ -304,7 +304,7 @@
     }
 
     private boolean payload() {
-        if (!requests.payload(receivedBytes)) {
+        if (!requests.readPayload(receivedBytes)) {
             return false;
         }
         phase = Phase.REQUEST;
@@ -351,7 +351,7 @@
     void error(long cookie, int code, String message, long offset) {
         write(
                 options.structuredReplies()
-                        ? NbdWriter.error(cookie, code, message, offset)
-                        : NbdWriter.simple(code, cookie, 0).flip());
+                        ? NbdWriter.errorChunk(cookie, code, message, offset)
+                        : NbdWriter.simpleReply(code, cookie, 0).flip());
     }
 }
--- a/core/src/main/java/garnetreel/core/server/OptionReader.java
+++ b/core/src/main/java/garnetreel/core/server/OptionReader.java
@@ -41,8 +41,8 @@
 
     private String text(int length) throws InvalidOptionException {
         require(length);
-        if (length > Nbd.STRING_MOST) {
-            throw new InvalidOptionException("a name of " + length + " bytes, " + Nbd.STRING_MOST + " at most");
+        if (length > Nbd.MAX_STRING_BYTES) {
+            throw new InvalidOptionException("a name of " + length + " bytes, " + Nbd.MAX_STRING_BYTES + " at most");
         }
         ByteBuffer text = data.slice(data.position(), length);
         data.position(data.position() + length);
--- a/core/src/test/java/garnetreel/core/server/OptionReaderTest.java
+++ b/core/src/test/java/garnetreel/core/server/OptionReaderTest.java
@@ -50,9 +50,9 @@
     void nameMustBeUtf8AndWithinItsBound() {
         assertEquals(
                 "a name is not UTF-8", problem(() -> reader(0, 0, 0, 1, 0xff).text()));
-        OptionReader longName = new OptionReader(new byte[Nbd.STRING_MOST + 1]);
+        OptionReader longName = new OptionReader(new byte[Nbd.MAX_STRING_BYTES + 1]);
         assertEquals(
-                "a name of " + (Nbd.STRING_MOST + 1) + " bytes, " + Nbd.STRING_MOST + " at most",
+                "a name of " + (Nbd.MAX_STRING_BYTES + 1) + " bytes, " + Nbd.MAX_STRING_BYTES + " at most",
                 problem(longName::remainingText));
     }
 }
