--- a/codec/src/test/java/garnetreel/codec/ParsersTest.java
+++ b/codec/src/test/java/garnetreel/codec/ParsersTest.java
@@ -20,9 +20,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Every parser: whole, byte by byte, damaged, and with noise. */
+/** Feeds the parsers complete messages, single bytes, damaged messages and random input. */
 class ParsersTest {
-    private static final List<NodeMessage> NODE = List.of(
+    private static final List<NodeMessage> NODE_MESSAGES = List.of(
             new NodeMessage.Hello(3, 99),
             new NodeMessage.Welcome(4, 123_456_789L),
             new NodeMessage.Request(
@@ -49,7 +49,7 @@
             new NodeMessage.Cancel(7, 2),
             new NodeMessage.Probe(5),
             new NodeMessage.Probed(5, 6, Map.of()));
-    private static final List<NodeListMessage> LIST = List.of(
+    private static final List<NodeListMessage> NODE_LIST_MESSAGES = List.of(
             new NodeListMessage.Subscribe(4, true, 17),
             new NodeListMessage.Fetch(2),
             new NodeListMessage.Failed("busy"),
@@ -62,7 +62,7 @@
             new NodeListMessage.Register(
                     new NodeListMessage.Entry("127.0.0.1:2", "", 0, NodeListMessage.State.UP, 1, 0)));
 
-    private interface Next {
+    private interface Parser {
         Object next(ByteQueue in) throws ProtocolException;
     }
 
@@ -72,7 +72,8 @@
         return bytes;
     }
 
-    private static void whole(Next parser, ByteBuffer frame, Object expected) throws ProtocolException {
+    private static void assertDecodedByteByByte(Parser parser, ByteBuffer frame, Object expected)
+            throws ProtocolException {
         byte[] bytes = bytes(frame);
         ByteQueue in = new ByteQueue();
         for (int i = 0; i < bytes.length; i++) {
@@ -84,18 +85,18 @@
     }
 
     @Test
-    void messagesComeThroughByteByByte() throws ProtocolException {
-        for (NodeMessage message : NODE) {
-            whole(NodeCodec::next, NodeCodec.frame(message), message);
+    void messagesAreDecodedByteByByte() throws ProtocolException {
+        for (NodeMessage message : NODE_MESSAGES) {
+            assertDecodedByteByByte(NodeCodec::next, NodeCodec.frame(message), message);
         }
-        for (NodeListMessage message : LIST) {
-            whole(NodeListCodec::next, NodeListCodec.frame(message), message);
+        for (NodeListMessage message : NODE_LIST_MESSAGES) {
+            assertDecodedByteByByte(NodeListCodec::next, NodeListCodec.frame(message), message);
         }
     }
 
     @Test
-    void eachFlippedBitIsNoticed() {
-        for (NodeMessage message : NODE) {
+    void eachFlippedBitIsDetected() {
+        for (NodeMessage message : NODE_MESSAGES) {
             byte[] bytes = bytes(NodeCodec.frame(message));
             for (int bit = 0; bit < bytes.length * 8; bit++) {
                 byte[] damaged = bytes.clone();
@@ -103,7 +104,8 @@
                 ByteQueue in = new ByteQueue();
                 in.add(ByteBuffer.wrap(damaged));
                 int at = bit / 8;
-                // A longer length waits for more; everything else is refused.
+                // A damaged length may be longer, so that the parser waits for more bytes; all other damage is
+                // rejected.
                 if (at >= 8 && at < 12) {
                     try {
                         assertNull(NodeCodec.next(in));
@@ -118,25 +120,25 @@
     }
 
     @Test
-    void noiseNeverBreaksAParserNorFillsMemory() {
+    void randomInputFailsOnlyWithProtocolExceptions() {
         SplittableRandom random = new SplittableRandom(11);
         for (int round = 0; round < 20_000; round++) {
-            byte[] noise = new byte[random.nextInt(200)];
-            random.nextBytes(noise);
-            if (noise.length > 28 && round % 2 == 0) {
-                // Right magic, so that the noise reaches the fields behind it.
-                ByteBuffer.wrap(noise).putInt(round % 4 == 0 ? LengthPrefixedFrames.MAGIC : Nbd.REQUEST_MAGIC);
+            byte[] randomBytes = new byte[random.nextInt(200)];
+            random.nextBytes(randomBytes);
+            if (randomBytes.length > 28 && round % 2 == 0) {
+                // A valid magic, so that the random bytes reach the fields after it.
+                ByteBuffer.wrap(randomBytes).putInt(round % 4 == 0 ? LengthPrefixedFrames.MAGIC : Nbd.REQUEST_MAGIC);
             }
             ByteQueue in = new ByteQueue();
-            in.add(ByteBuffer.wrap(noise));
-            for (Next parser : List.<Next>of(
+            in.add(ByteBuffer.wrap(randomBytes));
+            for (Parser parser : List.<Parser>of(
                     NodeCodec::next,
                     NodeListCodec::next,
                     new HandshakeParser()::next,
                     new NbdRequestParser()::readHeader)) {
                 try {
                     for (int i = 0; i < 10 && parser.next(in) != null; i++) {
-                        assertTrue(in.size() <= noise.length);
+                        assertTrue(in.size() <= randomBytes.length);
                     }
                 } catch (ProtocolException expected) {
                     assertNotNull(expected.getMessage());
@@ -146,14 +148,14 @@
     }
 
     @Test
-    void bodiesOfNoiseInRightFramesAreRefusedInWords() {
+    void randomBodiesInValidFramesFailOnlyWithProtocolExceptions() {
         SplittableRandom random = new SplittableRandom(12);
         for (int round = 0; round < 20_000; round++) {
             byte[] body = new byte[random.nextInt(120)];
             random.nextBytes(body);
             ByteBuffer frame = LengthPrefixedFrames.seal(
                     LengthPrefixedFrames.begin(random.nextInt(40), body.length).put(body));
-            for (Next parser : List.<Next>of(NodeCodec::next, NodeListCodec::next)) {
+            for (Parser parser : List.<Parser>of(NodeCodec::next, NodeListCodec::next)) {
                 ByteQueue in = new ByteQueue();
                 in.add(frame.duplicate());
                 try {
@@ -166,7 +168,7 @@
     }
 
     @Test
-    void optionsAreBounded() throws ProtocolException {
+    void optionLengthsAreBounded() throws ProtocolException {
         HandshakeParser parser = new HandshakeParser();
         ByteQueue in = new ByteQueue();
         in.add(ByteBuffer.allocate(4).putInt(3).flip());
@@ -178,7 +180,7 @@
                 .flip());
         for (int sent = 0; sent <= HandshakeParser.MAX_OPTION_BYTES; sent += 1024) {
             assertNull(parser.next(in));
-            assertTrue(in.size() <= 1024, "held " + in.size());
+            assertTrue(in.size() <= 1024, "queue holds " + in.size());
             in.add(ByteBuffer.allocate(Math.min(1024, HandshakeParser.MAX_OPTION_BYTES + 1 - sent)));
         }
         HandshakeParser.Option option = (HandshakeParser.Option) parser.next(in);
@@ -193,7 +195,7 @@
     }
 
     @Test
-    void payloadsAreKeptOrPassed() throws ProtocolException {
+    void payloadsAreKeptOrSkipped() throws ProtocolException {
         NbdRequestParser parser = new NbdRequestParser();
         ByteQueue in = new ByteQueue();
         parser.beginPayload(3);
--- a/codec/src/test/java/garnetreel/codec/RsyncTest.java
+++ b/codec/src/test/java/garnetreel/codec/RsyncTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void numbersComeBackAndHaveTheirDocumentedForms() throws Exception {
+    void numbersAreReadBackAndHaveTheDocumentedEncoding() throws Exception {
         assertArrayEquals(new byte[] {0x7f}, new RsyncOut().varint(0x7f).take().array());
         assertArrayEquals(
                 new byte[] {(byte) 0x80, (byte) 0x80},
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void listOrderPutsFilesBeforeDirectoriesAndContentsBehindThem() {
+    void listOrderPutsFilesBeforeDirectoriesAndContentsAfterTheirDirectory() {
         List<FileItem> expected = new ArrayList<>();
         for (String name : List.of(
                 "./", "b", "b-c", "z", "a/", "a/x", "a/y", "a/k/", "a/k/1", "a-b/", "a-b/q", "b.d/", "c/", "c/d/",
@@ -83,7 +83,7 @@
                     "",
                     null));
         }
-        // "a-b/" sorts before "a/" as bytes do: '-' is less than '/'.
+        // Names compare as bytes: "a-b/" sorts before "a/", as '-' is less than '/'.
         expected.sort(FileItem.ORDER);
         List<String> names = expected.stream().map(FileItem::name).toList();
         assertEquals(
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void fileListsComeBackByteByByte() throws Exception {
+    void fileListsAreReadBackByteByByte() throws Exception {
         FileListCodec.Form form = new FileListCodec.Form(true, true, true, true);
         List<FileItem> items = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -148,20 +148,20 @@
         assertTrue(reader.ended());
     }
 
-    /** Rebuilds what a receiver would from tokens. */
+    /** Rebuilds a file from the tokens of a delta, as the receiver does. */
     private static byte[] apply(RsyncIn in, byte[] basis, int block) throws Exception {
-        ByteArrayOutputStream made = new ByteArrayOutputStream();
+        ByteArrayOutputStream rebuilt = new ByteArrayOutputStream();
         int token;
         while ((token = in.i32()) != 0) {
             if (token > 0) {
-                made.writeBytes(in.take(token));
+                rebuilt.writeBytes(in.take(token));
             } else {
                 int from = -(token + 1) * block;
-                made.write(basis, from, Math.min(block, basis.length - from));
+                rebuilt.write(basis, from, Math.min(block, basis.length - from));
             }
         }
-        assertArrayEquals(Checksums.md5().digest(made.toByteArray()), in.take(Rsync.STRONG));
-        return made.toByteArray();
+        assertArrayEquals(Checksums.md5().digest(rebuilt.toByteArray()), in.take(Rsync.STRONG));
+        return rebuilt.toByteArray();
     }
 
     private static Delta.Basis basis(byte[] old, int block, int strong) throws Exception {
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void deltasRebuildAnyContentsFromAnyBasisInAnyPieces() throws Exception {
+    void deltasRebuildAnyContentsFromAnyBasisWithAnyBufferSizes() throws Exception {
         for (int run = 0; run < 300; run++) {
             byte[] old = new byte[random.nextInt(1, 20_000)];
             random.nextBytes(old);
@@ -194,9 +194,9 @@
                     changed.write(old, from, random.nextInt(old.length - from + 1));
                     kept++;
                 } else {
-                    byte[] fresh = new byte[random.nextInt(500)];
-                    random.nextBytes(fresh);
-                    changed.writeBytes(fresh);
+                    byte[] literal = new byte[random.nextInt(500)];
+                    random.nextBytes(literal);
+                    changed.writeBytes(literal);
                 }
                 if (kept > 4 && random.nextInt(4) == 0) {
                     break;
@@ -221,8 +221,8 @@
     }
 
     @Test
-    void headersThatCantBeAreRefusedBeforeRoomIsTaken() {
-        int[][] heads = {
+    void invalidChecksumHeadersAreRejected() {
+        int[][] headers = {
             {1 << 31, 700, 16, 0},
             {Integer.MAX_VALUE, 700, 16, 0},
             {5, 0, 16, 0},
@@ -233,37 +233,39 @@
             {-1, 700, 16, 0},
             {5, 700, 16, -1}
         };
-        for (int[] head : heads) {
+        for (int[] header : headers) {
             assertThrows(
                     ProtocolException.class,
-                    () -> new Delta.Basis(head[0], head[1], head[2], head[3]),
-                    Arrays.toString(head));
+                    () -> new Delta.Basis(header[0], header[1], header[2], header[3]),
+                    Arrays.toString(header));
         }
     }
 
     @Test
-    void framesComeApartByteByByteAndLargeMessagesAreRefused() throws Exception {
+    void framesAreDecodedByteByByteAndLargeMessagesAreRejected() throws Exception {
         ByteBuffer data = RsyncOut.frame(Rsync.DATA, new byte[] {1, 2, 3}, 3);
         ByteBuffer note = RsyncOut.frame(Rsync.INFO, new byte[] {'h', 'i'}, 2);
         MultiplexedFrames frames = new MultiplexedFrames();
         RsyncIn in = new RsyncIn();
-        List<String> said = new ArrayList<>();
+        List<String> messages = new ArrayList<>();
         for (ByteBuffer one : List.of(data, RsyncOut.frame(Rsync.DATA, new byte[0], 0), note, data.duplicate())) {
             while (one.hasRemaining()) {
                 frames.add(
-                        ByteBuffer.wrap(new byte[] {one.get()}), in, (kind, body) -> said.add(kind + new String(body)));
+                        ByteBuffer.wrap(new byte[] {one.get()}),
+                        in,
+                        (kind, body) -> messages.add(kind + new String(body)));
             }
         }
         assertEquals(6, in.size());
-        assertEquals(List.of(Rsync.INFO + "hi"), said);
+        assertEquals(List.of(Rsync.INFO + "hi"), messages);
         ByteBuffer large = ByteBuffer.wrap(new byte[] {0, 0, 2, Rsync.INFO + 7});
         assertThrows(
                 ProtocolException.class, () -> new MultiplexedFrames().add(large, new RsyncIn(), (kind, body) -> {}));
     }
 
-    /** Bytes by chance: each parser ends with a clear error or asks for more, in bounded room, and never otherwise. */
+    /** On random bytes each parser either fails with its own exceptions or waits for more input, in bounded memory. */
     @Test
-    void bytesByChanceEndInAnErrorOrAskForMore() {
+    void randomBytesEndInAnErrorOrAwaitMoreInput() {
         int errors = 0;
         for (int run = 0; run < 20_000; run++) {
             byte[] bytes = new byte[random.nextInt(1, 200)];
--- a/codec/src/test/java/garnetreel/codec/http/HttpParsersTest.java
+++ b/codec/src/test/java/garnetreel/codec/http/HttpParsersTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients and shelves may send, and what they must not. */
+/** Valid and invalid input of the HTTP parsers, from clients and from endpoints. */
 class HttpParsersTest {
-    private static final String GOOD =
+    private static final String VALID_REQUEST =
             "PUT /write?x=1 HTTP/1.1\r\nHost: a\r\nTier:  gold \r\nContent-Length: 3\r\n\r\nabc";
 
     private static ByteBuffer bytes(String text) {
@@ -26,15 +26,16 @@
     }
 
     @Test
-    void requestInOnePieceAndByteByByte() throws ProtocolException {
+    void requestsAreParsedInOnePieceAndByteByByte() throws ProtocolException {
         HttpRequestParser parser = new HttpRequestParser();
-        ByteBuffer two = bytes(GOOD + GOOD);
+        ByteBuffer two = bytes(VALID_REQUEST + VALID_REQUEST);
         HttpRequest first = parser.next(two);
         assertEquals("PUT", first.method());
         assertEquals("/write", first.path());
         assertEquals("gold", first.fields().only("tier"));
         assertArrayEquals("abc".getBytes(StandardCharsets.US_ASCII), first.body());
-        assertEquals(GOOD.length(), two.remaining(), "a request ends where it ends");
+        assertEquals(
+                VALID_REQUEST.length(), two.remaining(), "the parser consumes no bytes after the end of the request");
         HttpRequest second = null;
         while (two.hasRemaining()) {
             assertNull(second);
@@ -69,13 +70,13 @@
                 "PUT / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                 "PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\n\r\n"
             })
-    void whatIsNoRequest(String text) {
+    void invalidRequestsAreRejected(String text) {
         assertThrows(ProtocolException.class, () -> new HttpRequestParser().next(bytes(text)));
     }
 
-    /** A head that never ends, of fields or of one line, is given up at a bound. */
+    /** A head without end, of many fields or of one long line, is rejected when it exceeds a limit. */
     @Test
-    void headsEnd() {
+    void headsAreBounded() {
         HttpRequestParser fields = new HttpRequestParser();
         assertThrows(ProtocolException.class, () -> {
             assertNull(fields.next(bytes("GET / HTTP/1.1\r\n")));
@@ -92,7 +93,7 @@
     }
 
     @Test
-    void responses() throws ProtocolException {
+    void responsesAreParsedAndInterimOnesSkipped() throws ProtocolException {
         HttpResponseParser parser = new HttpResponseParser(100);
         ByteBuffer in = bytes("HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"
                 + "HTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n1;x\r\nd\r\n0\r\n\r\nbehind");
@@ -125,44 +126,44 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n65\r\n01234567890123456789012345678901234567890123456789"
                         + "012345678901234567890123456789012345678901234567890123456789"
             })
-    void whatIsNoResponse(String text) {
+    void invalidResponsesAreRejected(String text) {
         assertThrows(ProtocolException.class, () -> new HttpResponseParser(100).next(bytes(text)));
     }
 
-    /** One that states no length is whole when its connection has ended in order, and not before. */
+    /** A response without a length is complete when its connection has been closed properly, and not before. */
     @Test
     void aResponseWithoutALengthEndsWithItsConnection() throws ProtocolException {
         HttpResponseParser parser = new HttpResponseParser(100);
         assertNull(parser.next(bytes("HTTP/1.1 200 OK\r\nA: b\r\n\r\nab")));
         assertNull(parser.next(bytes("cd")));
-        HttpResponse whole = parser.ended();
-        assertEquals("abcd", new String(whole.body(), StandardCharsets.US_ASCII));
-        assertFalse(whole.reusable());
-        HttpResponseParser cutShort = new HttpResponseParser(100);
-        assertNull(cutShort.next(bytes("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab")));
-        assertNull(cutShort.ended(), "it stated a length that has not come");
+        HttpResponse response = parser.ended();
+        assertEquals("abcd", new String(response.body(), StandardCharsets.US_ASCII));
+        assertFalse(response.reusable());
+        HttpResponseParser truncated = new HttpResponseParser(100);
+        assertNull(truncated.next(bytes("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab")));
+        assertNull(truncated.ended(), "the body is shorter than its Content-Length");
         assertNull(new HttpResponseParser(100).ended());
     }
 
-    /** Noise is refused or waited for, within the bounds; nothing else is thrown. */
+    /** Randomly damaged messages are rejected with a ProtocolException or incomplete; nothing else is thrown. */
     @Test
-    void noise() {
+    void damagedMessagesFailOnlyWithProtocolExceptions() {
         Random random = new Random(7);
         for (int round = 0; round < 2_000; round++) {
-            byte[] noise = (random.nextBoolean()
-                            ? GOOD
+            byte[] damaged = (random.nextBoolean()
+                            ? VALID_REQUEST
                             : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1);
             for (int i = random.nextInt(4); i >= 0; i--) {
-                noise[random.nextInt(noise.length)] = (byte) random.nextInt(256);
+                damaged[random.nextInt(damaged.length)] = (byte) random.nextInt(256);
             }
             try {
-                new HttpRequestParser().next(ByteBuffer.wrap(noise));
+                new HttpRequestParser().next(ByteBuffer.wrap(damaged));
             } catch (ProtocolException e) {
                 assertNotNull(e.getMessage());
             }
             try {
-                new HttpResponseParser(100).next(ByteBuffer.wrap(noise));
+                new HttpResponseParser(100).next(ByteBuffer.wrap(damaged));
             } catch (ProtocolException e) {
                 assertNotNull(e.getMessage());
             }
--- a/core/src/main/java/garnetreel/core/server/ByteBudget.java
+++ b/core/src/main/java/garnetreel/core/server/ByteBudget.java
@@ -5,16 +5,17 @@
 import java.util.Set;
 
 /**
- * Bytes that all connections of a gateway may hold together: payloads received and replies that have not left. A
- * connection that finds no capacity waits its turn and is not read from meanwhile.
+ * Limits the bytes that all connections of a gateway hold together: received payloads and replies not yet sent. A
+ * connection that finds no capacity waits in line, and its socket is not read meanwhile.
  *
- * <p>One that holds nothing may always have one request, so that a request larger than the bound is served alone rather
- * than never; the overshoot is one payload a connection at most.
+ * <p>A connection that holds no bytes may exceed the limit with one request while less than twice the limit is
+ * reserved, so that a request larger than the limit is served eventually. The excess is at most one payload per
+ * connection.
  */
 public final class ByteBudget {
-    /** Waits for capacity. */
+    /** Is notified when capacity may be available. */
     public interface CapacityListener {
-        /** There may be capacity again. */
+        /** Capacity may be available again. */
         void capacityAvailable();
     }
 
@@ -22,20 +23,21 @@
     private final Set<CapacityListener> waiting = new LinkedHashSet<>();
     private long reserved;
 
-    /** A budget of so many bytes, all of them free. */
+    /** A budget of {@code maxBytes} bytes, all of them free. */
     public ByteBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /**
-     * Reserves bytes if there is capacity; else the listener waits.
+     * Reserves bytes if there is capacity; otherwise adds the listener to those waiting.
      *
-     * @param holdsNothing the connection holds no bytes yet, and may have one request over the bound
+     * @param holdsNothing whether the connection holds no bytes yet and may therefore exceed the limit with this
+     *     request
      */
     public boolean tryReserve(long bytes, boolean holdsNothing, CapacityListener listener) {
         boolean fits = reserved + bytes <= maxBytes;
-        boolean mayOvershoot = holdsNothing && reserved < 2 * maxBytes;
-        if (!fits && !mayOvershoot) {
+        boolean mayExceedLimit = holdsNothing && reserved < 2 * maxBytes;
+        if (!fits && !mayExceedLimit) {
             waiting.add(listener);
             return false;
         }
@@ -43,7 +45,7 @@
         return true;
     }
 
-    /** Whether any capacity is left; if not, the listener waits. */
+    /** Whether any capacity is left; otherwise adds the listener to those waiting. */
     public boolean hasCapacity(CapacityListener listener) {
         if (reserved < maxBytes) {
             return true;
@@ -52,25 +54,27 @@
         return false;
     }
 
-    /** Releases bytes; a negative number reserves them without asking, for replies, which their requests bound. */
+    /**
+     * Releases bytes. A negative number reserves them unconditionally, for replies, whose size their requests bound.
+     */
     public void release(long bytes) {
         reserved -= bytes;
     }
 
-    /** A listener no longer waits. */
+    /** Removes a listener from those waiting. */
     public void removeListener(CapacityListener listener) {
         waiting.remove(listener);
     }
 
-    /** Calls those who wait, in order, while there is capacity; each may wait again. */
+    /** Notifies waiting listeners in order while there is capacity; a listener may start to wait again. */
     public void notifyWaiting() {
         if (reserved >= maxBytes || waiting.isEmpty()) {
             return;
         }
-        ArrayDeque<CapacityListener> turn = new ArrayDeque<>(waiting);
+        ArrayDeque<CapacityListener> pending = new ArrayDeque<>(waiting);
         waiting.clear();
-        while (!turn.isEmpty()) {
-            CapacityListener next = turn.poll();
+        while (!pending.isEmpty()) {
+            CapacityListener next = pending.poll();
             if (reserved < maxBytes) {
                 next.capacityAvailable();
             } else {
@@ -79,7 +83,7 @@
         }
     }
 
-    /** Bytes reserved now; over the bound where a connection overshoots. */
+    /** Bytes reserved now, which may exceed the limit. */
     public long reserved() {
         return reserved;
     }
--- a/core/src/main/java/garnetreel/core/server/InvalidOptionException.java
+++ b/core/src/main/java/garnetreel/core/server/InvalidOptionException.java
@@ -1,6 +1,6 @@
 package garnetreel.core.server;
 
-/** A handshake option breaks the specification; its message is for the client. The connection goes on. */
+/** A handshake option violates the specification. The message is sent to the client and the connection stays open. */
 final class InvalidOptionException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/garnetreel/core/server/NbdRequest.java
+++ b/core/src/main/java/garnetreel/core/server/NbdRequest.java
@@ -10,17 +10,17 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** One request in progress, and the form that its reply takes on this connection. */
+/** A request in progress; writes its reply in the form negotiated on its connection. */
 final class NbdRequest implements BlockBackend.Callback {
-    /** Zeroes are sent as a hole where at least so many lie together; less is not worth a chunk. */
+    /** Minimum run of zeroes that is sent as a hole; a separate chunk does not pay off for less. */
     private static final int MIN_HOLE_BYTES = 32 << 10;
 
     private static final byte[] ZEROES = new byte[MIN_HOLE_BYTES];
 
     final Header header;
-    /** What it counts for against the byte budget. */
+    /** Bytes reserved for the request in the byte budget. */
     final long reservedBytes;
-    /** Set when the call that hands it to the backend returns, which may be after the reply. */
+    /** Set when the call that submits the request to the backend returns, which may be after the reply. */
     BlockBackend.OperationHandle operation;
 
     private final NbdSession session;
@@ -61,7 +61,8 @@
     }
 
     private void writeError(BlockBackend.Reply reply) {
-        // ENOMEM: a shortage that may pass; EIO: nothing is promised. docs/gateway.md has the alternatives weighed.
+        // ENOMEM: temporary lack of resources, worth a retry; EIO: outcome unknown. docs/gateway.md compares the
+        // alternatives.
         int code = reply.status() == ReplyStatus.REJECTED ? Nbd.ENOMEM : Nbd.EIO;
         long offset = op() == Op.FLUSH ? NbdSession.NO_OFFSET : reply.errorOffset();
         session.error(header.cookie(), code, reply.message(), offset);
@@ -89,7 +90,7 @@
         }
     }
 
-    /** One chunk for each run of data and each run of whole blocks of zeroes. */
+    /** Writes one chunk for each run of data and for each run of complete blocks of zeroes. */
     private void writeChunks(ByteBuffer data) {
         int end = data.remaining();
         int runStart = 0;
@@ -112,10 +113,10 @@
         }
     }
 
-    /** Whether the block at an offset is whole and all zeroes. */
+    /** Whether the block at an offset is complete and all zeroes. */
     private static boolean isZeroBlock(ByteBuffer data, int offset, int end) {
         if (offset + MIN_HOLE_BYTES > end || data.get(data.position() + offset) != 0) {
-            return false; // the first byte alone spares most blocks of data the comparison
+            return false; // the first byte alone rules out most blocks of data without a full comparison
         }
         int from = data.arrayOffset() + data.position() + offset;
         return Arrays.equals(data.array(), from, from + MIN_HOLE_BYTES, ZEROES, 0, MIN_HOLE_BYTES);
--- a/core/src/main/java/garnetreel/core/server/NbdServer.java
+++ b/core/src/main/java/garnetreel/core/server/NbdServer.java
@@ -6,13 +6,13 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The NBD connections of a gateway, and the exports that they may open. */
+/** The NBD server of a gateway: its connections, and the exports that they can open. */
 public final class NbdServer extends ProtocolServer<NbdSession> {
     final BlockBackend backend;
-    /** By name, in the order of the settings, which is that of the list that clients get. */
+    /** Exports by name, in the order of the settings, which is also the order in the reply to LIST. */
     final Map<String, Volume> exports = new LinkedHashMap<>();
 
-    /** A server without connections, for the exports of the settings. */
+    /** Creates a server without connections for the exports of the settings. */
     public NbdServer(GatewaySettings settings, BlockBackend backend, ByteBudget byteBudget) {
         super(settings, byteBudget);
         this.backend = backend;
@@ -27,7 +27,7 @@
         return room;
     }
 
-    /** The export of a name; the empty name is the first export. Null when there is none. */
+    /** The export with this name, or the first export for the empty name; null if there is none. */
     Volume export(String name) {
         return name.isEmpty() && !exports.isEmpty()
                 ? exports.values().iterator().next()
--- a/core/src/main/java/garnetreel/core/server/NbdSession.java
+++ b/core/src/main/java/garnetreel/core/server/NbdSession.java
@@ -17,27 +17,27 @@
 import java.util.Set;
 
 /**
- * One NBD connection, from the greeting to its end. As the specification has it, an option or request that is wrong in
- * itself gets an error and the connection goes on; a stream that can't be followed any more is closed.
+ * One NBD connection, from the greeting to its end. As the specification requires, an invalid option or request is
+ * answered with an error and the connection stays open; a connection whose stream can no longer be parsed is closed.
  */
 final class NbdSession extends ProtocolServer.Session {
-    /** More options than a client that asks about every export would send; then the connection is closed. */
+    /** Limit of options, after which the connection is closed; a client that queries every export sends fewer. */
     private static final int MAX_OPTIONS = 2048;
-    /** Bytes that a request without payload counts for against the byte budget. */
+    /** Bytes reserved in the byte budget for each request in addition to its payload. */
     private static final int REQUEST_OVERHEAD_BYTES = 64;
-    /** In place of an offset, where an error is not about one. */
+    /** Stands for the offset of an error that is not about an offset. */
     static final long NO_OFFSET = -1;
 
     private enum Phase {
         /** Options are negotiated. */
         HANDSHAKE,
-        /** The next request's header is awaited, or waits for capacity. */
+        /** The next request's header is awaited, or its request waits for capacity. */
         REQUEST,
         /** A write's payload is read or skipped. */
         PAYLOAD,
-        /** No request is read any more; the connection ends with the last reply. */
+        /** No further request is read; the connection ends after the last reply. */
         CLOSING,
-        /** The connection is over. */
+        /** The connection has ended. */
         ENDED
     }
 
@@ -54,16 +54,16 @@
     private int optionCount;
     /** The export in use; null during the handshake. */
     private Volume volume;
-    /** Set with the export, when nothing is negotiated any more. */
+    /** Set together with the export, when negotiation is complete. */
     private RequestValidator validator;
-    /** The request whose payload is awaited, or that waits for capacity. */
+    /** Header of the request whose payload is awaited, or that waits for capacity; null if there is none. */
     private Header header;
 
     private boolean reading = true;
     private boolean pumping;
-    /** Bytes reserved of the byte budget for requests in progress. */
+    /** Bytes reserved in the byte budget for requests in progress. */
     private long reserved;
-    /** Bytes written that have not left; they count in the byte budget too. */
+    /** Bytes written and not yet sent, which are reserved in the byte budget too. */
     private long outbound;
 
     NbdSession(NbdServer server, long conn, boolean rejected, long handshakeDeadline) {
@@ -129,10 +129,10 @@
         if (phase == Phase.PAYLOAD || phase == Phase.REQUEST) {
             phase = Phase.CLOSING;
         }
-        endIfQuiet();
+        endIfIdle();
     }
 
-    private void endIfQuiet() {
+    private void endIfIdle() {
         if (phase == Phase.CLOSING && inProgress.isEmpty()) {
             end(false);
         }
@@ -143,15 +143,15 @@
     void write(ByteBuffer data) {
         int bytes = data.remaining();
         outbound += bytes;
-        // Replies are bounded by their requests, so their bytes are reserved without asking.
+        // Replies are bounded by their requests, so their bytes are reserved unconditionally.
         byteBudget.release(-bytes);
         server.emit(new NetAction.Write(conn, data));
     }
 
-    /** Parses as far as bytes and bounds allow, then sets whether the socket is read. */
+    /** Processes received bytes as far as the limits allow, then updates whether the socket is read. */
     private void pump() {
         if (pumping || phase == Phase.ENDED) {
-            return; // a reply within the loop below calls this again, and so does the end of the connection
+            return; // called again by a reply written within the loop below, or by the end of the connection
         }
         pumping = true;
         try {
@@ -160,18 +160,19 @@
                 advanced = advance();
             } while (advanced);
         } catch (ProtocolException e) {
-            server.emit(new NetAction.Log(NetAction.Level.DEBUG, "client: " + e.getMessage() + "; connection closed"));
+            server.emit(
+                    new NetAction.Log(NetAction.Level.DEBUG, "NBD client: " + e.getMessage() + "; connection closed"));
             end(true);
         } finally {
             pumping = false;
         }
-        endIfQuiet();
+        endIfIdle();
         if (phase != Phase.ENDED) {
             updateReadInterest();
         }
     }
 
-    /** Handles one message, or as much of it as there is; false when it needs more bytes or capacity. */
+    /** Processes the next message as far as it has been received; false if more bytes or capacity are needed. */
     private boolean advance() throws ProtocolException {
         return switch (phase) {
             case HANDSHAKE -> hasCapacity() && option();
@@ -189,14 +190,14 @@
         if (phase == Phase.CLOSING) {
             receivedBytes.skip(receivedBytes.size());
         }
-        boolean read = wantsBytes();
+        boolean read = shouldRead();
         if (read != reading) {
             reading = read;
             server.emit(new NetAction.SetReadInterest(conn, read));
         }
     }
 
-    private boolean wantsBytes() {
+    private boolean shouldRead() {
         return switch (phase) {
             case HANDSHAKE -> hasCapacity();
             case REQUEST -> hasCapacity() && header == null;
@@ -230,32 +231,32 @@
         noZeroes = (clientFlags & Nbd.NO_ZEROES) != 0;
     }
 
-    /** Answers EXPORT_NAME, to which the specification has no negative answer but to close. */
-    void exportName(Volume chosen) {
-        if (chosen == null) {
+    /** Answers EXPORT_NAME; the specification has no error reply to it, so an unknown export closes the connection. */
+    void exportName(Volume export) {
+        if (export == null) {
             end(false);
             return;
         }
-        write(NbdWriter.exportName(chosen.size(), transmissionFlags(chosen), !noZeroes));
-        beginTransmission(chosen);
+        write(NbdWriter.exportName(export.size(), transmissionFlags(export), !noZeroes));
+        beginTransmission(export);
     }
 
     /** Enters the transmission phase. */
-    void beginTransmission(Volume chosen) {
-        volume = chosen;
-        validator = new RequestValidator(chosen, bounds.maxPayload(), options);
+    void beginTransmission(Volume export) {
+        volume = export;
+        validator = new RequestValidator(export, bounds.maxPayload(), options);
         phase = Phase.REQUEST;
         server.handshakeCompleted(this);
     }
 
-    /** What clients may do with an export. */
-    int transmissionFlags(Volume chosen) {
+    /** Transmission flags of an export. */
+    int transmissionFlags(Volume export) {
         return Nbd.HAS_FLAGS
                 | Nbd.SEND_FLUSH
                 | Nbd.SEND_FUA
                 | Nbd.CAN_MULTI_CONN
                 | Nbd.SEND_CACHE
-                | (chosen.readOnly() ? Nbd.READ_ONLY : Nbd.SEND_TRIM | Nbd.SEND_WRITE_ZEROES)
+                | (export.readOnly() ? Nbd.READ_ONLY : Nbd.SEND_TRIM | Nbd.SEND_WRITE_ZEROES)
                 | (options.structuredReplies() ? Nbd.SEND_DF : 0);
     }
 
@@ -312,7 +313,7 @@
         if (data != null) {
             start(data);
         } else {
-            reject(validator.validate(header)); // only the payload of an invalid request is not kept
+            reject(validator.validate(header)); // only the payload of an invalid request is skipped
         }
         return true;
     }
@@ -338,16 +339,16 @@
                 request);
     }
 
-    /** A request's reply is written. */
+    /** Called when a request's reply has been written. */
     void replied(NbdRequest request) {
         inProgress.remove(request);
         reserved -= request.reservedBytes;
         byteBudget.release(request.reservedBytes);
         pump();
-        endIfQuiet();
+        endIfIdle();
     }
 
-    /** Writes an error in the form that was negotiated. */
+    /** Writes an error reply in the negotiated form. */
     void error(long cookie, int code, String message, long offset) {
         write(
                 options.structuredReplies()
--- a/core/src/main/java/garnetreel/core/server/OptionHandler.java
+++ b/core/src/main/java/garnetreel/core/server/OptionHandler.java
@@ -7,21 +7,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Handles the options of one connection's handshake, and holds what they have negotiated. */
+/** Handles the options of a connection's handshake and holds the negotiated settings. */
 final class OptionHandler {
     /** Id of the metadata context base:allocation in block status replies. */
     static final int ALLOCATION_ID = 1;
-    /** Advice to clients; requests of any alignment are served. */
+    /** A recommendation to clients; requests of any alignment are served. */
     private static final int PREFERRED_BLOCK_BYTES = 4096;
 
     private static final int MIN_BLOCK_BYTES = 1;
-    /** More queries than there are contexts to ask for. */
+    /** Limit of queries in an option; there are fewer contexts to query. */
     private static final int MAX_QUERIES = 64;
 
     private final NbdServer server;
     private final NbdSession session;
     private boolean structuredReplies;
-    /** The export whose allocation context was set; a GO for another one voids it. */
+    /** The export whose allocation context was set; entering transmission with another export voids it. */
     private String contextExport;
 
     private boolean allocationContext;
@@ -95,7 +95,7 @@
 
     private void exportName(OptionReader data) throws InvalidOptionException {
         String name = data.remainingText();
-        settleContext(name);
+        finishContextNegotiation(name);
         session.exportName(server.export(name));
     }
 
@@ -121,7 +121,7 @@
         writeInfos(code, volume, requested);
         acknowledge(code);
         if (code == Nbd.OPT_GO) {
-            settleContext(name);
+            finishContextNegotiation(name);
             session.beginTransmission(volume);
         }
     }
@@ -140,7 +140,7 @@
         }
     }
 
-    /** The queries of a metadata context option, for the contexts of one export. */
+    /** The export and queries of a metadata context option. */
     private record ContextQueries(String export, int count, boolean base, boolean allocation) {
         static ContextQueries read(OptionReader data) throws InvalidOptionException {
             String export = data.text();
@@ -175,7 +175,7 @@
 
     private void setMetaContext(int code, OptionReader data) throws InvalidOptionException {
         ContextQueries queries = ContextQueries.read(data);
-        contextExport = null; // a new SET takes the place of the last one, even if it fails
+        contextExport = null; // a new SET replaces the previous one, even if it fails
         if (!structuredReplies) {
             throw new InvalidOptionException("metadata contexts need structured replies first");
         }
@@ -190,7 +190,7 @@
         acknowledge(code);
     }
 
-    private void settleContext(String export) {
+    private void finishContextNegotiation(String export) {
         allocationContext = export.equals(contextExport);
     }
 
--- a/core/src/main/java/garnetreel/core/server/OptionReader.java
+++ b/core/src/main/java/garnetreel/core/server/OptionReader.java
@@ -5,7 +5,7 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** Reads the fields of a handshake option's data, from its start to its end. */
+/** Reads the fields of a handshake option's data in order. */
 final class OptionReader {
     private final ByteBuffer data;
 
@@ -13,28 +13,28 @@
         this.data = ByteBuffer.wrap(data);
     }
 
-    /** An unsigned number of 16 bits. */
+    /** Reads an unsigned 16-bit number. */
     int unsignedShort() throws InvalidOptionException {
         require(Short.BYTES);
         return data.getShort() & 0xffff;
     }
 
-    /** A number of 32 bits; above 2^31 it is negative here. */
+    /** Reads a 32-bit number; the result is negative from 2^31 on. */
     int integer() throws InvalidOptionException {
         require(Integer.BYTES);
         return data.getInt();
     }
 
-    /** A text that has its length before it. */
+    /** Reads a text preceded by its length. */
     String text() throws InvalidOptionException {
         int length = integer();
         if (length < 0) {
-            throw cutShort();
+            throw truncated();
         }
         return text(length);
     }
 
-    /** A text that takes all that remains. */
+    /** Reads all remaining data as a text. */
     String remainingText() throws InvalidOptionException {
         return text(data.remaining());
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Checks that nothing remains. */
+    /** Checks that no data remains. */
     void end() throws InvalidOptionException {
         if (data.hasRemaining()) {
             throw new InvalidOptionException("the option has " + data.remaining() + " bytes too many");
@@ -62,11 +62,11 @@
 
     private void require(int bytes) throws InvalidOptionException {
         if (bytes > data.remaining()) {
-            throw cutShort();
+            throw truncated();
         }
     }
 
-    private static InvalidOptionException cutShort() {
+    private static InvalidOptionException truncated() {
         return new InvalidOptionException("the option is cut short");
     }
 }
--- a/core/src/main/java/garnetreel/core/server/ProtocolServer.java
+++ b/core/src/main/java/garnetreel/core/server/ProtocolServer.java
@@ -13,29 +13,29 @@
 import java.util.TreeMap;
 
 /**
- * What the protocol servers of a gateway share: the table of connections and its bound, the time for a handshake, the
- * byte budget, and graceful shutdown. All connections of all servers draw on one {@link ByteBudget}.
+ * Base of the protocol servers of a gateway: connections and their limit, the handshake timeout, the byte budget and
+ * graceful shutdown. The connections of all servers share one {@link ByteBudget}.
  *
- * @param <S> a connection of this protocol
+ * @param <S> session of this protocol
  */
 public abstract class ProtocolServer<S extends ProtocolServer.Session> implements ConnectionHandler {
-    /** Rejected connections that may stand until they have read why; the ones beyond are closed at once. */
+    /** Rejected connections kept open until the client has been told why; further ones are closed at once. */
     private static final int MAX_REJECTED = 16;
 
-    /** One connection. */
+    /** The session of a connection. */
     public abstract static class Session implements ByteBudget.CapacityListener {
         /** Id of the connection. */
         protected final long conn;
-        /** It is past the table's bound: the peer only learns that. */
+        /** Whether the connection exceeds the limit: the client only gets an error that says so. */
         protected final boolean rejected;
 
         final long handshakeDeadline;
 
         /**
-         * A session in its handshake.
+         * Creates a session in its handshake.
          *
-         * @param rejected it is past the table's bound
-         * @param handshakeDeadline when it is closed unless its handshake is over
+         * @param rejected whether the connection exceeds the limit
+         * @param handshakeDeadline when the connection is closed unless its handshake is complete
          */
         protected Session(long conn, boolean rejected, long handshakeDeadline) {
             this.conn = conn;
@@ -46,16 +46,16 @@
         /** Writes what the server sends first. */
         public abstract void greet();
 
-        /** Bytes came. */
+        /** Called when bytes have been received. */
         public abstract void received(ByteBuffer data);
 
-        /** So many bytes of what was written have left. */
+        /** Called when this many written bytes have been sent. */
         public abstract void drained(int bytes);
 
-        /** The peer is gone: nothing is owed any more. */
+        /** Called when the connection has ended; discards all requests and pending replies. */
         public abstract void disconnected();
 
-        /** Accepts no further request, and ends once the last reply is written. */
+        /** Accepts no further requests, and ends once the last reply is written. */
         public abstract void closeGracefully();
 
         /** Ends the connection from this side. */
@@ -76,21 +76,21 @@
     private int rejected;
     private boolean draining;
 
-    /** A server without connections. */
+    /** Creates a server without connections. */
     protected ProtocolServer(GatewaySettings settings, ByteBudget byteBudget) {
         this.settings = settings;
         this.room = byteBudget;
     }
 
     /**
-     * A session for a connection.
+     * Creates the session of a connection.
      *
-     * @param full the table is full, and the peer is to learn that
-     * @param handshakeDeadline when it is closed unless its handshake is over
+     * @param full whether the connection limit is reached, which the session has to report to the client
+     * @param handshakeDeadline when the connection is closed unless its handshake is complete
      */
     protected abstract S open(long conn, boolean full, long handshakeDeadline);
 
-    /** Begins a turn: its time, and where its actions go. */
+    /** Begins a turn of the event loop, with its time and the list that collects its actions. */
     public void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
@@ -121,7 +121,7 @@
         return sessions.size();
     }
 
-    /** All sessions by id, as a copy, so that they may end meanwhile. */
+    /** All sessions in the order of their ids; a copy, so that sessions may end during the iteration. */
     protected final Iterable<S> sessions() {
         return List.copyOf(sessions.values());
     }
@@ -137,7 +137,8 @@
         if (full) {
             rejected++;
             emit(new NetAction.Log(
-                    NetAction.Level.WARN, "connection table full at " + maxConnections + "; " + peer + " is rejected"));
+                    NetAction.Level.WARN,
+                    "connection limit of " + maxConnections + " reached; client " + peer + " is rejected"));
         }
         S session = open(conn, full, now + settings.bounds().handshakeTimeout());
         sessions.put(conn, session);
@@ -147,7 +148,7 @@
 
     @Override
     public final void connected(long conn) {
-        // Clients open their connections themselves: none is ever opened here.
+        // The server opens no connections itself.
     }
 
     @Override
@@ -165,12 +166,12 @@
         sessions.get(event.connectionId()).disconnected();
     }
 
-    /** A session's handshake is over. */
+    /** Called when a session's handshake is complete. */
     public final void handshakeCompleted(S session) {
         handshaking.remove(session);
     }
 
-    /** A session has ended, by either side. */
+    /** Called when a session has ended, by either side. */
     public final void ended(S session) {
         sessions.remove(session.conn);
         handshaking.remove(session);
@@ -180,18 +181,20 @@
         }
     }
 
-    /** Begins the shutdown: no new connections or requests; connections close as their last reply leaves. */
+    /** Begins the shutdown: rejects new connections and requests, and closes each connection after its last reply. */
     public final void drain() {
         draining = true;
         sessions().forEach(Session::closeGracefully);
     }
 
-    /** When something here is due; {@link Long#MAX_VALUE} for nothing. */
+    /** Time of the next handshake deadline; {@link Long#MAX_VALUE} if there is none. */
     public long nextDeadline() {
         return handshaking.isEmpty() ? Long.MAX_VALUE : handshaking.iterator().next().handshakeDeadline;
     }
 
-    /** Closes connections whose handshake takes too long, as they fill the table for nothing. */
+    /**
+     * Closes connections whose handshake takes too long, as they count against the connection limit without being used.
+     */
     public void expire() {
         while (!handshaking.isEmpty() && now >= handshaking.iterator().next().handshakeDeadline) {
             handshaking.iterator().next().end(true);
--- a/core/src/main/java/garnetreel/core/server/RequestValidator.java
+++ b/core/src/main/java/garnetreel/core/server/RequestValidator.java
@@ -4,14 +4,14 @@
 import garnetreel.codec.nbd.NbdRequestParser.Header;
 import garnetreel.core.Volume;
 
-/** What the specification asks of a single request, before anything is done for it. */
+/** Validates a request against the specification before it is processed. */
 final class RequestValidator {
     private final Volume volume;
     private final int maxPayload;
     private final boolean structuredReplies;
     private final boolean allocationContext;
 
-    /** Why a request is not served: the specification's error code and a message. */
+    /** The error reply to an invalid request: the specification's error code and a message. */
     record RequestError(int code, String message) {}
 
     RequestValidator(Volume volume, int maxPayload, OptionHandler negotiated) {
@@ -25,7 +25,7 @@
         this.allocationContext = allocationContext;
     }
 
-    /** What is wrong with a request; null when nothing is. */
+    /** The error for an invalid request; null if it is valid. */
     RequestError validate(Header header) {
         String message = isKnown(header.type()) ? problem(header) : "unknown request type " + header.type();
         return message == null ? null : new RequestError(code(header), message);
@@ -65,7 +65,7 @@
         if (header.length() == 0) {
             return "a length of 0";
         }
-        if (passesEnd(header)) {
+        if (exceedsVolume(header)) {
             return "offset " + Long.toUnsignedString(header.offset()) + " and length " + header.length()
                     + " pass the end at " + volume.size();
         }
@@ -80,7 +80,7 @@
         return header.type() == Nbd.CMD_BLOCK_STATUS && !hasContext ? "no metadata context was negotiated" : null;
     }
 
-    /** The error code for a request with a problem, whichever it is. */
+    /** The error code for an invalid request, whatever its problem. */
     private int code(Header header) {
         if (!changesData(header)) {
             return Nbd.EINVAL;
@@ -88,7 +88,7 @@
         if (volume.readOnly()) {
             return Nbd.EPERM;
         }
-        boolean noSpace = header.length() > 0 && header.type() != Nbd.CMD_TRIM && passesEnd(header);
+        boolean noSpace = header.length() > 0 && header.type() != Nbd.CMD_TRIM && exceedsVolume(header);
         return noSpace ? Nbd.ENOSPC : Nbd.EINVAL;
     }
 
@@ -96,7 +96,7 @@
         return header.type() == Nbd.CMD_WRITE || header.type() == Nbd.CMD_TRIM || header.type() == Nbd.CMD_WRITE_ZEROES;
     }
 
-    private boolean passesEnd(Header header) {
+    private boolean exceedsVolume(Header header) {
         return header.offset() < 0
                 || header.offset() > volume.size()
                 || header.length() > volume.size() - header.offset();
--- a/core/src/main/java/garnetreel/core/server/package-info.java
+++ b/core/src/main/java/garnetreel/core/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Protocol servers, which speak with clients: what they share, and the one for NBD. Connections past the bounds are
- * rejected, and a connection past its share of bytes is not read from.
+ * Protocol servers for clients: their common base, and the NBD server. Connections over the limit are rejected, and a
+ * connection over its byte limit is not read.
  */
 package garnetreel.core.server;
--- a/core/src/test/java/garnetreel/core/server/ByteBudgetTest.java
+++ b/core/src/test/java/garnetreel/core/server/ByteBudgetTest.java
@@ -11,13 +11,13 @@
 
 class ByteBudgetTest {
     private final ByteBudget budget = new ByteBudget(100);
-    private final List<String> called = new ArrayList<>();
-    private final CapacityListener first = () -> called.add("first");
+    private final List<String> notified = new ArrayList<>();
+    private final CapacityListener first = () -> notified.add("first");
     private final CapacityListener second = () -> {
-        called.add("second");
+        notified.add("second");
         budget.release(-100);
     };
-    private final CapacityListener third = () -> called.add("third");
+    private final CapacityListener third = () -> notified.add("third");
 
     @Test
     void requestThatFitsIsReserved() {
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void connectionThatHoldsNothingMayOvershootOnce() {
+    void connectionThatHoldsNothingMayExceedTheLimitOnce() {
         assertTrue(budget.tryReserve(150, true, first));
         assertTrue(budget.tryReserve(150, true, first));
         assertFalse(budget.tryReserve(1, true, first));
@@ -35,30 +35,30 @@
     }
 
     @Test
-    void listenersAreCalledInOrderWhileThereIsCapacity() {
+    void listenersAreNotifiedInOrderWhileThereIsCapacity() {
         budget.release(-100);
         assertFalse(budget.hasCapacity(first));
         assertFalse(budget.hasCapacity(second));
         assertFalse(budget.hasCapacity(third));
         budget.notifyWaiting();
-        assertEquals(List.of(), called);
+        assertEquals(List.of(), notified);
 
         budget.release(100);
         budget.notifyWaiting();
-        assertEquals(List.of("first", "second"), called);
+        assertEquals(List.of("first", "second"), notified);
 
         budget.release(100);
         budget.notifyWaiting();
-        assertEquals(List.of("first", "second", "third"), called);
+        assertEquals(List.of("first", "second", "third"), notified);
     }
 
     @Test
-    void removedListenerIsNotCalled() {
+    void removedListenerIsNotNotified() {
         budget.release(-100);
         assertFalse(budget.hasCapacity(first));
         budget.removeListener(first);
         budget.release(100);
         budget.notifyWaiting();
-        assertEquals(List.of(), called);
+        assertEquals(List.of(), notified);
     }
 }
--- a/core/src/test/java/garnetreel/core/server/OptionReaderTest.java
+++ b/core/src/test/java/garnetreel/core/server/OptionReaderTest.java
@@ -32,22 +32,23 @@
     }
 
     @Test
-    void dataThatEndsTooEarlyIsCutShort() {
-        String cutShort = "the option is cut short";
-        assertEquals(cutShort, problem(() -> reader(0).unsignedShort()));
-        assertEquals(cutShort, problem(() -> reader(0, 0, 0).integer()));
-        assertEquals(cutShort, problem(() -> reader(0, 0, 0, 2, 'a').text()));
-        assertEquals(cutShort, problem(() -> reader(0xff, 0xff, 0xff, 0xff, 'a').text()));
+    void truncatedDataIsRejected() {
+        String truncated = "the option is cut short";
+        assertEquals(truncated, problem(() -> reader(0).unsignedShort()));
+        assertEquals(truncated, problem(() -> reader(0, 0, 0).integer()));
+        assertEquals(truncated, problem(() -> reader(0, 0, 0, 2, 'a').text()));
+        assertEquals(
+                truncated, problem(() -> reader(0xff, 0xff, 0xff, 0xff, 'a').text()));
     }
 
     @Test
-    void dataThatGoesOnIsTooMuch() {
+    void trailingDataIsRejected() {
         assertEquals(
                 "the option has 2 bytes too many", problem(() -> reader(1, 2).end()));
     }
 
     @Test
-    void nameMustBeUtf8AndWithinItsBound() {
+    void nameMustBeUtf8AndNotTooLong() {
         assertEquals(
                 "a name is not UTF-8", problem(() -> reader(0, 0, 0, 1, 0xff).text()));
         OptionReader longName = new OptionReader(new byte[Nbd.MAX_STRING_BYTES + 1]);
--- a/core/src/test/java/garnetreel/core/server/RequestValidatorTest.java
+++ b/core/src/test/java/garnetreel/core/server/RequestValidatorTest.java
@@ -16,11 +16,11 @@
     private static final int MAX_PAYLOAD = 100;
 
     private static RequestError validate(
-            boolean readOnly, boolean negotiated, int flags, int type, long from, long size) {
+            boolean readOnly, boolean negotiated, int flags, int type, long offset, long length) {
         Volume volume = new Volume(
                 1, "disk", "", SIZE, readOnly, "gold", "r", "w", "f", 0, ExtentLayout.fixed(SIZE, List.of(0)));
         return new RequestValidator(volume, MAX_PAYLOAD, negotiated, negotiated)
-                .validate(new Header(flags, type, 7, from, size));
+                .validate(new Header(flags, type, 7, offset, length));
     }
 
     private static RequestError validate(int flags, int type, long offset, long length) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void flagsMustFitTheTypeAndWhatWasNegotiated() {
+    void flagsMustMatchTheTypeAndTheNegotiatedOptions() {
         assertEquals(
                 new RequestError(Nbd.EINVAL, "flags 0x4 are not valid for request type 0"),
                 validate(Nbd.FLAG_DF, Nbd.CMD_READ, 0, 1));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void rangePastTheEndIsNoSpaceForWhatWouldFillIt() {
+    void rangePastTheEndIsNoSpaceForWritesAndInvalidOtherwise() {
         String message = "offset 999 and length 2 pass the end at 1000";
         assertEquals(new RequestError(Nbd.ENOSPC, message), validate(0, Nbd.CMD_WRITE, 999, 2));
         assertEquals(new RequestError(Nbd.EINVAL, message), validate(0, Nbd.CMD_READ, 999, 2));
@@ -60,14 +60,14 @@
     }
 
     @Test
-    void readOnlyExportPermitsNoChange() {
+    void readOnlyExportRejectsWrites() {
         assertEquals(
                 new RequestError(Nbd.EPERM, "the export is read-only"), validate(true, false, 0, Nbd.CMD_WRITE, 0, 1));
         assertNull(validate(true, false, 0, Nbd.CMD_READ, 0, 1));
     }
 
     @Test
-    void lengthsAndTypesAreChecked() {
+    void invalidLengthsAndTypesAreRejected() {
         assertEquals(new RequestError(Nbd.EINVAL, "a length of 0"), validate(0, Nbd.CMD_READ, 0, 0));
         assertEquals(new RequestError(Nbd.EINVAL, "a length of 101, 100 at most"), validate(0, Nbd.CMD_READ, 0, 101));
         assertEquals(
