--- a/codec/src/main/java/garnetreel/codec/node/NodeCodec.java
+++ b/codec/src/main/java/garnetreel/codec/node/NodeCodec.java
@@ -28,10 +28,10 @@
     private static final int ANSWER = 3;
     private static final int CANCEL = 4;
     private static final int PROBE = 5;
-    private static final int PROBED = 6;
+    private static final int PROBE_REPLY = 6;
     private static final int WELCOME = 7;
-    private static final int ORDER = 8;
-    private static final int REPORT = 9;
+    private static final int CONTROL_COMMAND = 8;
+    private static final int COMMAND_REPORT = 9;
     /** Sizes of the fixed fields of a request and of an answer. */
     private static final int REQUEST_FIXED_BYTES = 8 + 2 + 8 + 1 + 1 + 8 + 8 + 4 + 4 + 8 + 8 + 8 + 4;
 
@@ -71,8 +71,8 @@
                                 remainder(body));
                         case CANCEL -> new Cancel(body.getLong(), body.getShort() & 0xffff);
                         case PROBE -> new Probe(body.getLong());
-                        case PROBED -> new Probed(body.getLong(), body.getLong(), readLoad(body));
-                        case ORDER -> new Order(
+                        case PROBE_REPLY -> new Probed(body.getLong(), body.getLong(), readLoad(body));
+                        case CONTROL_COMMAND -> new Order(
                                 body.getLong(),
                                 constant(STEPS, body.get()),
                                 body.getLong(),
@@ -81,7 +81,7 @@
                                 body.getLong(),
                                 body.getInt(),
                                 remainder(body));
-                        case REPORT -> new Report(
+                        case COMMAND_REPORT -> new Report(
                                 body.getLong(),
                                 body.get() != 0,
                                 body.get() != 0,
@@ -196,7 +196,7 @@
         } else if (message instanceof Hello h) {
             frame = LengthPrefixedFrames.begin(HELLO, 12).putInt(h.head()).putLong(h.incarnation());
         } else if (message instanceof Order o) {
-            frame = LengthPrefixedFrames.begin(ORDER, 41 + o.data().remaining())
+            frame = LengthPrefixedFrames.begin(CONTROL_COMMAND, 41 + o.data().remaining())
                     .putLong(o.seq())
                     .put((byte) o.step().ordinal())
                     .putLong(o.volume())
@@ -206,7 +206,7 @@
                     .putInt(o.room())
                     .put(o.data().duplicate());
         } else if (message instanceof Report r) {
-            frame = LengthPrefixedFrames.begin(REPORT, 26 + r.data().remaining())
+            frame = LengthPrefixedFrames.begin(COMMAND_REPORT, 26 + r.data().remaining())
                     .putLong(r.seq())
                     .put((byte) (r.ok() ? 1 : 0))
                     .put((byte) (r.more() ? 1 : 0))
@@ -221,7 +221,7 @@
             frame = LengthPrefixedFrames.begin(PROBE, 8).putLong(p.id());
         } else {
             Probed p = (Probed) message;
-            frame = LengthPrefixedFrames.begin(PROBED, 16 + encodedSize(p.load()))
+            frame = LengthPrefixedFrames.begin(PROBE_REPLY, 16 + encodedSize(p.load()))
                     .putLong(p.id())
                     .putLong(p.life());
             writeLoad(frame, p.load());
--- a/codec/src/main/java/garnetreel/codec/node/NodeMessage.java
+++ b/codec/src/main/java/garnetreel/codec/node/NodeMessage.java
@@ -151,17 +151,19 @@
     enum Step {
         /** To the old holder: track changed pages from now on; all existing pages count as changed. */
         TRACK,
-        /** To the old holder: send changed pages, up to the maximum size in the order. */
+        /** To the old holder: send changed pages, up to the maximum size in the command. */
         TAKE,
         /** To the new holder: prepare to receive the extent and drop the data of an earlier attempt. */
         RECEIVE,
-        /** To the new holder: store the pages in the order. */
+        /** To the new holder: store the pages in the command. */
         PUT,
         /** To the old holder: durably stop serving the extent; ok once no request for it is in progress. */
         FENCE,
-        /** To the new holder: durably serve the extent under the order's version. */
+        /** To the new holder: durably serve the extent under the command's version. */
         SERVE,
-        /** To the old holder: migration complete; drop the data and remember that the order's version is elsewhere. */
+        /**
+         * To the old holder: migration complete; drop the data and remember that the command's version is elsewhere.
+         */
         RELEASE,
         /** To the old holder: migration rolled back; serve the extent again as before. */
         UNFENCE,
@@ -173,12 +175,12 @@
          * extents.
          */
         LOAD,
-        /** To the holder: report the CRC32C of the extent, u32; rejected if it does not serve the extent's version. */
+        /** To the holder: report the CRC32C of the extent, u32; rejected unless it serves the command's version. */
         SUM,
         /**
-         * Query of the extents that the node has an entry for, starting after the order's volume and extent. The report
-         * has volume u64, extent u64, extent bytes u32, state u8 (0 serving, 1 fenced, 2 receiving, 3 gone) and version
-         * u64 of each, and tells whether there are more.
+         * Query of the extents that the node has an entry for, starting after the command's volume and extent. The
+         * report has volume u64, extent u64, extent bytes u32, state u8 (0 serving, 1 fenced, 2 receiving, 3 gone) and
+         * version u64 of each, and tells whether there are more.
          */
         HOLDS
     }
@@ -189,7 +191,7 @@
      * @param seq sequence number, repeated in the report
      * @param extentBytes size of the volume's extents
      * @param version version of the extent that the step concerns
-     * @param room for TAKE, maximum bytes of pages in the report
+     * @param room for TAKE and HOLDS, maximum bytes of data in the report
      * @param data pages for PUT, each a u32 index within the extent and the bytes of the page; the top bit of the index
      *     marks a hole, which has no bytes
      */
--- a/codec/src/test/java/garnetreel/codec/RsyncTest.java
+++ b/codec/src/test/java/garnetreel/codec/RsyncTest.java
@@ -123,8 +123,8 @@
         RsyncIn in = new RsyncIn();
         FileListCodec reader = new FileListCodec(form);
         int read = 0;
-        for (byte one : bytes) {
-            in.add(ByteBuffer.wrap(new byte[] {one}));
+        for (byte value : bytes) {
+            in.add(ByteBuffer.wrap(new byte[] {value}));
             in.mark();
             try {
                 FileItem item = reader.read(in);
@@ -202,21 +202,21 @@
                     break;
                 }
             }
-            byte[] now = run % 10 == 0 ? old : changed.toByteArray();
+            byte[] contents = run % 10 == 0 ? old : changed.toByteArray();
             int block = random.nextInt(8, 900);
             RsyncOut out = new RsyncOut();
             Delta delta = new Delta(basis(old, block, 16), SEED, out);
-            for (int at = 0; at < now.length; ) {
-                int part = Math.min(now.length - at, random.nextInt(1, 3_000));
-                delta.add(now, at, part);
+            for (int at = 0; at < contents.length; ) {
+                int part = Math.min(contents.length - at, random.nextInt(1, 3_000));
+                delta.add(contents, at, part);
                 at += part;
             }
             delta.end();
             long matched = delta.matched();
-            assertArrayEquals(now, apply(in(out), old, block));
+            assertArrayEquals(contents, apply(in(out), old, block));
             assertTrue(
-                    run % 10 != 0 || matched == now.length,
-                    "an unchanged file has literals: " + matched + " of " + now.length);
+                    run % 10 != 0 || matched == contents.length,
+                    "an unchanged file has literals: " + matched + " of " + contents.length);
         }
     }
 
@@ -244,14 +244,14 @@
     @Test
     void framesAreDecodedByteByByteAndLargeMessagesAreRejected() throws Exception {
         ByteBuffer data = RsyncOut.frame(Rsync.DATA, new byte[] {1, 2, 3}, 3);
-        ByteBuffer note = RsyncOut.frame(Rsync.INFO, new byte[] {'h', 'i'}, 2);
+        ByteBuffer info = RsyncOut.frame(Rsync.INFO, new byte[] {'h', 'i'}, 2);
         MultiplexedFrames frames = new MultiplexedFrames();
         RsyncIn in = new RsyncIn();
         List<String> messages = new ArrayList<>();
-        for (ByteBuffer one : List.of(data, RsyncOut.frame(Rsync.DATA, new byte[0], 0), note, data.duplicate())) {
-            while (one.hasRemaining()) {
+        for (ByteBuffer frame : List.of(data, RsyncOut.frame(Rsync.DATA, new byte[0], 0), info, data.duplicate())) {
+            while (frame.hasRemaining()) {
                 frames.add(
-                        ByteBuffer.wrap(new byte[] {one.get()}),
+                        ByteBuffer.wrap(new byte[] {frame.get()}),
                         in,
                         (kind, body) -> messages.add(kind + new String(body)));
             }
