--- a/cli/src/main/java/garnetreel/cli/config/Settings.java
+++ b/cli/src/main/java/garnetreel/cli/config/Settings.java
@@ -1,7 +1,7 @@
 package garnetreel.cli.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import garnetreel.codec.map.MapMessage.Whole;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.core.GatewaySettings;
 import garnetreel.core.GatewaySettings.Bounds;
 import garnetreel.core.Volume;
@@ -199,7 +199,7 @@
     // ---------------------------------------------------------------- the map service
 
     /** The maps of a service none of whose extents was ever migrated. */
-    public Whole initialMaps() {
+    public Snapshot initialMaps() {
         return volumes.initialMaps();
     }
 
--- a/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
+++ b/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
@@ -6,8 +6,8 @@
 import garnetreel.codec.map.MapMessage;
 import garnetreel.codec.map.MapMessage.Busy;
 import garnetreel.codec.map.MapMessage.Changes;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.codec.map.MapMessage.Subscribe;
-import garnetreel.codec.map.MapMessage.Whole;
 import garnetreel.core.ExtentLayout;
 import garnetreel.core.GatewaySettings;
 import garnetreel.core.Volume;
@@ -94,7 +94,7 @@
         ByteQueue queue = new ByteQueue();
         queue.add(ByteBuffer.wrap(persisted));
         try {
-            if (MapCodec.next(queue) instanceof Whole whole) {
+            if (MapCodec.next(queue) instanceof Snapshot whole) {
                 cache.apply(whole);
             }
         } catch (ProtocolException e) {
@@ -239,7 +239,7 @@
 
     /** Handles a message; returns true if the map has changed. */
     private boolean handle(MapMessage message) throws ProtocolException {
-        if (message instanceof Whole whole) {
+        if (message instanceof Snapshot whole) {
             return updated(cache.apply(whole));
         }
         if (message instanceof Changes changes) {
@@ -247,7 +247,7 @@
         }
         if (message instanceof Busy busy) {
             callInFlight = false;
-            nextCallAt = now + jitter(Math.max(INITIAL_BACKOFF_MICROS, busy.micros()));
+            nextCallAt = now + jitter(Math.max(INITIAL_BACKOFF_MICROS, busy.retryAfterMicros()));
             return false;
         }
         throw new ProtocolException("unexpected message " + message.getClass().getSimpleName());
--- a/core/src/main/java/garnetreel/core/connection/NodeConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnectionPool.java
@@ -6,7 +6,7 @@
 import garnetreel.codec.node.NodeMessage.Answer;
 import garnetreel.codec.node.NodeMessage.Hello;
 import garnetreel.codec.node.NodeMessage.Probe;
-import garnetreel.codec.node.NodeMessage.Probed;
+import garnetreel.codec.node.NodeMessage.ProbeReply;
 import garnetreel.codec.node.NodeMessage.Welcome;
 import garnetreel.core.GatewaySettings;
 import garnetreel.core.connection.HealthCheckTracker.HealthCheck;
@@ -110,7 +110,7 @@
 
     private void sendNow(NodeConnection connection, NodeAttempt attempt, NodeMessage.Request request) {
         connection.sent.put(attempt.key(), attempt);
-        write(connection, request.until(connection.toNodeClock(request.deadline())));
+        write(connection, request.withDeadline(connection.toNodeClock(request.deadline())));
     }
 
     /** A connection with capacity, newly opened if necessary; null if the limits don't allow one. */
@@ -204,7 +204,7 @@
             handshakeCompleted(connection, welcome);
         } else if (message instanceof Answer answer) {
             answered(connection, answer);
-        } else if (message instanceof Probed probed) {
+        } else if (message instanceof ProbeReply probed) {
             healthCheckAnswered(probed);
         } else {
             throw new ProtocolException(
@@ -236,11 +236,11 @@
             case OK -> Outcome.OK;
             case ERROR -> Outcome.ERROR;
             case FULL -> Outcome.OVERLOADED;
-            case MOOT, STALE -> Outcome.NOT_STARTED;
+            case UNKNOWN_SHARD, STALE -> Outcome.NOT_STARTED;
         };
     }
 
-    private void healthCheckAnswered(Probed probed) {
+    private void healthCheckAnswered(ProbeReply probed) {
         HealthCheck check = healthChecks.complete(probed.id());
         if (check != null) {
             endHealthCheck(check, Outcome.OK, probed.load());
--- a/core/src/main/java/garnetreel/core/connection/NodeListClient.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeListClient.java
@@ -8,7 +8,7 @@
 import garnetreel.codec.nodelist.NodeListMessage.Failed;
 import garnetreel.codec.nodelist.NodeListMessage.Fetch;
 import garnetreel.codec.nodelist.NodeListMessage.Kind;
-import garnetreel.codec.nodelist.NodeListMessage.News;
+import garnetreel.codec.nodelist.NodeListMessage.NodeListUpdate;
 import garnetreel.codec.nodelist.NodeListMessage.State;
 import garnetreel.codec.nodelist.NodeListMessage.Subscribe;
 import garnetreel.core.GatewaySettings;
@@ -86,7 +86,7 @@
         ByteQueue queue = new ByteQueue();
         queue.add(ByteBuffer.wrap(persisted));
         try {
-            if (NodeListCodec.next(queue) instanceof News list && queue.size() == 0) {
+            if (NodeListCodec.next(queue) instanceof NodeListUpdate list && queue.size() == 0) {
                 list.entries().forEach(e -> entries.put(e.address(), e));
                 version = list.version();
             } else {
@@ -201,7 +201,7 @@
     }
 
     private void handle(NodeListMessage message) throws ProtocolException {
-        if (message instanceof News list) {
+        if (message instanceof NodeListUpdate list) {
             update(list);
         } else if (message instanceof Failed) {
             listUnavailable();
@@ -211,8 +211,8 @@
         }
     }
 
-    private void update(News list) {
-        boolean isDelta = list.kind() == Kind.CHANGES;
+    private void update(NodeListUpdate list) {
+        boolean isDelta = list.kind() == Kind.DELTA;
         if (isDelta && list.since() != version) {
             warn("node list: changes since version " + list.since() + " received, but the known version is " + version
                     + "; requesting the full list");
@@ -226,13 +226,13 @@
             return;
         }
         apply(list);
-        publish(list.kind() == Kind.ALL ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list.entries());
+        publish(list.kind() == Kind.SNAPSHOT ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list.entries());
         persist();
     }
 
-    private void apply(News list) {
+    private void apply(NodeListUpdate list) {
         version = list.version();
-        if (list.kind() == Kind.ALL) {
+        if (list.kind() == Kind.SNAPSHOT) {
             entries.clear();
         }
         for (Entry entry : list.entries()) {
@@ -245,7 +245,7 @@
     }
 
     private void persist() {
-        News snapshot = new News(Kind.ALL, 0, version, List.copyOf(entries.values()));
+        NodeListUpdate snapshot = new NodeListUpdate(Kind.SNAPSHOT, 0, version, List.copyOf(entries.values()));
         actions.add(new NetAction.Persist(CACHE_NAME, NodeListCodec.frame(snapshot)));
     }
 
--- a/core/src/main/java/garnetreel/core/request/ReplyComposer.java
+++ b/core/src/main/java/garnetreel/core/request/ReplyComposer.java
@@ -80,7 +80,7 @@
             ByteBuffer data = readData == null ? null : ByteBuffer.wrap(readData);
             return new Reply(ReplyStatus.SERVED, 0, -1, "", data, mergedExtents());
         }
-        boolean safeToRetry = failed == 0 && (served == 0 || !op.changes());
+        boolean safeToRetry = failed == 0 && (served == 0 || !op.changesData());
         if (safeToRetry) {
             return Reply.rejected(
                     retryAfter, errorOffset, message + "; stay away for " + retryAfter / MICROS_PER_MILLI + " ms");
--- a/core/src/main/java/garnetreel/core/request/RequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/request/RequestRegistry.java
@@ -144,7 +144,7 @@
         if (op == Op.FLUSH) {
             return classes.get(volume.flushClass());
         }
-        return classes.get(op.changes() ? volume.writeClass() : volume.readClass());
+        return classes.get(op.changesData() ? volume.writeClass() : volume.readClass());
     }
 
     private void reject(BlockOperation operation, String reason) {
@@ -287,8 +287,8 @@
                 outcome,
                 now - attempt.sentAt(),
                 completed,
-                answer == null ? 0 : answer.cost(),
-                answer == null ? 0 : answer.used(),
+                answer == null ? 0 : answer.unitsFromOtherGateways(),
+                answer == null ? 0 : answer.usage(),
                 answer == null ? Map.of() : answer.load()));
     }
 
@@ -304,14 +304,14 @@
         int shard = subRequest.shard;
         subRequests.complete(subRequest);
         if (operation.op == Op.FLUSH
-                && !unflushedWrites.recordFlush(volume, shard, answer.life(), subRequest.lastWriteCovered)) {
+                && !unflushedWrites.recordFlush(volume, shard, answer.incarnation(), subRequest.lastWriteCovered)) {
             operation.failed(
                     subRequest,
                     "the node of shard " + shard + " restarted and lost writes that were answered and not flushed");
             return Outcome.OK;
         }
-        if (operation.op.changes() && !operation.sync) {
-            unflushedWrites.recordWrite(volume, shard, answer.life());
+        if (operation.op.changesData() && !operation.sync) {
+            unflushedWrites.recordWrite(volume, shard, answer.incarnation());
         }
         operation.served(subRequest, answer.data());
         return Outcome.OK;
--- a/core/src/main/java/garnetreel/core/request/SubRequest.java
+++ b/core/src/main/java/garnetreel/core/request/SubRequest.java
@@ -124,7 +124,7 @@
                 shard,
                 volume.gateways(),
                 false,
-                operation.op.changes());
+                operation.op.changesData());
     }
 
     /** The message that sends an attempt to a node. */
--- a/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
@@ -142,13 +142,13 @@
         server.byteBudget().release(outbound + inbound);
         outbound = 0;
         inbound = 0;
-        server.ended(this);
+        server.sessionEnded(this);
     }
 
     @Override
     public void end(boolean abort) {
         if (phase != Phase.CLOSED) {
-            server.emit(new NetAction.Close(conn, abort));
+            server.emit(new NetAction.Close(connectionId, abort));
             disconnected();
         }
     }
@@ -181,7 +181,7 @@
             sentBytes += data.remaining();
             server.byteBudget().release(-data.remaining());
             lastSentAt = server.time();
-            server.emit(new NetAction.Write(conn, data));
+            server.emit(new NetAction.Write(connectionId, data));
         }
     }
 
@@ -285,7 +285,7 @@
             boolean read = in.size() < MAX_INBOUND && server.byteBudget().hasCapacity(this);
             if (read != readInterest) {
                 readInterest = read;
-                server.emit(new NetAction.SetReadInterest(conn, read));
+                server.emit(new NetAction.SetReadInterest(connectionId, read));
             }
         }
     }
--- a/core/src/test/java/garnetreel/core/connection/NodeConnectionPoolTest.java
+++ b/core/src/test/java/garnetreel/core/connection/NodeConnectionPoolTest.java
@@ -55,7 +55,21 @@
         pool.send(
                 new NodeAttempt(id, 0, NODE, 0, until),
                 new NodeMessage.Request(
-                        id, 0, 0, NodeMessage.Op.READ, false, false, until, 1, 0, 1, 0, 0, 0, 10, NodeMessage.none()));
+                        id,
+                        0,
+                        0,
+                        NodeMessage.Op.READ,
+                        false,
+                        false,
+                        until,
+                        1,
+                        0,
+                        1,
+                        0,
+                        0,
+                        0,
+                        10,
+                        NodeMessage.noData()));
     }
 
     private void completeHandshake() {
@@ -66,7 +80,7 @@
     private void answer(long id) {
         pool.received(
                 FIRST,
-                NodeCodec.frame(new Answer(id, 0, NodeMessage.Result.OK, 0, 0, 5, Map.of(), NodeMessage.none())));
+                NodeCodec.frame(new Answer(id, 0, NodeMessage.Result.OK, 0, 0, 5, Map.of(), NodeMessage.noData())));
     }
 
     private List<String> drainActionTypes() {
--- a/core/src/test/java/garnetreel/core/request/RequestFixtures.java
+++ b/core/src/test/java/garnetreel/core/request/RequestFixtures.java
@@ -59,7 +59,7 @@
                 0,
                 1,
                 ordered,
-                op.changes());
+                op.changesData());
         byte[] data = op == Op.WRITE ? new byte[(int) length] : null;
         return new BlockOperation(VOLUME, op, offset, length, data, false, 1, reply -> {}, requestClass, DEADLINE);
     }
--- a/map/src/main/java/garnetreel/map/ExtentMap.java
+++ b/map/src/main/java/garnetreel/map/ExtentMap.java
@@ -1,7 +1,7 @@
 package garnetreel.map;
 
 import garnetreel.codec.map.MapMessage.Change;
-import garnetreel.codec.map.MapMessage.Moved;
+import garnetreel.codec.map.MapMessage.MovedExtent;
 import garnetreel.codec.map.MapMessage.VolumeMap;
 import java.util.ArrayList;
 import java.util.List;
@@ -68,8 +68,9 @@
     /** Decodes the map in a message. */
     public static ExtentMap of(VolumeMap message) {
         ExtentMap map = of(message.volume(), message.extents(), message.extentBytes(), message.shards());
-        List<Change> changes = new ArrayList<>(message.moved().size());
-        message.moved().forEach(m -> changes.add(new Change(message.volume(), m.extent(), m.shard(), m.version())));
+        List<Change> changes = new ArrayList<>(message.movedExtents().size());
+        message.movedExtents()
+                .forEach(m -> changes.add(new Change(message.volume(), m.extent(), m.shard(), m.version())));
         return map.with(changes);
     }
 
@@ -154,11 +155,11 @@
 
     /** Encodes the map as a message. */
     public VolumeMap toMessage() {
-        List<Moved> moved = new ArrayList<>();
+        List<MovedExtent> moved = new ArrayList<>();
         for (int index = 0; index < chunks.length; index++) {
             for (int slot = 0; chunks[index] != null && slot < CHUNK_EXTENTS; slot++) {
                 if (chunks[index].versions[slot] != 0) {
-                    moved.add(new Moved(
+                    moved.add(new MovedExtent(
                             (long) index * CHUNK_EXTENTS + slot,
                             chunks[index].shards[slot],
                             chunks[index].versions[slot]));
--- a/map/src/main/java/garnetreel/map/MapCache.java
+++ b/map/src/main/java/garnetreel/map/MapCache.java
@@ -2,8 +2,8 @@
 
 import garnetreel.codec.map.MapMessage.Change;
 import garnetreel.codec.map.MapMessage.Changes;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.codec.map.MapMessage.VolumeMap;
-import garnetreel.codec.map.MapMessage.Whole;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -35,7 +35,7 @@
     private long version;
 
     /** Applies a snapshot. */
-    public Outcome apply(Whole snapshot) {
+    public Outcome apply(Snapshot snapshot) {
         if (snapshot.epoch() < epoch || snapshot.epoch() == epoch && snapshot.version() < version) {
             return Outcome.ROLLED_BACK;
         }
@@ -105,8 +105,8 @@
     }
 
     /** All maps as a snapshot message. */
-    public Whole toSnapshot() {
-        return new Whole(
+    public Snapshot toSnapshot() {
+        return new Snapshot(
                 epoch,
                 version,
                 volumes.values().stream().map(ExtentMap::toMessage).toList());
--- a/map/src/main/java/garnetreel/map/MapSnapshot.java
+++ b/map/src/main/java/garnetreel/map/MapSnapshot.java
@@ -3,7 +3,7 @@
 import garnetreel.codec.ByteQueue;
 import garnetreel.codec.ProtocolException;
 import garnetreel.codec.map.MapCodec;
-import garnetreel.codec.map.MapMessage.Whole;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -24,7 +24,7 @@
  * u32 length and bytes of a snapshot frame (docs/extent-map.md)
  * </pre>
  */
-record MapSnapshot(long seq, long lastMigration, Whole maps, List<Migration> migrations, List<Integer> draining) {
+record MapSnapshot(long seq, long lastMigration, Snapshot maps, List<Migration> migrations, List<Integer> draining) {
     private static final int MAGIC = 0x47524d53;
     private static final int CRC_OFFSET = 4;
     private static final int HEADER = 8;
@@ -84,7 +84,7 @@
             }
             ByteQueue frame = new ByteQueue();
             frame.add(ByteBuffer.wrap(in.readNBytes(in.readInt())));
-            if (MapCodec.next(frame) instanceof Whole maps) {
+            if (MapCodec.next(frame) instanceof Snapshot maps) {
                 return new MapSnapshot(seq, lastMigration, maps, migrations, draining);
             }
             throw new CorruptJournalException("the snapshot of the map journal holds another message than a map");
--- a/map/src/main/java/garnetreel/map/MapState.java
+++ b/map/src/main/java/garnetreel/map/MapState.java
@@ -3,8 +3,8 @@
 import garnetreel.codec.map.MapMessage;
 import garnetreel.codec.map.MapMessage.Change;
 import garnetreel.codec.map.MapMessage.Changes;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.codec.map.MapMessage.VolumeMap;
-import garnetreel.codec.map.MapMessage.Whole;
 import garnetreel.map.Transaction.Drain;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -42,7 +42,7 @@
     /**
      * Initial state of a service without a journal: every extent is at the shard that the initial placement gives it.
      */
-    public MapState(Whole initial) {
+    public MapState(Snapshot initial) {
         maps.apply(initial);
         this.epoch = initial.epoch();
         this.version = initial.version();
@@ -66,7 +66,7 @@
      *     deltas
      * @throws CorruptJournalException if a record is missing or damaged; the message says which
      */
-    public static MapState recover(Whole initial, byte[] snapshot, List<byte[]> records) {
+    public static MapState recover(Snapshot initial, byte[] snapshot, List<byte[]> records) {
         MapState state = snapshot == null ? new MapState(initial) : new MapState(MapSnapshot.of(snapshot));
         for (byte[] record : records) {
             Transaction t = Transaction.of(record);
@@ -113,7 +113,7 @@
             epoch = t.epoch();
             version = t.version();
             horizon = version;
-            maps.apply(new Whole(epoch, version, withChanges(t.changes())));
+            maps.apply(new Snapshot(epoch, version, withChanges(t.changes())));
         } else if (!t.changes().isEmpty()) {
             maps.apply(new Changes(epoch, version, t.version(), t.changes()));
             version = t.version();
@@ -292,7 +292,7 @@
     }
 
     /** All maps as a snapshot message. */
-    public Whole mapSnapshot() {
+    public Snapshot mapSnapshot() {
         return maps.toSnapshot();
     }
 
--- a/map/src/main/java/garnetreel/map/MigrationStateMachine.java
+++ b/map/src/main/java/garnetreel/map/MigrationStateMachine.java
@@ -1,7 +1,7 @@
 package garnetreel.map;
 
 import garnetreel.codec.node.NodeMessage;
-import garnetreel.codec.node.NodeMessage.Report;
+import garnetreel.codec.node.NodeMessage.CommandReport;
 import garnetreel.codec.node.NodeMessage.Step;
 import java.nio.ByteBuffer;
 
@@ -72,7 +72,7 @@
 
     private Migration migration;
     private Phase phase;
-    private ByteBuffer pages = NodeMessage.none();
+    private ByteBuffer pages = NodeMessage.noData();
     private boolean morePages;
     private long receiverIncarnation;
     private int failures;
@@ -125,7 +125,7 @@
             case TRACK -> toOldHolder(Step.TRACK);
             case RECEIVE -> toNewHolder(Step.RECEIVE);
             case TAKE, LAST_TAKE -> new SendCommand(
-                    migration.from(), Step.TAKE, migration.oldVersion(), BATCH_BYTES, NodeMessage.none());
+                    migration.from(), Step.TAKE, migration.oldVersion(), BATCH_BYTES, NodeMessage.noData());
             case PUT, LAST_PUT -> new SendCommand(
                     migration.to(), Step.PUT, migration.oldVersion(), 0, pages.duplicate());
             case FENCE -> migration.state() == Migration.State.COPYING
@@ -133,9 +133,9 @@
                     : toOldHolder(Step.FENCE);
             case SERVE -> migration.state() == Migration.State.FENCING
                     ? new Commit(Migration.State.SWITCHED, "copied and fenced")
-                    : new SendCommand(migration.to(), Step.SERVE, migration.newVersion(), 0, NodeMessage.none());
+                    : new SendCommand(migration.to(), Step.SERVE, migration.newVersion(), 0, NodeMessage.noData());
             case RELEASE -> new SendCommand(
-                    migration.from(), Step.RELEASE, migration.newVersion(), 0, NodeMessage.none());
+                    migration.from(), Step.RELEASE, migration.newVersion(), 0, NodeMessage.noData());
             case UNFENCE -> toOldHolder(Step.UNFENCE);
             case FORGET -> toNewHolder(Step.FORGET);
             case COMPLETE -> migration.state() == Migration.State.ABORTING
@@ -149,15 +149,15 @@
     }
 
     private SendCommand toOldHolder(Step step) {
-        return new SendCommand(migration.from(), step, migration.oldVersion(), 0, NodeMessage.none());
+        return new SendCommand(migration.from(), step, migration.oldVersion(), 0, NodeMessage.noData());
     }
 
     private SendCommand toNewHolder(Step step) {
-        return new SendCommand(migration.to(), step, migration.oldVersion(), 0, NodeMessage.none());
+        return new SendCommand(migration.to(), step, migration.oldVersion(), 0, NodeMessage.noData());
     }
 
     /** Handles a node's report of the command that {@link #next} returned. */
-    public void reported(Report report) {
+    public void reported(CommandReport report) {
         if (report.ok()) {
             succeeded(report);
         } else if (!fenceHolds(report)) {
@@ -166,15 +166,15 @@
     }
 
     /** Whether the fence is in force and only waits for requests in execution: then it is polled again. */
-    private boolean fenceHolds(Report report) {
-        return phase == Phase.FENCE && report.more() && ++fencePolls < MAX_FENCE_POLLS;
+    private boolean fenceHolds(CommandReport report) {
+        return phase == Phase.FENCE && report.hasMore() && ++fencePolls < MAX_FENCE_POLLS;
     }
 
-    private void succeeded(Report report) {
+    private void succeeded(CommandReport report) {
         switch (phase) {
             case TRACK -> phase = Phase.RECEIVE;
             case RECEIVE -> {
-                receiverIncarnation = report.life();
+                receiverIncarnation = report.incarnation();
                 phase = Phase.TAKE;
             }
             case TAKE -> {
@@ -200,13 +200,13 @@
         }
     }
 
-    private void pagesTaken(Report report) {
+    private void pagesTaken(CommandReport report) {
         pages = report.data();
-        morePages = report.more();
+        morePages = report.hasMore();
     }
 
-    private void pagesPut(Report report) {
-        if (report.life() != receiverIncarnation) {
+    private void pagesPut(CommandReport report) {
+        if (report.incarnation() != receiverIncarnation) {
             // The receiver has restarted and may have lost the pages that it was sent before.
             restartCopy();
         } else if (phase == Phase.PUT) {
@@ -231,7 +231,7 @@
     private void restartCopy() {
         fencePolls = 0;
         phase = Phase.TRACK;
-        pages = NodeMessage.none();
+        pages = NodeMessage.noData();
     }
 
     /** Handles a command whose node could not be reached, or whose connection ended before the report. */
--- a/map/src/test/java/garnetreel/map/AdoptionTest.java
+++ b/map/src/test/java/garnetreel/map/AdoptionTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetreel.codec.map.MapMessage.Change;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.codec.map.MapMessage.VolumeMap;
-import garnetreel.codec.map.MapMessage.Whole;
 import garnetreel.map.Adoption.Reconciliation;
 import garnetreel.map.Adoption.ReportedExtent;
 import garnetreel.map.Adoption.State;
@@ -15,7 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 class AdoptionTest {
-    private static final Whole INITIAL = new Whole(1, 1, List.of(new VolumeMap(7, 20, 4096, List.of(0, 1), List.of())));
+    private static final Snapshot INITIAL =
+            new Snapshot(1, 1, List.of(new VolumeMap(7, 20, 4096, List.of(0, 1), List.of())));
 
     private static Reconciliation found(ReportedExtent... held) {
         return Adoption.of(new MapState(INITIAL), List.of(held));
--- a/map/src/test/java/garnetreel/map/ExtentMapTest.java
+++ b/map/src/test/java/garnetreel/map/ExtentMapTest.java
@@ -5,16 +5,16 @@
 
 import garnetreel.codec.map.MapMessage.Change;
 import garnetreel.codec.map.MapMessage.Changes;
-import garnetreel.codec.map.MapMessage.Moved;
+import garnetreel.codec.map.MapMessage.MovedExtent;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.codec.map.MapMessage.VolumeMap;
-import garnetreel.codec.map.MapMessage.Whole;
 import garnetreel.map.MapCache.Outcome;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class ExtentMapTest {
-    private static final Whole INITIAL =
-            new Whole(1, 1, List.of(new VolumeMap(7, 2000, 4096, List.of(0, 1, 2), List.of())));
+    private static final Snapshot INITIAL =
+            new Snapshot(1, 1, List.of(new VolumeMap(7, 2000, 4096, List.of(0, 1, 2), List.of())));
 
     private static Changes changes(long epoch, long since, long version, Change... changes) {
         return new Changes(epoch, since, version, List.of(changes));
@@ -27,7 +27,7 @@
         assertEquals(1999 % 3, first.shard(1999));
         assertEquals(1, first.version(1999));
         assertEquals(9, second.shard(1999));
-        assertEquals(List.of(new Moved(1999, 9, 2)), second.toMessage().moved());
+        assertEquals(List.of(new MovedExtent(1999, 9, 2)), second.toMessage().movedExtents());
         assertThrows(IllegalArgumentException.class, () -> first.with(List.of(new Change(7, 2000, 1, 2))));
     }
 
@@ -51,7 +51,7 @@
         assertEquals(Outcome.ROLLED_BACK, cache.apply(INITIAL));
         assertEquals(Outcome.ROLLED_BACK, cache.apply(changes(1, 3, 3)));
         assertEquals(2, cache.volume(7).shard(5));
-        assertEquals(Outcome.APPLIED, cache.apply(new Whole(2, 1, INITIAL.volumes())));
+        assertEquals(Outcome.APPLIED, cache.apply(new Snapshot(2, 1, INITIAL.volumes())));
         assertEquals(5 % 3, cache.volume(7).shard(5));
     }
 
--- a/map/src/test/java/garnetreel/map/MapStateTest.java
+++ b/map/src/test/java/garnetreel/map/MapStateTest.java
@@ -6,15 +6,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetreel.codec.map.MapMessage.Changes;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.codec.map.MapMessage.VolumeMap;
-import garnetreel.codec.map.MapMessage.Whole;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class MapStateTest {
-    private static final Whole INITIAL =
-            new Whole(1, 1, List.of(new VolumeMap(7, 200, 4096, List.of(0, 1, 2), List.of())));
+    private static final Snapshot INITIAL =
+            new Snapshot(1, 1, List.of(new VolumeMap(7, 200, 4096, List.of(0, 1, 2), List.of())));
 
     private final MapState state = new MapState(INITIAL);
     private final List<byte[]> journal = new ArrayList<>();
@@ -65,7 +65,8 @@
                 assertEquals(state.newMigration(7, 150, 9), recovered.newMigration(7, 150, 9));
                 // Changes since the horizon are those of the complete history.
                 assertEquals(state.changesSince(recovered.horizon()), recovered.changesSince(recovered.horizon()));
-                assertEquals(first > 0, recovered.updateSince(1, 1) instanceof Whole, "records from " + first + " on");
+                assertEquals(
+                        first > 0, recovered.updateSince(1, 1) instanceof Snapshot, "records from " + first + " on");
             }
         }
     }
@@ -92,7 +93,7 @@
         List<Transaction> retained = new ArrayList<>();
         state.history().forEach(retained::add);
         assertEquals(MapState.HISTORY_LIMIT, retained.size());
-        assertInstanceOf(Whole.class, state.updateSince(1, 1));
+        assertInstanceOf(Snapshot.class, state.updateSince(1, 1));
         Changes since = assertInstanceOf(Changes.class, state.updateSince(1, state.horizon()));
         MapCache cache = new MapCache();
         cache.apply(MapState.recover(INITIAL, null, journal.subList(0, journal.size() - MapState.HISTORY_LIMIT))
--- a/mapservice/src/main/java/garnetreel/mapservice/AdoptionCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/AdoptionCoordinator.java
@@ -1,7 +1,7 @@
 package garnetreel.mapservice;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import garnetreel.codec.node.NodeMessage.Report;
+import garnetreel.codec.node.NodeMessage.CommandReport;
 import garnetreel.map.Adoption;
 import garnetreel.map.ExtentMap;
 import garnetreel.map.MapState;
@@ -94,13 +94,13 @@
         nodes.send(node, StepCommand.holds(volume, extent, MAX_REPORT_BYTES), report -> handleReport(node, report));
     }
 
-    private void handleReport(NodeCommandClient.Node node, Report report) {
+    private void handleReport(NodeCommandClient.Node node, CommandReport report) {
         int shard = node.shard();
         if (report == null || !report.ok()) {
             unresponsive.add(shard);
         } else {
             Adoption.ReportedExtent last = readEntries(shard, report.data().duplicate());
-            if (report.more() && last != null) {
+            if (report.hasMore() && last != null) {
                 poll(node, last.volume(), last.extent());
                 return;
             }
--- a/mapservice/src/main/java/garnetreel/mapservice/MigrationCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MigrationCoordinator.java
@@ -1,6 +1,6 @@
 package garnetreel.mapservice;
 
-import garnetreel.codec.node.NodeMessage.Report;
+import garnetreel.codec.node.NodeMessage.CommandReport;
 import garnetreel.codec.node.NodeMessage.Step;
 import garnetreel.map.MapState;
 import garnetreel.map.Migration;
@@ -219,14 +219,15 @@
         active.notBefore = turn.now() + RETRY_DELAY;
     }
 
-    private void handleReport(ActiveMigration active, MigrationStateMachine.SendCommand sendCommand, Report report) {
+    private void handleReport(
+            ActiveMigration active, MigrationStateMachine.SendCommand sendCommand, CommandReport report) {
         active.awaitingCompletion = false;
         if (report == null) {
             stepFailed(active);
             return;
         }
         if (!report.ok()) {
-            rollbacks.observe(state.epoch(), report.known(), "shard " + sendCommand.shard());
+            rollbacks.observe(state.epoch(), report.knownVersion(), "shard " + sendCommand.shard());
             active.notBefore = turn.now() + (sendCommand.step() == Step.FENCE ? FENCE_POLL_DELAY : RETRY_DELAY);
         } else if (sendCommand.step() == Step.TAKE) {
             int copied = report.data().remaining();
--- a/mapservice/src/main/java/garnetreel/mapservice/NodeCommandClient.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/NodeCommandClient.java
@@ -4,9 +4,9 @@
 import garnetreel.codec.ProtocolException;
 import garnetreel.codec.node.NodeCodec;
 import garnetreel.codec.node.NodeMessage;
+import garnetreel.codec.node.NodeMessage.CommandReport;
+import garnetreel.codec.node.NodeMessage.ControlCommand;
 import garnetreel.codec.node.NodeMessage.Hello;
-import garnetreel.codec.node.NodeMessage.Order;
-import garnetreel.codec.node.NodeMessage.Report;
 import garnetreel.codec.node.NodeMessage.Welcome;
 import garnetreel.core.connection.ConnectionIdAllocator;
 import garnetreel.core.io.NetAction;
@@ -62,7 +62,7 @@
         }
     }
 
-    private record InFlight(long conn, long deadline, Consumer<Report> completion) {}
+    private record InFlight(long conn, long deadline, Consumer<CommandReport> completion) {}
 
     private final TurnContext turn;
     private final ConnectionIdAllocator connectionIds;
@@ -160,8 +160,8 @@
      *
      * @param completion called exactly once, never within this call, with the report or with null if none arrives
      */
-    void send(Node node, StepCommand command, Consumer<Report> completion) {
-        Order message = new Order(
+    void send(Node node, StepCommand command, Consumer<CommandReport> completion) {
+        ControlCommand message = new ControlCommand(
                 ++lastSeq,
                 command.step(),
                 command.volume(),
@@ -214,7 +214,7 @@
     private void handle(Node node, NodeMessage message) {
         if (message instanceof Welcome) {
             node.ready = true;
-        } else if (message instanceof Report report) {
+        } else if (message instanceof CommandReport report) {
             InFlight command = inFlight.remove(report.seq());
             if (command != null) {
                 command.completion().accept(report);
--- a/mapservice/src/main/java/garnetreel/mapservice/OperatorCommands.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/OperatorCommands.java
@@ -4,7 +4,7 @@
 import garnetreel.codec.map.MapMessage.Command;
 import garnetreel.codec.map.MapMessage.Result;
 import garnetreel.codec.node.NodeMessage;
-import garnetreel.codec.node.NodeMessage.Report;
+import garnetreel.codec.node.NodeMessage.CommandReport;
 import garnetreel.codec.node.NodeMessage.Step;
 import garnetreel.map.ExtentMap;
 import garnetreel.map.MapState;
@@ -118,7 +118,7 @@
         }
 
         private void migrate() throws InvalidCommandException {
-            migrations.begin(number(1), number(2), (int) number(3), command.who(), "asked for", migration -> {
+            migrations.begin(number(1), number(2), (int) number(3), command.operator(), "asked for", migration -> {
                 if (migration == null) {
                     reject("the move can't begin; the service's log says why");
                 } else {
@@ -128,7 +128,7 @@
         }
 
         private void abort() throws InvalidCommandException {
-            if (migrations.abort(number(1), "asked for by " + command.who())) {
+            if (migrations.abort(number(1), "asked for by " + command.operator())) {
                 accept(OperatorReports.message("it will be given up"));
             } else {
                 reject("there is no such move, or it has switched");
@@ -139,18 +139,19 @@
             int shard = (int) number(1);
             String done = (on ? "draining shard " : "no longer draining shard ") + shard;
             log.submit(
-                    () -> state.drain(shard, on, command.who(), turn.now()),
+                    () -> state.drain(shard, on, command.operator(), turn.now()),
                     t -> accept(OperatorReports.message(done)));
         }
 
         private void adopt() {
             boolean force = tokens.length > 1 && tokens[1].equals("force");
-            adoption.begin(command.who(), force, (ok, findings) -> answer.accept(new Result(ok, findings.toString())));
+            adoption.begin(
+                    command.operator(), force, (ok, findings) -> answer.accept(new Result(ok, findings.toString())));
         }
 
         private void newEpoch() {
             log.submit(
-                    () -> state.newEpoch(command.who(), turn.now(), "asked for"),
+                    () -> state.newEpoch(command.operator(), turn.now(), "asked for"),
                     t -> accept(OperatorReports.message("epoch " + state.epoch())));
         }
 
@@ -168,11 +169,17 @@
                 return;
             }
             StepCommand sumCommand = new StepCommand(
-                    Step.SUM, map.volume(), extent, map.extentBytes(), map.version(extent), 0, NodeMessage.none());
+                    Step.CHECKSUM,
+                    map.volume(),
+                    extent,
+                    map.extentBytes(),
+                    map.version(extent),
+                    0,
+                    NodeMessage.noData());
             nodes.send(node, sumCommand, report -> checksumReported(map, extent, report));
         }
 
-        private void checksumReported(ExtentMap map, long extent, Report report) {
+        private void checksumReported(ExtentMap map, long extent, CommandReport report) {
             long version = map.version(extent);
             if (report == null || !report.ok() || report.data().remaining() < Integer.BYTES) {
                 reject("shard " + map.shard(extent) + " gave no checksum of extent " + extent + " under version "
--- a/mapservice/src/main/java/garnetreel/mapservice/RebalanceCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/RebalanceCoordinator.java
@@ -1,6 +1,6 @@
 package garnetreel.mapservice;
 
-import garnetreel.codec.node.NodeMessage.Report;
+import garnetreel.codec.node.NodeMessage.CommandReport;
 import garnetreel.map.ExtentMap;
 import garnetreel.map.MapState;
 import garnetreel.map.Rebalancer;
@@ -123,7 +123,7 @@
         return map != null && extent.extent() < map.extents() && map.shard(extent.extent()) == shard;
     }
 
-    private void loadReported(int shard, Report report) {
+    private void loadReported(int shard, CommandReport report) {
         if (report == null || report.data().remaining() < LOAD_HEADER_BYTES) {
             return;
         }
--- a/mapservice/src/main/java/garnetreel/mapservice/StepCommand.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/StepCommand.java
@@ -16,11 +16,11 @@
 
     /** A command that polls a node's load. */
     static StepCommand load() {
-        return new StepCommand(Step.LOAD, 0, 0, 0, 0, 0, NodeMessage.none());
+        return new StepCommand(Step.LOAD, 0, 0, 0, 0, 0, NodeMessage.noData());
     }
 
     /** A command that polls the extents that a node holds, starting after the given one. */
     static StepCommand holds(long volume, long extent, int maxBytes) {
-        return new StepCommand(Step.HOLDS, volume, extent, 0, 0, maxBytes, NodeMessage.none());
+        return new StepCommand(Step.LIST_EXTENTS, volume, extent, 0, 0, maxBytes, NodeMessage.noData());
     }
 }
--- a/mapservice/src/main/java/garnetreel/mapservice/SubscriberRegistry.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/SubscriberRegistry.java
@@ -119,7 +119,7 @@
             return;
         }
         subscribeBudget.take(1);
-        rollbacks.observe(subscribe.epoch(), subscribe.version(), "gateway " + subscribe.head());
+        rollbacks.observe(subscribe.epoch(), subscribe.version(), "gateway " + subscribe.gatewayId());
         subscriber.subscribed = true;
         subscriber.version = state.version();
         send(subscriber, state.updateSince(subscribe.epoch(), subscribe.version()));
--- a/mapservice/src/test/java/garnetreel/mapservice/MigrationCoordinatorTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/MigrationCoordinatorTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetreel.codec.node.NodeMessage;
-import garnetreel.codec.node.NodeMessage.Order;
+import garnetreel.codec.node.NodeMessage.ControlCommand;
 import garnetreel.codec.node.NodeMessage.Step;
 import garnetreel.core.io.NetAction;
 import garnetreel.map.Migration;
@@ -20,7 +20,7 @@
 
 class MigrationCoordinatorTest {
     private static final int COPY_RATE = 1 << 20;
-    private static final ByteBuffer NO_DATA = NodeMessage.none();
+    private static final ByteBuffer NO_DATA = NodeMessage.noData();
 
     private final ServiceFixture fixture = new ServiceFixture();
     private final List<Migration> switched = new ArrayList<>();
@@ -65,7 +65,7 @@
     }
 
     private static String step(Sent<NodeMessage> command) {
-        return ((Order) command.message()).step() + "@" + (-1 - command.conn());
+        return ((ControlCommand) command.message()).step() + "@" + (-1 - command.conn());
     }
 
     private List<String> history() {
@@ -157,7 +157,7 @@
         assertEquals(100_000, migrations.nextDeadline());
         fixture.beginTurnAt(100_000);
         Sent<NodeMessage> command = advance().get(0);
-        while (((Order) command.message()).step() != Step.FENCE) {
+        while (((ControlCommand) command.message()).step() != Step.FENCE) {
             fixture.report(command, true, false, 0, NO_DATA);
             command = advance().get(0);
         }
@@ -173,7 +173,7 @@
         fixture.report(advance().get(0), true, false, 0, NO_DATA);
         Sent<NodeMessage> take = advance().get(0);
         assertEquals("TAKE@0", step(take));
-        assertEquals(MigrationStateMachine.BATCH_BYTES, ((Order) take.message()).room());
+        assertEquals(MigrationStateMachine.BATCH_BYTES, ((ControlCommand) take.message()).maxBytes());
         fixture.report(take, true, true, 0, ByteBuffer.allocate(MigrationStateMachine.BATCH_BYTES / 2));
         assertEquals(MigrationStateMachine.BATCH_BYTES / 2, migrations.copiedBytes());
         Sent<NodeMessage> put = advance().get(0);
--- a/mapservice/src/test/java/garnetreel/mapservice/NodeCommandClientTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/NodeCommandClientTest.java
@@ -9,7 +9,7 @@
 import garnetreel.codec.map.MapCodec;
 import garnetreel.codec.map.MapMessage;
 import garnetreel.codec.node.NodeMessage;
-import garnetreel.codec.node.NodeMessage.Order;
+import garnetreel.codec.node.NodeMessage.ControlCommand;
 import garnetreel.core.io.NetAction;
 import garnetreel.mapservice.ServiceFixture.Sent;
 import garnetreel.policy.event.EndpointUpdate;
@@ -33,7 +33,7 @@
                 report -> completions.add(report == null ? "no report" : "report " + report.seq()));
         Sent<NodeMessage> sent = ServiceFixture.toNodes(fixture.actions()).get(0);
         assertEquals(ServiceFixture.connection(shard), sent.conn());
-        return ((Order) sent.message()).seq();
+        return ((ControlCommand) sent.message()).seq();
     }
 
     @Test
@@ -73,10 +73,10 @@
         fixture.beginTurnAt(20);
         send(0);
         assertEquals(ServiceFixture.COMMAND_TIMEOUT, nodes.nextDeadline());
-        Sent<NodeMessage> first =
-                new Sent<>(-1, new Order(reported, NodeMessage.Step.LOAD, 0, 0, 0, 0, 0, ByteBuffer.allocate(0)));
-        fixture.report(first, true, false, 0, NodeMessage.none());
-        fixture.report(first, true, false, 0, NodeMessage.none());
+        Sent<NodeMessage> first = new Sent<>(
+                -1, new ControlCommand(reported, NodeMessage.Step.LOAD, 0, 0, 0, 0, 0, ByteBuffer.allocate(0)));
+        fixture.report(first, true, false, 0, NodeMessage.noData());
+        fixture.report(first, true, false, 0, NodeMessage.noData());
         assertEquals(List.of("report " + reported), completions);
         fixture.beginTurnAt(ServiceFixture.COMMAND_TIMEOUT + 10);
         nodes.expire();
--- a/mapservice/src/test/java/garnetreel/mapservice/OperatorCommandsTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/OperatorCommandsTest.java
@@ -102,7 +102,7 @@
         answers.clear();
         commands.execute(new Command("somebody", "sum 7 4"), answers::add);
         command = ServiceFixture.toNodes(fixture.actions()).get(0);
-        fixture.report(command, false, false, 0, NodeMessage.none());
+        fixture.report(command, false, false, 0, NodeMessage.noData());
         assertEquals(
                 List.of(rejected(
                         "shard 0 gave no checksum of extent 4 under version 1: it is moving, or damaged there")),
@@ -122,7 +122,7 @@
         Sent<NodeMessage> followUpPoll =
                 ServiceFixture.toNodes(fixture.actions()).get(0);
         fixture.report(followUpPoll, true, false, 0, heldEntry(6, 3, 9));
-        fixture.report(polls.get(1), true, false, 0, NodeMessage.none());
+        fixture.report(polls.get(1), true, false, 0, NodeMessage.noData());
         fixture.commitAll(log);
         assertEquals(
                 List.of(accepted("{\"epoch\":2,\"version\":10,\"changes\":1,\"put_back\":1,"
--- a/mapservice/src/test/java/garnetreel/mapservice/RebalanceCoordinatorTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/RebalanceCoordinatorTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import garnetreel.codec.node.NodeMessage;
-import garnetreel.codec.node.NodeMessage.Order;
+import garnetreel.codec.node.NodeMessage.ControlCommand;
 import garnetreel.codec.node.NodeMessage.Step;
 import garnetreel.map.Rebalancer;
 import garnetreel.map.Rebalancer.Proposal;
@@ -37,7 +37,7 @@
         fixture.beginTurnAt(time);
         coordinator.run();
         for (Sent<NodeMessage> command : ServiceFixture.toNodes(fixture.actions())) {
-            assertEquals(Step.LOAD, ((Order) command.message()).step());
+            assertEquals(Step.LOAD, ((ControlCommand) command.message()).step());
             boolean busy = command.conn() == ServiceFixture.connection(0);
             fixture.report(command, true, false, 0, busy ? load(90, 0.9, 4, 30) : load(10, 0.1, 5, 10));
         }
--- a/mapservice/src/test/java/garnetreel/mapservice/ServiceFixture.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/ServiceFixture.java
@@ -6,12 +6,12 @@
 import garnetreel.codec.ProtocolException;
 import garnetreel.codec.map.MapCodec;
 import garnetreel.codec.map.MapMessage;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.codec.map.MapMessage.VolumeMap;
-import garnetreel.codec.map.MapMessage.Whole;
 import garnetreel.codec.node.NodeCodec;
 import garnetreel.codec.node.NodeMessage;
-import garnetreel.codec.node.NodeMessage.Order;
-import garnetreel.codec.node.NodeMessage.Report;
+import garnetreel.codec.node.NodeMessage.CommandReport;
+import garnetreel.codec.node.NodeMessage.ControlCommand;
 import garnetreel.codec.node.NodeMessage.Welcome;
 import garnetreel.core.connection.ConnectionIdAllocator;
 import garnetreel.core.io.NetAction;
@@ -29,8 +29,8 @@
     static final long VOLUME = 7;
     static final int EXTENT_BYTES = 4096;
     static final long COMMAND_TIMEOUT = 2_000_000;
-    static final Whole INITIAL =
-            new Whole(1, 1, List.of(new VolumeMap(VOLUME, 20, EXTENT_BYTES, List.of(0, 1), List.of())));
+    static final Snapshot INITIAL =
+            new Snapshot(1, 1, List.of(new VolumeMap(VOLUME, 20, EXTENT_BYTES, List.of(0, 1), List.of())));
 
     final TurnContext turn = new TurnContext();
     final MapState state = new MapState(INITIAL);
@@ -128,7 +128,8 @@
 
     /** Delivers a node's report on a command that was sent. */
     void report(Sent<NodeMessage> command, boolean ok, boolean more, long known, ByteBuffer data) {
-        Order order = (Order) command.message();
-        nodes.received(command.conn(), NodeCodec.frame(new Report(order.seq(), ok, more, 1, known, data.duplicate())));
+        ControlCommand order = (ControlCommand) command.message();
+        nodes.received(
+                command.conn(), NodeCodec.frame(new CommandReport(order.seq(), ok, more, 1, known, data.duplicate())));
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/client/LoadAttempt.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/LoadAttempt.java
@@ -1,6 +1,6 @@
 package garnetreel.testbed.client;
 
-import garnetreel.codec.nbd.NbdReplies.Piece;
+import garnetreel.codec.nbd.NbdClientCodec.ReplyChunk;
 
 /** One attempt of a request, and the part of its reply that has arrived. */
 final class LoadAttempt {
@@ -16,7 +16,7 @@
         this.data = request.operation.isRead() ? new byte[request.length] : null;
     }
 
-    void add(Piece piece) {
+    void add(ReplyChunk piece) {
         if (piece.error() != 0) {
             error = piece.error();
             message = piece.message();
--- a/testbed/src/main/java/garnetreel/testbed/client/NbdLoadConnection.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/NbdLoadConnection.java
@@ -1,7 +1,7 @@
 package garnetreel.testbed.client;
 
 import garnetreel.codec.ByteQueue;
-import garnetreel.codec.nbd.NbdReplies;
+import garnetreel.codec.nbd.NbdClientCodec;
 import java.util.Map;
 import java.util.TreeMap;
 
@@ -16,7 +16,7 @@
 
     long reconnectAt;
     ByteQueue input = new ByteQueue();
-    NbdReplies replies = new NbdReplies();
+    NbdClientCodec replies = new NbdClientCodec();
     final Map<Long, LoadAttempt> inFlight = new TreeMap<>();
 
     NbdLoadConnection(int gateway, String address) {
@@ -28,7 +28,7 @@
         connectionId = newConnectionId;
         ready = false;
         input = new ByteQueue();
-        replies = new NbdReplies();
+        replies = new NbdClientCodec();
     }
 
     void markClosed(long nextAttemptAt) {
--- a/testbed/src/main/java/garnetreel/testbed/client/NbdLoadGenerator.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/NbdLoadGenerator.java
@@ -2,8 +2,8 @@
 
 import garnetreel.codec.ProtocolException;
 import garnetreel.codec.nbd.Nbd;
-import garnetreel.codec.nbd.NbdReplies;
-import garnetreel.codec.nbd.NbdReplies.Piece;
+import garnetreel.codec.nbd.NbdClientCodec;
+import garnetreel.codec.nbd.NbdClientCodec.ReplyChunk;
 import garnetreel.core.io.NetAction;
 import garnetreel.core.io.NetEvent;
 import garnetreel.core.io.StateMachine;
@@ -117,7 +117,8 @@
 
     private void handle(NetEvent event) {
         if (event instanceof NetEvent.Connected connected && connections.find(connected.connectionId()) != null) {
-            actions.add(new NetAction.Write(connected.connectionId(), NbdReplies.opening(settings.export())));
+            actions.add(
+                    new NetAction.Write(connected.connectionId(), NbdClientCodec.encodeHandshake(settings.export())));
         } else if (event instanceof NetEvent.Received received && connections.find(received.connectionId()) != null) {
             received(connections.find(received.connectionId()), received.data());
         } else if (event instanceof NetEvent.Closed closed && connections.find(closed.connectionId()) != null) {
@@ -207,9 +208,10 @@
 
     private static ByteBuffer encode(long tag, LoadRequest request) {
         return switch (request.operation) {
-            case FLUSH -> NbdReplies.request(Nbd.CMD_FLUSH, 0, tag, 0, 0, null);
-            case READ, VERIFY -> NbdReplies.request(Nbd.CMD_READ, 0, tag, request.offset, request.length, null);
-            case WRITE -> NbdReplies.request(
+            case FLUSH -> NbdClientCodec.encodeRequest(Nbd.CMD_FLUSH, 0, tag, 0, 0, null);
+            case READ, VERIFY -> NbdClientCodec.encodeRequest(
+                    Nbd.CMD_READ, 0, tag, request.offset, request.length, null);
+            case WRITE -> NbdClientCodec.encodeRequest(
                     Nbd.CMD_WRITE,
                     0,
                     tag,
@@ -224,9 +226,9 @@
     private void received(NbdLoadConnection connection, ByteBuffer data) {
         connection.input.add(data);
         try {
-            NbdReplies.Said reply;
+            NbdClientCodec.ServerMessage reply;
             while ((reply = connection.replies.next(connection.input)) != null) {
-                if (reply instanceof Piece piece) {
+                if (reply instanceof ReplyChunk piece) {
                     received(connection, piece);
                 } else {
                     connection.ready = true;
@@ -239,14 +241,14 @@
         }
     }
 
-    private void received(NbdLoadConnection connection, Piece piece) throws ProtocolException {
+    private void received(NbdLoadConnection connection, ReplyChunk piece) throws ProtocolException {
         LoadAttempt attempt = connection.inFlight.get(piece.cookie());
         if (attempt == null) {
             trace(Kind.REPLY, connection, piece.cookie(), "", 0, 0, "unasked");
             throw new ProtocolException("a reply to cookie " + piece.cookie() + ", which nobody waits for");
         }
         attempt.add(piece);
-        if (piece.done()) {
+        if (piece.last()) {
             connection.inFlight.remove(piece.cookie());
             pendingReplies.remove(piece.cookie());
             handleReply(piece.cookie(), attempt);
--- a/testbed/src/main/java/garnetreel/testbed/list/FakeNodeList.java
+++ b/testbed/src/main/java/garnetreel/testbed/list/FakeNodeList.java
@@ -8,7 +8,7 @@
 import garnetreel.codec.nodelist.NodeListMessage.Failed;
 import garnetreel.codec.nodelist.NodeListMessage.Fetch;
 import garnetreel.codec.nodelist.NodeListMessage.Kind;
-import garnetreel.codec.nodelist.NodeListMessage.News;
+import garnetreel.codec.nodelist.NodeListMessage.NodeListUpdate;
 import garnetreel.codec.nodelist.NodeListMessage.Register;
 import garnetreel.codec.nodelist.NodeListMessage.Subscribe;
 import garnetreel.core.io.NetAction;
@@ -158,7 +158,7 @@
         } else if (message instanceof Subscribe subscribe) {
             subscribe(client, subscribe);
         } else if (message instanceof Fetch fetch) {
-            client.name = Integer.toString(fetch.head());
+            client.name = Integer.toString(fetch.gatewayId());
             write(client, isUnavailable() ? unavailable() : snapshot());
         } else {
             throw new ProtocolException(
@@ -167,19 +167,21 @@
     }
 
     private void subscribe(Client client, Subscribe subscribe) {
-        client.name = Integer.toString(subscribe.head());
+        client.name = Integer.toString(subscribe.gatewayId());
         if (isUnavailable()) {
             write(client, unavailable());
             return;
         }
-        client.subscribed = subscribe.on();
-        if (!subscribe.on()) {
+        client.subscribed = subscribe.active();
+        if (!subscribe.active()) {
             return;
         }
         List<Entry> missed = table.changesSince(subscribe.version());
         write(
                 client,
-                missed == null ? snapshot() : new News(Kind.CHANGES, subscribe.version(), table.version(), missed));
+                missed == null
+                        ? snapshot()
+                        : new NodeListUpdate(Kind.DELTA, subscribe.version(), table.version(), missed));
     }
 
     private boolean isUnavailable() {
@@ -190,8 +192,8 @@
         return new Failed("the list is overloaded");
     }
 
-    private News snapshot() {
-        return new News(Kind.ALL, 0, table.version(), table.entries());
+    private NodeListUpdate snapshot() {
+        return new NodeListUpdate(Kind.SNAPSHOT, 0, table.version(), table.entries());
     }
 
     /** Removes the node that registered over a closed connection, unless it has registered again over another. */
@@ -215,7 +217,7 @@
         keepaliveAt = now + KEEPALIVE_INTERVAL;
         for (Client client : clients.values()) {
             if (client.subscribed) {
-                write(client, new News(Kind.CHANGES, since, table.version(), published));
+                write(client, new NodeListUpdate(Kind.DELTA, since, table.version(), published));
             }
         }
     }
@@ -225,8 +227,8 @@
             return;
         }
         NodeListMessage sent = message;
-        if (message instanceof News news) {
-            News update = leavesGap(client, news) ? snapshot() : news;
+        if (message instanceof NodeListUpdate news) {
+            NodeListUpdate update = leavesGap(client, news) ? snapshot() : news;
             client.notifiedVersion = update.version();
             trace(client, update);
             sent = update;
@@ -235,14 +237,14 @@
     }
 
     /** Whether the changes do not continue the last update sent, as the list was silent while it changed. */
-    private static boolean leavesGap(Client client, News news) {
-        return news.kind() == Kind.CHANGES
+    private static boolean leavesGap(Client client, NodeListUpdate news) {
+        return news.kind() == Kind.DELTA
                 && client.subscribed
                 && client.notifiedVersion != 0
                 && news.since() != client.notifiedVersion;
     }
 
-    private void trace(Client client, News news) {
+    private void trace(Client client, NodeListUpdate news) {
         for (Entry entry : news.entries()) {
             trace.add(TraceEvent.state(
                     now,
--- a/testbed/src/main/java/garnetreel/testbed/node/ExecutionQueue.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ExecutionQueue.java
@@ -153,7 +153,7 @@
 
     private long duration(Request request) {
         double work = settings.workPerRequest() + (double) settings.workPerUnit() * request.units();
-        if (request.op().changes() && !request.sync()) {
+        if (request.op().changesData() && !request.sync()) {
             deferredWork += (long) (work * settings.deferredFraction());
             work *= 1 - settings.deferredFraction();
         }
--- a/testbed/src/main/java/garnetreel/testbed/node/FakeNode.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/FakeNode.java
@@ -8,7 +8,7 @@
 import garnetreel.codec.node.NodeMessage.Hello;
 import garnetreel.codec.node.NodeMessage.Op;
 import garnetreel.codec.node.NodeMessage.Probe;
-import garnetreel.codec.node.NodeMessage.Probed;
+import garnetreel.codec.node.NodeMessage.ProbeReply;
 import garnetreel.codec.node.NodeMessage.Request;
 import garnetreel.codec.node.NodeMessage.Result;
 import garnetreel.codec.node.NodeMessage.Welcome;
@@ -187,7 +187,7 @@
 
     private void handle(ClientConnection connection, NodeMessage message) throws ProtocolException {
         if (message instanceof Hello hello) {
-            connection.gateway = hello.head();
+            connection.gateway = hello.gatewayId();
             connection.incarnation = hello.incarnation();
             if (!faults.suppressesAnswers()) {
                 connections.write(connection, new Welcome(nodeIncarnation, turn.now()));
@@ -196,10 +196,10 @@
             requestArrived(connection, request);
         } else if (message instanceof Cancel cancel) {
             queue.cancel(connection, cancel.id(), cancel.attempt());
-        } else if (message instanceof NodeMessage.Order order) {
+        } else if (message instanceof NodeMessage.ControlCommand order) {
             orderArrived(connection, order);
         } else if (message instanceof Probe probe) {
-            connections.write(connection, new Probed(probe.id(), nodeIncarnation, load()));
+            connections.write(connection, new ProbeReply(probe.id(), nodeIncarnation, load()));
         } else {
             throw new ProtocolException(
                     "unexpected message from a client: " + message.getClass().getSimpleName());
@@ -213,13 +213,13 @@
             return;
         }
         if (faults.affects(NodeFault.Kind.ERRORS)) {
-            answer(connection, request, Result.ERROR, NodeMessage.none());
+            answer(connection, request, Result.ERROR, NodeMessage.noData());
         } else if (request.shard() != settings.shard()) {
-            answer(connection, request, Result.MOOT, NodeMessage.none());
+            answer(connection, request, Result.UNKNOWN_SHARD, NodeMessage.noData());
         } else if (rejectIfStale(connection, request)) {
             return;
         } else if (queue.isFull() || turn.now() >= drainAt) {
-            answer(connection, request, Result.FULL, NodeMessage.none());
+            answer(connection, request, Result.FULL, NodeMessage.noData());
         } else {
             queue.add(connection, request);
         }
@@ -236,7 +236,7 @@
     }
 
     /** Orders bypass the queue; the pages that they read and write take no simulated time. */
-    private void orderArrived(ClientConnection connection, NodeMessage.Order order) {
+    private void orderArrived(ClientConnection connection, NodeMessage.ControlCommand order) {
         if (!faults.suppressesAnswers() && !faults.isActive(NodeFault.Kind.CUT_OFF)) {
             connections.write(connection, orderHandler.execute(order));
         }
@@ -259,7 +259,7 @@
     }
 
     private void finish(Job job) {
-        ByteBuffer data = NodeMessage.none();
+        ByteBuffer data = NodeMessage.noData();
         Result result = Result.OK;
         try {
             data = executor.execute(job.connection, job.request);
--- a/testbed/src/main/java/garnetreel/testbed/node/MapServiceOrderHandler.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/MapServiceOrderHandler.java
@@ -1,7 +1,7 @@
 package garnetreel.testbed.node;
 
-import garnetreel.codec.node.NodeMessage.Order;
-import garnetreel.codec.node.NodeMessage.Report;
+import garnetreel.codec.node.NodeMessage.CommandReport;
+import garnetreel.codec.node.NodeMessage.ControlCommand;
 import garnetreel.codec.node.NodeMessage.Step;
 import java.nio.ByteBuffer;
 
@@ -34,20 +34,20 @@
         this.participant = new MigrationParticipant(disk, nodeIncarnation);
     }
 
-    Report execute(Order order) {
+    CommandReport execute(ControlCommand order) {
         if (order.step() == Step.LOAD) {
             return loadReport(order);
         }
-        if (order.step() == Step.HOLDS) {
+        if (order.step() == Step.LIST_EXTENTS) {
             return participant.reportOwnership(order);
         }
-        Report report = participant.execute(order, queue.isExecuting(order.volume(), order.extent()));
+        CommandReport report = participant.execute(order, queue.isExecuting(order.volume(), order.extent()));
         trace.migrationStep(order, nodeIncarnation, report.ok());
         return report;
     }
 
-    private Report loadReport(Order order) {
+    private CommandReport loadReport(ControlCommand order) {
         ByteBuffer load = meter.takeReport(turn.now(), settings.cores(), disk.usedBytes(), settings.capacity());
-        return new Report(order.seq(), true, false, nodeIncarnation, 0, load);
+        return new CommandReport(order.seq(), true, false, nodeIncarnation, 0, load);
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/MigrationParticipant.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/MigrationParticipant.java
@@ -1,8 +1,8 @@
 package garnetreel.testbed.node;
 
 import garnetreel.codec.node.NodeMessage;
-import garnetreel.codec.node.NodeMessage.Order;
-import garnetreel.codec.node.NodeMessage.Report;
+import garnetreel.codec.node.NodeMessage.CommandReport;
+import garnetreel.codec.node.NodeMessage.ControlCommand;
 import garnetreel.codec.node.NodeMessage.Step;
 import garnetreel.testbed.node.OwnershipTable.ExtentId;
 import garnetreel.testbed.node.OwnershipTable.Ownership;
@@ -36,7 +36,7 @@
      *
      * @param executing whether requests for the extent are being executed
      */
-    Report execute(Order order, boolean executing) {
+    CommandReport execute(ControlCommand order, boolean executing) {
         Ownership entry =
                 disk.ownership().entry(order.volume(), order.extent(), order.extentBytes(), isForSource(order.step()));
         // Rejects delayed orders of an earlier incarnation of the map service, which could lift a fence.
@@ -54,34 +54,34 @@
             case PUT -> report(order, put(order, entry), entry);
             case SERVE -> report(order, serve(order, entry), entry);
             case FORGET -> report(order, forget(order, entry), entry);
-            case SUM -> checksum(order, entry);
-            case LOAD, HOLDS -> report(order, false, entry); // not steps of a migration
+            case CHECKSUM -> checksum(order, entry);
+            case LOAD, LIST_EXTENTS -> report(order, false, entry); // not steps of a migration
         };
     }
 
     /** Whether a step is for the source node, which serves the extent without an entry until its first migration. */
     private static boolean isForSource(Step step) {
         return switch (step) {
-            case TRACK, TAKE, FENCE, RELEASE, UNFENCE, SUM -> true;
-            case RECEIVE, PUT, SERVE, FORGET, LOAD, HOLDS -> false;
+            case TRACK, TAKE, FENCE, RELEASE, UNFENCE, CHECKSUM -> true;
+            case RECEIVE, PUT, SERVE, FORGET, LOAD, LIST_EXTENTS -> false;
         };
     }
 
-    private static long extentOffset(Order order) {
+    private static long extentOffset(ControlCommand order) {
         return order.extent() * order.extentBytes();
     }
 
-    private Report report(Order order, boolean ok, Ownership entry) {
-        return new Report(order.seq(), ok, false, nodeIncarnation, entry.version, NodeMessage.none());
+    private CommandReport report(ControlCommand order, boolean ok, Ownership entry) {
+        return new CommandReport(order.seq(), ok, false, nodeIncarnation, entry.version, NodeMessage.noData());
     }
 
-    private void discard(Order order) {
+    private void discard(ControlCommand order) {
         disk.discard(order.volume(), extentOffset(order), order.extentBytes());
     }
 
     // ---------------------------------------------------------------- source node
 
-    private boolean track(Order order, Ownership entry) {
+    private boolean track(ControlCommand order, Ownership entry) {
         boolean owned = entry.state == State.SERVING || entry.state == State.FENCED;
         if (!owned || entry.version != order.version()) {
             return false;
@@ -96,11 +96,11 @@
         return true;
     }
 
-    private Report take(Order order, Ownership entry) {
+    private CommandReport take(ControlCommand order, Ownership entry) {
         if (entry.changedPages == null) {
             return report(order, false, entry);
         }
-        ByteBuffer pages = ByteBuffer.allocate(Math.max(PAGE_ENTRY, order.room()));
+        ByteBuffer pages = ByteBuffer.allocate(Math.max(PAGE_ENTRY, order.maxBytes()));
         while (!entry.changedPages.isEmpty() && pages.remaining() >= PAGE_ENTRY) {
             int page = entry.changedPages.first();
             long offset = extentOffset(order) + (long) page * MemoryDisk.PAGE_BYTES;
@@ -117,18 +117,19 @@
             entry.changedPages.remove(page);
         }
         boolean more = !entry.changedPages.isEmpty();
-        return new Report(order.seq(), true, more, nodeIncarnation, entry.version, pages.flip());
+        return new CommandReport(order.seq(), true, more, nodeIncarnation, entry.version, pages.flip());
     }
 
-    private Report fence(Order order, Ownership entry, boolean executing) {
+    private CommandReport fence(ControlCommand order, Ownership entry, boolean executing) {
         if (entry.changedPages == null || entry.version != order.version()) {
             return report(order, false, entry);
         }
         entry.state = State.FENCED;
-        return new Report(order.seq(), !executing, executing, nodeIncarnation, entry.version, NodeMessage.none());
+        return new CommandReport(
+                order.seq(), !executing, executing, nodeIncarnation, entry.version, NodeMessage.noData());
     }
 
-    private boolean unfence(Order order, Ownership entry) {
+    private boolean unfence(ControlCommand order, Ownership entry) {
         if (entry.state == State.FENCED && entry.version == order.version()) {
             entry.state = State.SERVING;
         }
@@ -136,7 +137,7 @@
         return true;
     }
 
-    private boolean release(Order order, Ownership entry) {
+    private boolean release(ControlCommand order, Ownership entry) {
         if (entry.version < order.version()) {
             entry.state = State.GONE;
             entry.version = order.version();
@@ -146,7 +147,7 @@
         return true;
     }
 
-    private Report checksum(Order order, Ownership entry) {
+    private CommandReport checksum(ControlCommand order, Ownership entry) {
         if (entry.state != State.SERVING || entry.version != order.version()) {
             return report(order, false, entry);
         }
@@ -154,7 +155,7 @@
             ByteBuffer checksum = ByteBuffer.allocate(Integer.BYTES)
                     .putInt(disk.checksum(order.volume(), extentOffset(order), order.extentBytes()))
                     .flip();
-            return new Report(order.seq(), true, false, nodeIncarnation, entry.version, checksum);
+            return new CommandReport(order.seq(), true, false, nodeIncarnation, entry.version, checksum);
         } catch (DamagedPageException e) {
             return report(order, false, entry);
         }
@@ -162,7 +163,7 @@
 
     // ---------------------------------------------------------------- target node
 
-    private boolean receive(Order order, Ownership entry) {
+    private boolean receive(ControlCommand order, Ownership entry) {
         if (entry.state != State.GONE && entry.state != State.RECEIVING) {
             return false;
         }
@@ -171,7 +172,7 @@
         return true;
     }
 
-    private boolean put(Order order, Ownership entry) {
+    private boolean put(ControlCommand order, Ownership entry) {
         if (entry.state != State.RECEIVING) {
             return false;
         }
@@ -191,7 +192,7 @@
         return true;
     }
 
-    private boolean serve(Order order, Ownership entry) {
+    private boolean serve(ControlCommand order, Ownership entry) {
         if (entry.state == State.RECEIVING && entry.version < order.version()) {
             entry.state = State.SERVING;
             entry.version = order.version();
@@ -199,7 +200,7 @@
         return entry.state == State.SERVING && entry.version >= order.version() || entry.version > order.version();
     }
 
-    private boolean forget(Order order, Ownership entry) {
+    private boolean forget(ControlCommand order, Ownership entry) {
         if (entry.state == State.RECEIVING) {
             entry.state = State.GONE;
             discard(order);
@@ -210,9 +211,9 @@
     // ---------------------------------------------------------------- ownership
 
     /** Reports the entries after the extent given in the order, as many as the report has room for. */
-    Report reportOwnership(Order order) {
+    CommandReport reportOwnership(ControlCommand order) {
         OwnershipTable ownership = disk.ownership();
-        ByteBuffer data = ByteBuffer.allocate(Math.max(OWNERSHIP_ENTRY, order.room()));
+        ByteBuffer data = ByteBuffer.allocate(Math.max(OWNERSHIP_ENTRY, order.maxBytes()));
         boolean more = false;
         for (Map.Entry<ExtentId, Ownership> entry :
                 ownership.entriesAfter(order.volume(), order.extent()).entrySet()) {
@@ -227,6 +228,6 @@
                     .put(entry.getValue().state.code())
                     .putLong(entry.getValue().version);
         }
-        return new Report(order.seq(), true, more, nodeIncarnation, 0, data.flip());
+        return new CommandReport(order.seq(), true, more, nodeIncarnation, 0, data.flip());
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/NodeTrace.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/NodeTrace.java
@@ -1,6 +1,6 @@
 package garnetreel.testbed.node;
 
-import garnetreel.codec.node.NodeMessage.Order;
+import garnetreel.codec.node.NodeMessage.ControlCommand;
 import garnetreel.codec.node.NodeMessage.Request;
 import garnetreel.testbed.trace.Trace;
 import garnetreel.testbed.trace.TraceEvent;
@@ -36,7 +36,7 @@
     }
 
     /** Records that an order of the map service was executed or rejected. */
-    void migrationStep(Order order, long nodeIncarnation, boolean ok) {
+    void migrationStep(ControlCommand order, long nodeIncarnation, boolean ok) {
         trace.add(new TraceEvent(
                 turn.now(),
                 settings.name(),
--- a/testbed/src/main/java/garnetreel/testbed/node/RequestExecutor.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/RequestExecutor.java
@@ -36,17 +36,17 @@
         MemoryDisk.RequestIdentity identity =
                 new MemoryDisk.RequestIdentity(connection.gateway, connection.incarnation, request.id());
         long windowStart = turn.now() - settings.deduplicationWindow();
-        if (request.dropsRepeats() && request.op().changes() && disk.wasExecuted(identity, windowStart)) {
+        if (request.deduplicated() && request.op().changesData() && disk.wasExecuted(identity, windowStart)) {
             trace.request(Kind.REPEAT, connection, request, "");
-            return NodeMessage.none();
+            return NodeMessage.noData();
         }
         ByteBuffer data = access(request);
-        if (request.op().changes()) {
+        if (request.op().changesData()) {
             disk.ownership().markChanged(request.volume(), request.offset(), request.length());
         }
         long extent = disk.ownership().extentOrMegabyte(request.volume(), request.offset());
         meter.countRequest(request.volume(), extent, request.units(), turn.now());
-        if (request.dropsRepeats()) {
+        if (request.deduplicated()) {
             disk.recordExecution(identity, turn.now());
         }
         if (request.sync() || request.op() == Op.FLUSH || settings.journal()) {
@@ -77,6 +77,6 @@
                 // The caller flushes; there is no cache to populate.
             }
         }
-        return NodeMessage.none();
+        return NodeMessage.noData();
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/Scenario.java
@@ -1,6 +1,6 @@
 package garnetreel.testbed.scenario;
 
-import garnetreel.codec.map.MapMessage.Whole;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.core.GatewaySettings;
 import garnetreel.core.io.NetEvent;
 import garnetreel.mapservice.MapServiceSettings;
@@ -60,7 +60,7 @@
      */
     public record MapScenario(
             BiFunction<String, String, MapServiceSettings> settings,
-            Whole initialMaps,
+            Snapshot initialMaps,
             int migrations,
             long migrationsStart,
             long migrationsDuration,
--- a/testbed/src/main/java/garnetreel/testbed/trace/TraceLabels.java
+++ b/testbed/src/main/java/garnetreel/testbed/trace/TraceLabels.java
@@ -32,7 +32,7 @@
             case OK -> "ok";
             case ERROR -> "error";
             case FULL -> "full";
-            case MOOT -> "moot";
+            case UNKNOWN_SHARD -> "moot";
             case STALE -> "stale";
         };
     }
@@ -50,8 +50,8 @@
             case UNFENCE -> "unfence";
             case FORGET -> "forget";
             case LOAD -> "load";
-            case SUM -> "sum";
-            case HOLDS -> "holds";
+            case CHECKSUM -> "sum";
+            case LIST_EXTENTS -> "holds";
         };
     }
 
--- a/testbed/src/test/java/garnetreel/testbed/node/MigrationFailureTest.java
+++ b/testbed/src/test/java/garnetreel/testbed/node/MigrationFailureTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetreel.codec.node.NodeMessage;
-import garnetreel.codec.node.NodeMessage.Order;
-import garnetreel.codec.node.NodeMessage.Report;
+import garnetreel.codec.node.NodeMessage.CommandReport;
+import garnetreel.codec.node.NodeMessage.ControlCommand;
 import garnetreel.map.Migration;
 import garnetreel.map.MigrationStateMachine;
 import java.nio.ByteBuffer;
@@ -134,7 +134,7 @@
                     migration.failed();
                     return;
                 }
-                Order order = new Order(
+                ControlCommand order = new ControlCommand(
                         ++seq,
                         sendCommand.step(),
                         VOLUME,
@@ -143,7 +143,7 @@
                         sendCommand.version(),
                         sendCommand.room(),
                         sendCommand.data());
-                Report report = nodes[sendCommand.shard()].participant.execute(order, false);
+                CommandReport report = nodes[sendCommand.shard()].participant.execute(order, false);
                 if (failure == Failure.REPORT_LOST) {
                     migration.failed();
                 } else if (failure == Failure.SERVICE_CRASH_AFTER_ORDER) {
@@ -215,8 +215,9 @@
         while (run.durable.state() != Migration.State.SWITCHED) {
             run.step(null);
         }
-        Report report = run.nodes[0].participant.execute(
-                new Order(earlySeq, NodeMessage.Step.TRACK, VOLUME, EXTENT, EXTENT_BYTES, 1, 0, ByteBuffer.allocate(0)),
+        CommandReport report = run.nodes[0].participant.execute(
+                new ControlCommand(
+                        earlySeq, NodeMessage.Step.TRACK, VOLUME, EXTENT, EXTENT_BYTES, 1, 0, ByteBuffer.allocate(0)),
                 false);
         assertFalse(report.ok());
         assertFalse(run.nodes[0].serves(1));
