--- a/codec/src/main/java/garnetreel/codec/node/NodeMessage.java
+++ b/codec/src/main/java/garnetreel/codec/node/NodeMessage.java
@@ -124,8 +124,7 @@
      * @param usage 1 + units served for the volume by all nodes in a completed metering period, in percent of the plan's
      *     rate; 0 if not reported
      * @param unitsFromOtherGateways units this node served for the volume through other gateways since its last answer
-     *     about the volume
-     *     on this connection
+     *     about the volume on this connection
      * @param incarnation incarnation of the node: writes of an earlier incarnation that were not flushed are lost
      * @param load metrics of the load report by name
      * @param data for READ the bytes read; for STATUS pairs of length and flags as in NBD; for a STALE result the
