--- a/cli/src/main/java/garnetreel/cli/CheckConfigCommand.java
+++ b/cli/src/main/java/garnetreel/cli/CheckConfigCommand.java
@@ -11,11 +11,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Checks a settings file without starting anything. */
+/** Validates a settings file without starting anything. */
 @Command(
         name = "check-config",
         mixinStandardHelpOptions = true,
-        description = "Checks the form and the meaning of a settings file.")
+        description = "Validates the syntax and the values of a settings file.")
 final class CheckConfigCommand implements Callable<Integer> {
     @Spec
     CommandSpec spec;
--- a/cli/src/main/java/garnetreel/cli/ClassDataArchiveTraining.java
+++ b/cli/src/main/java/garnetreel/cli/ClassDataArchiveTraining.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A short run of one gateway instance against a discovery service and a storage server, all on loopback: an endpoint list, valid
- * and invalid requests, a reload of the configuration and a shutdown. The build runs it to load the classes of the
- * class-data archive (AppCDS) that gateways in service start from; it fails if a response is not the expected one.
+ * A short run of one gateway instance against a stub discovery service and a stub storage server, all on loopback: an endpoint
+ * list, valid and invalid requests, a reload of the configuration and a shutdown. The build runs it to record the classes for
+ * the class-data archive (AppCDS) that deployed gateways start from; an unexpected response fails the run.
  */
 public final class ClassDataArchiveTraining {
     private static final int REQUESTS = 40;
@@ -33,10 +33,10 @@
 
     private ClassDataArchiveTraining() {}
 
-    /** Exits with 0 when all went as expected. */
+    /** Exits with 0 when every response was the expected one. */
     public static void main(String[] arguments) throws IOException {
         if (arguments.length != 1) {
-            System.err.println("garnetreel: takes one argument, the file to write its configuration to");
+            System.err.println("garnetreel: expects one argument, the file that the configuration is written to");
             System.exit(ExitCode.USAGE);
         }
         PlatformMain.configureFastStart();
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Runs it once.
+     * Runs the training once.
      *
-     * @param file where its configuration is written; deleted afterwards
+     * @param file where the gateway's configuration is written; deleted once it has been reloaded
      * @return the gateway's exit code
      * @throws IOException when a response is not the expected one
      */
@@ -71,7 +71,7 @@
         return new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     }
 
-    /** A discovery watch that delivers one snapshot, with one storage server. */
+    /** The response to a discovery watch: one snapshot of the endpoint list, with one storage server. */
     private static String watchResponse(int storagePort) {
         String list = String.format(
                 Locale.ROOT,
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Reloads the configuration once, and loads what a reload by SIGHUP needs. */
+    /** Reloads the configuration once, and loads the classes that a reload by SIGHUP needs. */
     private static void reload(Path file, EventLoop gateway) {
         CompletableFuture<Void> reloaded = new CompletableFuture<>();
         try (ConfigurationReader reader = new ConfigurationReader(file, settings -> {
@@ -118,13 +118,13 @@
         }
     }
 
-    /** Sends a request on a connection of its own. The status is one of {@code statuses}; any where that is empty. */
+    /** Sends a request on a new connection; its status has to be among {@code statuses}, unless that is empty. */
     private static void expect(int port, String request, String statuses) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             String line = reader(socket).readLine();
             if (line == null || !statuses.isEmpty() && !statuses.contains(line.split(" ")[1])) {
-                throw new IOException("expected " + statuses + ", got " + line);
+                throw new IOException("unexpected response: expected status " + statuses + ", got " + line);
             }
         }
     }
--- a/cli/src/main/java/garnetreel/cli/ConfigurationReader.java
+++ b/cli/src/main/java/garnetreel/cli/ConfigurationReader.java
@@ -13,15 +13,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reloads the configuration file on request. All reads are made by one thread, one after the other: the JVM runs the handler of
- * each signal on a thread of its own, and of two reads that overtake each other the older file would win. A file that can't be
- * read may still be being written, so the read is retried for a while.
+ * Reloads the configuration file on request. A single thread makes all reads in order: the JVM runs each signal's handler on
+ * a new thread, and of two concurrent reads the one that began with the older file could finish last and win. A file that
+ * can't be read may be half written, so a failed read is retried.
  */
 final class ConfigurationReader implements AutoCloseable {
     /** Pause before a failed read is retried. */
     private static final long RETRY_MILLIS = 100;
 
-    /** All attempts at one request together end within the 4 s after which a new configuration counts as known. */
+    /** With the pauses about 3 s for one request, within the 4 s after which a new configuration counts as known. */
     private static final int MAX_ATTEMPTS = 30;
 
     private final Logger log = LoggerFactory.getLogger("garnetreel.platform");
@@ -32,18 +32,18 @@
         daemon.setDaemon(true);
         return daemon;
     });
-    /** The number of the last request; a retry for an older one is dropped. Used by the reader's thread only. */
+    /** Number of the latest request; retries for older ones are dropped. Confined to the reader's thread. */
     private long lastRequest;
 
-    /** @param consumer receives each configuration that could be read, on the reader's thread */
+    /** @param consumer receives each configuration that was read successfully, on the reader's thread */
     ConfigurationReader(Path file, Consumer<PlatformSettings> consumer) {
         this.file = file;
         this.consumer = consumer;
     }
 
     /**
-     * Requests that the file be read; returns at once. A file that can't be read, or is no configuration, is logged and changes
-     * nothing.
+     * Requests a read of the file and returns at once. A file that can't be read, or is not a valid configuration, is logged and
+     * changes nothing.
      */
     void read() {
         thread.execute(() -> attempt(++lastRequest, 1));
@@ -73,7 +73,7 @@
     /**
      * Reads a configuration file once.
      *
-     * @throws IOException when the file can't be read or is no configuration; the message names the field
+     * @throws IOException when the file can't be read or is not a valid configuration; the message names the field
      */
     static PlatformSettings load(Path file) throws IOException {
         try {
--- a/cli/src/main/java/garnetreel/cli/FilesCommand.java
+++ b/cli/src/main/java/garnetreel/cli/FilesCommand.java
@@ -24,16 +24,16 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Inspects the file catalogue of a gateway instance that does not run; one that runs is asked with rsync itself. */
+/** Inspects the file catalogue of a stopped gateway instance; a running one is queried with rsync instead. */
 @Command(
         name = "files",
         mixinStandardHelpOptions = true,
         description = {
             "Inspects the file catalogue of a stopped gateway instance.",
-            "ls: lists names. stat: one name. check: verifies the catalogue, and prints what space is used."
+            "ls: lists files. stat: prints the attributes of one file. check: verifies the catalogue and prints the space used."
         })
 final class FilesCommand implements Callable<Integer> {
-    /** What to do; named as on the command line. */
+    /** The actions, named as on the command line. */
     enum Action {
         LS,
         STAT,
@@ -54,7 +54,7 @@
             arity = "0..1",
             paramLabel = "MODULE/PATH",
             defaultValue = "",
-            description = "Module, and path in it. Default: everything.")
+            description = "Module, or a path in it. Default: all modules.")
     String target;
 
     @Option(
@@ -68,19 +68,19 @@
     public Integer call() throws SettingsException, IOException {
         Settings settings = Settings.read(file);
         List<Catalogue.ModuleVolume> modules = modules(settings);
-        // Recovery fails, with the reason, on damage, a gap in the records and space that is in use twice.
+        // Recovery fails with the reason if the journal is corrupt, a record is missing or space is allocated twice.
         Catalogue catalogue = recover(settings, modules);
         int slash = target.indexOf('/');
         String module = slash < 0 ? target : target.substring(0, slash);
         String path = slash < 0 ? "" : target.substring(slash + 1);
         if (!module.isEmpty() && modules.stream().noneMatch(m -> m.module().equals(module))) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "head " + number + " has no module \"" + module + "\"");
+                    spec.commandLine(), "gateway " + number + " has no module \"" + module + "\"");
         }
         boolean found = true;
-        for (Catalogue.ModuleVolume each : modules) {
-            if (module.isEmpty() || each.module().equals(module)) {
-                found &= print(catalogue, each, path);
+        for (Catalogue.ModuleVolume candidate : modules) {
+            if (module.isEmpty() || candidate.module().equals(module)) {
+                found &= print(catalogue, candidate, path);
             }
         }
         spec.commandLine().getOut().flush();
@@ -97,18 +97,18 @@
     }
 
     private Catalogue recover(Settings settings, List<Catalogue.ModuleVolume> modules) throws IOException {
-        String directory = settings.state(number);
+        String directory = settings.stateDirectory(number);
         Path journalFile = Path.of(directory, GatewayState.FILES_JOURNAL);
         if (directory.isEmpty() || !Files.isRegularFile(journalFile)) {
-            throw new IOException("head " + number + " keeps no file catalogue; " + journalFile + " is not there");
+            throw new IOException("gateway " + number + " has no file catalogue: " + journalFile + " does not exist");
         }
         try (Journal journal = new Journal(journalFile)) {
-            Journal.Contents kept = journal.contents();
-            return new Catalogue(modules, kept.snapshot(), kept.records());
+            Journal.Contents contents = journal.contents();
+            return new Catalogue(modules, contents.snapshot(), contents.records());
         }
     }
 
-    /** Prints a module, or a path in it; false where the path is not there. */
+    /** Runs the action on a module or a path in it; false where the path does not exist. */
     private boolean print(Catalogue catalogue, Catalogue.ModuleVolume module, String path) {
         switch (action) {
             case LS -> catalogue.entriesBelow(module.module(), path).forEach(this::printLine);
--- a/cli/src/main/java/garnetreel/cli/GatewayState.java
+++ b/cli/src/main/java/garnetreel/cli/GatewayState.java
@@ -10,24 +10,24 @@
 import java.nio.file.Path;
 
 /**
- * What a gateway instance finds in its state directory when it starts.
+ * The stored state that a gateway instance starts from, read from its state directory.
  *
  * @param nodeList the cached node list; null for none
  * @param maps the cached extent maps; null for none
  * @param files its file catalogue
- * @param writer writes later states there; null for an instance without a state directory
+ * @param writer stores later states in the directory; null for an instance without one
  */
 record GatewayState(byte[] nodeList, byte[] maps, StoredCatalogue files, BackgroundJournalWriter writer) {
-    /** The journal of the file catalogue. */
+    /** File name of the file catalogue's journal. */
     static final String FILES_JOURNAL = "files.journal";
 
-    /** Of an instance without a state directory. */
+    /** The state of an instance without a state directory. */
     static final GatewayState NONE = new GatewayState(null, null, StoredCatalogue.NOTHING, null);
 
     /**
      * Reads a state directory and starts its writer.
      *
-     * @param servesFiles whether it has a file catalogue too
+     * @param servesFiles whether the instance has a file catalogue too
      */
     static GatewayState open(Path path, boolean servesFiles) throws IOException {
         StateDirectory directory = new StateDirectory(path);
@@ -37,8 +37,8 @@
         Journal journal = null;
         if (servesFiles) {
             journal = new Journal(path.resolve(FILES_JOURNAL));
-            Journal.Contents kept = journal.contents();
-            files = new StoredCatalogue(kept.snapshot(), kept.records());
+            Journal.Contents contents = journal.contents();
+            files = new StoredCatalogue(contents.snapshot(), contents.records());
         }
         return new GatewayState(nodeList, maps, files, new BackgroundJournalWriter(directory, journal));
     }
--- a/cli/src/main/java/garnetreel/cli/JournalOnlyStore.java
+++ b/cli/src/main/java/garnetreel/cli/JournalOnlyStore.java
@@ -3,13 +3,13 @@
 import garnetreel.net.EventLoop;
 
 /**
- * Stores the journal of a state machine and none of its named states. The map service's own state is all in its journal, and
- * it asks for the node list at each start instead of caching it.
+ * Stores the journal of a state machine and drops its named states. The map service keeps all of its state in the journal, and
+ * requests the node list at each start instead of caching it.
  */
 record JournalOnlyStore(EventLoop.DurableStore journal) implements EventLoop.DurableStore {
     @Override
     public void persist(String name, byte[] data) {
-        // see above
+        // named states are not stored
     }
 
     @Override
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public void snapshot(long seq, byte[] data, int kept) {
-        journal.snapshot(seq, data, kept);
+    public void snapshot(long seq, byte[] data, int retainedRecords) {
+        journal.snapshot(seq, data, retainedRecords);
     }
 }
--- a/cli/src/main/java/garnetreel/cli/Logging.java
+++ b/cli/src/main/java/garnetreel/cli/Logging.java
@@ -20,7 +20,7 @@
 
     private Logging() {}
 
-    /** Sends all log lines of the program at this level and above, and warnings of others, to standard error. */
+    /** Logs this program's lines from {@code level} up, and other libraries' warnings and errors, to standard error. */
     public static void configure(Format format, String level) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
--- a/cli/src/main/java/garnetreel/cli/Main.java
+++ b/cli/src/main/java/garnetreel/cli/Main.java
@@ -25,7 +25,7 @@
             CommandLine.HelpCommand.class
         })
 public final class Main {
-    /** JBoss Logging, by which XNIO logs, reads from this property where to pass log events on. */
+    /** Property that selects the back end of JBoss Logging, which XNIO logs through. */
     static final String LOGGING_PROVIDER_PROPERTY = "org.jboss.logging.provider";
 
     /** The value of {@link #LOGGING_PROVIDER_PROPERTY}. */
@@ -47,7 +47,7 @@
 
     private Main() {}
 
-    /** Runs one command of the service and exits with its exit code. */
+    /** Runs one command and exits with its exit code. */
     public static void main(String[] arguments) {
         System.exit(run(List.of(), arguments));
     }
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Prints what made a command fail: problems of settings a line each, expected failures in a line, anything else with its
-     * stack trace.
+     * Prints why a command failed: one line for each problem in the settings, one line for an expected failure, and a stack
+     * trace for anything else.
      *
      * @return the exit code
      */
--- a/cli/src/main/java/garnetreel/cli/MapServiceCommand.java
+++ b/cli/src/main/java/garnetreel/cli/MapServiceCommand.java
@@ -36,7 +36,7 @@
     @Override
     public Integer call() throws SettingsException, IOException {
         Settings settings = file.read();
-        String listen = settings.text("/map/listen", settings.map());
+        String listen = settings.text("/map/listen", settings.mapServiceAddress());
         String directory = settings.text("/map/state", "");
         if (listen.isEmpty() || directory.isEmpty()) {
             throw new SettingsException(List.of(settings.location("/map") + "lacks \"listen\" or \"state\""));
@@ -45,7 +45,7 @@
         EventLoop service = start(process, settings, listen, Path.of(directory));
         spec.commandLine().getOut().println("ready map://" + ServiceProcess.bound(service, MapService.LISTENER));
         spec.commandLine().getOut().flush();
-        // No drain: closing the journal's writer completes the writes that were begun.
+        // Needs no drain: closing the journal writer completes pending writes.
         ProcessSignals.beforeExit("shutdown", () -> {
             process.close();
             return ExitCode.OK;
@@ -57,8 +57,8 @@
     private static EventLoop start(ServiceProcess process, Settings settings, String listen, Path directory)
             throws IOException {
         Journal journal = new Journal(directory.resolve("map.journal"));
-        Journal.Contents kept = journal.contents();
-        MapState state = MapState.recover(settings.initialMaps(), kept.snapshot(), kept.records());
+        Journal.Contents contents = journal.contents();
+        MapState state = MapState.recover(settings.initialMaps(), contents.snapshot(), contents.records());
         BackgroundJournalWriter writer = new BackgroundJournalWriter(new StateDirectory(directory), journal);
         process.closeWithProcess(writer, writer::close);
         MapService service =
--- a/cli/src/main/java/garnetreel/cli/PlatformCommand.java
+++ b/cli/src/main/java/garnetreel/cli/PlatformCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs one gateway instance on the users' platform, as {@link PlatformMain} does, but with the command line's logging. */
+/** Runs one gateway instance on the users' platform, as {@link PlatformMain} does, but with the command line's logging options. */
 @Command(
         name = "platform",
         mixinStandardHelpOptions = true,
@@ -26,7 +26,8 @@
     @Override
     public Integer call() throws IOException {
         if (file == null) {
-            throw new IOException("no configuration: " + PlatformMain.CONFIG_VARIABLE + " names no file");
+            throw new IOException(
+                    "no configuration file: neither --config nor " + PlatformMain.CONFIG_VARIABLE + " is set");
         }
         return new PlatformMain(file).run();
     }
--- a/cli/src/main/java/garnetreel/cli/PlatformMain.java
+++ b/cli/src/main/java/garnetreel/cli/PlatformMain.java
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs one gateway instance on the users' platform until it has shut down. It has a main of its own, without the command line's
- * library: a restart is an outage, and that library's classes, of a format too old for a class-data archive, took a third of
- * the time to be ready (docs/platform.md).
+ * Runs one gateway instance on the users' platform until it has shut down. Its main method does without the command line library
+ * (picocli): a restart is an outage, and loading that library, whose class file format is too old for a class-data archive,
+ * took a third of the start-up time (docs/platform.md).
  */
 public final class PlatformMain {
     /** The environment variable that names the configuration file. */
@@ -39,14 +39,14 @@
     /** Exits as the sub-command {@code platform} does. */
     public static void main(String[] arguments) {
         if (arguments.length > 0) {
-            System.err.println("garnetreel: takes no arguments; " + CONFIG_VARIABLE + " names the configuration");
+            System.err.println("garnetreel: takes no arguments; " + CONFIG_VARIABLE + " names the configuration file");
             System.exit(ExitCode.USAGE);
         }
         System.exit(run(UnaryOperator.identity()));
     }
 
     /**
-     * Runs the gateway whose configuration the environment names.
+     * Runs the gateway whose configuration file {@link #CONFIG_VARIABLE} names.
      *
      * @param wrapper may put another state machine between the gateway and its sockets, as tests of faulty gateways do
      * @return the exit code
@@ -54,7 +54,7 @@
     public static int run(UnaryOperator<StateMachine> wrapper) {
         String file = System.getenv(CONFIG_VARIABLE);
         if (file == null) {
-            System.err.println("garnetreel: " + CONFIG_VARIABLE + " has to name the configuration");
+            System.err.println("garnetreel: " + CONFIG_VARIABLE + " is not set; it has to name the configuration file");
             return ExitCode.USAGE;
         }
         configureFastStart();
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Chooses what starts fast; must run before anything logs. Logging by slf4j-simple spares about 70 ms of CPU against
-     * logback. XNIO registers its workers with JMX, which nobody reads here and which loads all of the JVM's management
-     * (170 ms, 4 MB): with a builder class that does not exist it goes without.
+     * Selects implementations that start fast; must run before anything logs. slf4j-simple takes about 70 ms less CPU time than
+     * logback. XNIO registers its workers with JMX, which is unused here and loads all of the JVM's management classes (170 ms,
+     * 4 MB): naming an MBean server builder that does not exist disables the registration.
      */
     static void configureFastStart() {
         System.setProperty(Main.LOGGING_PROVIDER_PROPERTY, Main.LOGGING_PROVIDER);
@@ -84,9 +84,9 @@
      * @throws IOException when the configuration can't be read or the address can't be bound
      */
     int run() throws IOException {
-        // First of all: a signal that arrives before its handler is installed terminates the JVM.
+        // Handlers first: a signal that arrives before its handler is installed terminates the JVM.
         CompletableFuture<EventLoop> started = new CompletableFuture<>();
-        ConfigurationReader reader = reloadInto(started);
+        ConfigurationReader reader = newConfigurationReader(started);
         handle("HUP", reader::read);
         handle("TERM", () -> started.thenAccept(gateway -> gateway.submitCommand(new PlatformGateway.Shutdown())));
         ServiceProcess process = new ServiceProcess();
@@ -105,8 +105,8 @@
         }
     }
 
-    /** Reloads the configuration into the gateway, once that has started. */
-    private ConfigurationReader reloadInto(CompletableFuture<EventLoop> started) {
+    /** A reader that passes each new configuration to the gateway, once that has started. */
+    private ConfigurationReader newConfigurationReader(CompletableFuture<EventLoop> started) {
         return new ConfigurationReader(
                 file,
                 settings -> started.thenAccept(
@@ -116,7 +116,7 @@
     /**
      * Starts the gateway.
      *
-     * @return its event loop, once it listens
+     * @return its event loop, once its listener is bound
      */
     EventLoop start(ServiceProcess process) throws IOException {
         PlatformSettings settings;
--- a/cli/src/main/java/garnetreel/cli/ServeCommand.java
+++ b/cli/src/main/java/garnetreel/cli/ServeCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs one gateway instance in service. */
+/** Runs one gateway instance of a service. */
 @Command(name = "serve", mixinStandardHelpOptions = true, description = "Runs one gateway instance of a service.")
 final class ServeCommand implements Callable<Integer> {
     @Spec
@@ -33,18 +33,18 @@
     @Override
     public Integer call() throws SettingsException, IOException {
         Settings settings = file.read();
-        String listen = settings.listen(number);
+        String listen = settings.listenAddress(number);
         if (listen == null) {
             throw new SettingsException(List.of(settings.location("") + "has no block head \"" + number + "\""));
         }
         if (settings.list().isEmpty()) {
             throw new SettingsException(
-                    List.of(settings.location("/service") + "lacks \"list\", where the node list is"));
+                    List.of(settings.location("/service") + "lacks \"list\", the address of the node list"));
         }
         ServiceProcess process = new ServiceProcess();
-        GatewaySettings gatewaySettings =
-                settings.gateway(number, process.clock.currentMicros(), listen, settings.list(), settings.map());
-        String state = settings.state(number);
+        GatewaySettings gatewaySettings = settings.gateway(
+                number, process.clock.currentMicros(), listen, settings.list(), settings.mapServiceAddress());
+        String state = settings.stateDirectory(number);
         EventLoop gateway = process.startGateway(gatewaySettings, state.isEmpty() ? null : Path.of(state));
         String address = ServiceProcess.bound(gateway, Gateway.NBD);
         process.drainOnShutdown(gateway, settings.longestDeadline());
--- a/cli/src/main/java/garnetreel/cli/ServiceProcess.java
+++ b/cli/src/main/java/garnetreel/cli/ServiceProcess.java
@@ -16,24 +16,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Everything that runs in this process: one clock, and the state machines on it, each on an event loop of its own. */
+/** The state machines of this process, each on its own event loop, all with the same clock. */
 public final class ServiceProcess implements AutoCloseable {
     private static final int BIND_SECONDS = 10;
 
     /** The clock of all state machines in this process. */
     public final Clock clock = Clock.system();
 
-    /** The event loops and journal writers to close, the last started first: an event loop before the writer that it uses. */
+    /** Event loops and journal writers, closed in reverse order: an event loop before the writer that it uses. */
     private final Deque<Resource> resources = new ArrayDeque<>();
 
     private record Resource(Object owner, Runnable close) {}
 
-    /** Starts a state machine that stores nothing. */
+    /** Starts a state machine that has no durable state. */
     public EventLoop run(String name, StateMachine machine) throws IOException {
         return run(name, machine, (state, data) -> {});
     }
 
-    /** Starts a state machine that stores what must survive a kill in {@code store}. */
+    /** Starts a state machine; state that must survive a crash goes to {@code store}. */
     public EventLoop run(String name, StateMachine machine, EventLoop.DurableStore store) throws IOException {
         EventLoop eventLoop = new EventLoop(name, machine, clock, store).start();
         resources.push(new Resource(eventLoop, eventLoop::close));
@@ -43,7 +43,7 @@
     /**
      * Starts a gateway instance.
      *
-     * @param directory its state directory, for the node list, the maps and the file catalogue; null for none
+     * @param directory its state directory, which holds the node list, the maps and the file catalogue; null for none
      */
     public EventLoop startGateway(GatewaySettings settings, Path directory) throws IOException {
         GatewayState state = directory == null
@@ -64,7 +64,7 @@
                 state.writer() == null ? (name, data) -> {} : state.writer());
     }
 
-    /** Has {@link #close} close something after all event loops that are started later. */
+    /** Registers a resource that {@link #close} closes after all event loops that are started later. */
     void closeWithProcess(Object owner, Runnable close) {
         resources.push(new Resource(owner, close));
     }
@@ -79,7 +79,7 @@
      * Waits until a listener is bound.
      *
      * @return its address
-     * @throws IOException when it can't be bound, or not within 10 s
+     * @throws IOException when it can't be bound, or is not bound within 10 s
      */
     public static String bound(EventLoop eventLoop, String listener) throws IOException {
         try {
@@ -87,7 +87,7 @@
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e.getCause());
         } catch (TimeoutException e) {
-            throw new IOException("no listener within " + BIND_SECONDS + " s", e);
+            throw new IOException("listener not bound within " + BIND_SECONDS + " s", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Makes SIGTERM a drain of the gateway: it accepts nothing new and answers every request that it has accepted. The process
-     * exits with 0 once that is done, or with 1 when it takes longer than the longest deadline of a request.
+     * Makes SIGTERM drain the gateway: it accepts no new requests and answers all that it has accepted. The process then exits
+     * with 0, or with 1 when the drain takes longer than the longest deadline of a request.
      */
     public void drainOnShutdown(EventLoop gateway, long longestDeadlineMicros) {
         ProcessSignals.beforeExit("drain", () -> {
@@ -105,7 +105,8 @@
             try {
                 gateway.stopped().get(longestDeadlineMicros, TimeUnit.MICROSECONDS);
             } catch (InterruptedException | ExecutionException | TimeoutException e) {
-                // An interrupt is not kept: the JVM halts after this, and what is left to write must still be written.
+                // The interrupt flag is not restored: the JVM halts next, and close() must complete pending writes
+                // first.
                 code = ExitCode.FAILED;
             }
             close();
@@ -113,7 +114,7 @@
         });
     }
 
-    /** Waits until a state machine has stopped by itself; gives the exit code. */
+    /** Waits until a state machine has stopped by itself; returns the exit code. */
     public static int awaitStopped(EventLoop eventLoop) {
         try {
             eventLoop.stopped().get();
--- a/cli/src/main/java/garnetreel/cli/config/FileModuleReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/FileModuleReader.java
@@ -13,11 +13,11 @@
 import java.util.TreeMap;
 
 /**
- * Reads the blocks {@code module_of_files}: modules that are served by rsync. A module belongs to one gateway instance, which alone
- * knows its files; no other instance exports its volume.
+ * Reads the blocks {@code module_of_files}: modules that are served by rsync. A module belongs to one gateway instance, the only
+ * one that has its file catalogue; no other instance exports its volume.
  */
 final class FileModuleReader {
-    private static final String KIND = "module_of_files";
+    private static final String BLOCK_KIND = "module_of_files";
     private static final int SECRET_BYTES = 32;
 
     private final SettingsValues values;
@@ -29,7 +29,7 @@
         this.values = values;
         this.volumes = volumes;
         this.gateways = gateways;
-        values.forEach(KIND, (name, path) -> modules.put(name, module(name, path)));
+        values.forEach(BLOCK_KIND, (name, path) -> modules.put(name, module(name, path)));
     }
 
     private Module module(String name, String path) {
@@ -40,9 +40,11 @@
                 .forEach(other -> values.check(
                         !other.volume().equals(volume),
                         path + "/volume",
-                        "names \"" + volume + "\", which module " + other.name() + " has"));
+                        "names \"" + volume + "\", which module " + other.name() + " already uses"));
         values.check(
-                owner(name) < gateways, path + "/head", "is " + owner(name) + ", and there are " + gateways + " heads");
+                owner(name) < gateways,
+                path + "/head",
+                "is " + owner(name) + ", and the service has " + gateways + " heads");
         return new Module(
                 name,
                 values.text(path + "/comment", ""),
@@ -51,7 +53,7 @@
                 users(path + "/secrets"));
     }
 
-    /** Users and passwords; empty where the module asks for none. */
+    /** Passwords by user; empty where the module requires no authentication. */
     private Map<String, String> users(String path) {
         if (!values.has(path)) {
             return new TreeMap<>();
@@ -66,10 +68,10 @@
 
     /** Number of the gateway instance that a module belongs to. */
     private int owner(String module) {
-        return values.integer(SettingsValues.block(KIND, module) + "/head", 0);
+        return values.integer(SettingsValues.block(BLOCK_KIND, module) + "/head", 0);
     }
 
-    /** What one gateway instance serves by rsync. */
+    /** The modules that one gateway instance serves by rsync. */
     Files files(int gateway) {
         List<Module> own = new ArrayList<>();
         modules.forEach((name, module) -> {
@@ -84,7 +86,7 @@
                 : new Files(values.text("/head/" + gateway + "/rsync", "127.0.0.1:0"), own, secret);
     }
 
-    /** The gateway instance that a volume is reserved for, since a module's files are on it; null for none. */
+    /** The gateway instance whose module uses a volume, and which alone exports it; null for none. */
     Integer ownerOfVolume(String volume) {
         for (Module module : modules.values()) {
             if (module.volume().equals(volume)) {
--- a/cli/src/main/java/garnetreel/cli/config/HclFile.java
+++ b/cli/src/main/java/garnetreel/cli/config/HclFile.java
@@ -15,9 +15,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A settings file: read by hcl4j, compared with what a strict parser reads, and checked against the schema. */
+/** A settings file: parsed by hcl4j, compared with the result of a strict parser, and checked against the schema. */
 public final class HclFile {
-    /** A larger file is rejected unread. */
+    /** Larger files are rejected without being read. */
     private static final int MAX_BYTES = 4 << 20;
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -25,7 +25,7 @@
     private final String name;
     private final JsonNode root;
     private final Map<String, SourceLocation> locations;
-    /** Paths whose values come from the deployment that a scenario names, with the name of that file. */
+    /** Paths whose values come from the deployment file that a scenario names, with the name of that file. */
     private final Map<String, String> inheritedFrom = new HashMap<>();
 
     private HclFile(String name, JsonNode root, Map<String, SourceLocation> locations) {
@@ -35,11 +35,11 @@
     }
 
     /**
-     * Reads and checks a file. A scenario's block {@code day} may name a deployment, a file beside it, whose values hold where
-     * the scenario has none.
+     * Reads and checks a file. A scenario's block {@code day} may name a deployment, a file in the same directory, whose values
+     * apply where the scenario has none.
      */
     public static HclFile read(Path file) throws SettingsException, IOException {
-        HclFile settings = parseForm(file.toString(), text(file));
+        HclFile settings = parseSyntax(file.toString(), text(file));
         String deployment = settings.root.at("/day/deployment").asText("");
         if (!deployment.isEmpty()) {
             Path base = file.resolveSibling(deployment);
@@ -47,15 +47,15 @@
                 throw new SettingsException(
                         List.of(settings.locate("/day/deployment") + "names " + base + ", and there is no such file"));
             }
-            settings.inherit(parseForm(base.toString(), text(base)));
+            settings.inherit(parseSyntax(base.toString(), text(base)));
         }
         SettingsSchema.check(settings.root, settings::locate);
         return settings;
     }
 
-    /** Reads and checks a text; {@code name} stands for it in error messages. */
+    /** Parses and checks a text; error messages call it {@code name}. */
     public static HclFile parse(String name, String text) throws SettingsException {
-        HclFile file = parseForm(name, text);
+        HclFile file = parseSyntax(name, text);
         SettingsSchema.check(file.root, file::locate);
         return file;
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    private static HclFile parseForm(String name, String text) throws SettingsException {
+    private static HclFile parseSyntax(String name, String text) throws SettingsException {
         StrictHclParser strictParser = new StrictHclParser(text);
         Map<String, Object> strict;
         try {
@@ -84,13 +84,13 @@
         }
         Map<?, ?> parsed = parseWithLibrary(name, text);
         if (!strict.equals(parsed)) {
-            throw new SettingsException(List.of(name + ": two readings of this file differ; the first gives " + strict
-                    + " and the second " + parsed));
+            throw new SettingsException(List.of(
+                    name + ": the strict parser and hcl4j read this file differently: " + strict + " and " + parsed));
         }
         return new HclFile(name, MAPPER.valueToTree(parsed), strictParser.locations());
     }
 
-    /** The strict parser has accepted the text by now; whatever hcl4j still throws on it is reported as its opinion of the file. */
+    /** Parses a text that the strict parser has accepted; any exception of hcl4j is reported as a syntax error. */
     private static Map<?, ?> parseWithLibrary(String name, String text) throws SettingsException {
         try {
             return new HCLParser().parse(text);
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Takes over from another file what this one lacks. */
+    /** Copies the values that this file lacks from another one. */
     private void inherit(HclFile base) {
         inherit((ObjectNode) base.root, (ObjectNode) root, "", base);
     }
@@ -134,8 +134,8 @@
     }
 
     /**
-     * The beginning of an error message about a path: {@code file:line:column: block key }. A path without a location has that of
-     * the nearest block around it.
+     * The prefix of an error message about a path: {@code file:line:column: block key }. A path without a location gets that of
+     * the innermost enclosing block.
      */
     public String locate(String path) {
         String known = path;
--- a/cli/src/main/java/garnetreel/cli/config/HclScanner.java
+++ b/cli/src/main/java/garnetreel/cli/config/HclScanner.java
@@ -1,6 +1,6 @@
 package garnetreel.cli.config;
 
-/** The lexical level of {@link StrictHclParser}: a position in a text, and the tokens that begin there. */
+/** The scanner of {@link StrictHclParser}: a position in a text, and the tokens that begin there. */
 final class HclScanner {
     private static final String NUMBER_CHARACTERS = "+-.0123456789eE_abcdfxABCDFX";
     private static final String PLAIN_DECIMAL = "-?(0|[1-9][0-9]*)(\\.[0-9]+)?";
@@ -31,17 +31,17 @@
         return !atEnd() && text.charAt(position) == expected;
     }
 
-    /** The next character; there has to be one. */
+    /** The next character; must not be called at the end. */
     char peek() {
         return text.charAt(position);
     }
 
-    /** Passes over one character. */
+    /** Skips one character. */
     void skip() {
         position++;
     }
 
-    /** Passes over this character if it is next. */
+    /** Skips this character if it is next, and returns whether it was. */
     boolean skipIf(char expected) {
         boolean next = isNext(expected);
         if (next) {
@@ -50,12 +50,12 @@
         return next;
     }
 
-    /** Passes over blanks and comments within a line. */
+    /** Skips blanks and comments within a line. */
     void skipBlanks() throws HclSyntaxException {
         skipBlanks(false);
     }
 
-    /** Passes over blanks, comments and ends of lines. */
+    /** Skips blanks, comments and line ends. */
     void skipBlankLines() throws HclSyntaxException {
         skipBlanks(true);
     }
@@ -94,7 +94,7 @@
             skip();
         }
         if (position == start || Character.isDigit(text.charAt(start))) {
-            throw error("a name is expected and \"" + describe(start) + "\" was found");
+            throw error("expected a name, found \"" + describe(start) + "\"");
         }
         return text.substring(start, position);
     }
@@ -123,7 +123,7 @@
         return Double.valueOf(digits);
     }
 
-    /** A string in quotes, of which the opening one is next. */
+    /** A quoted string; the opening quote is next. */
     String string() throws HclSyntaxException {
         SourceLocation start = location();
         StringBuilder value = new StringBuilder();
@@ -146,7 +146,7 @@
         return value.toString();
     }
 
-    /** What the character after a backslash stands for. */
+    /** The character that an escape sequence stands for; its backslash has been read. */
     private char escaped(SourceLocation start) throws HclSyntaxException {
         char escape = atEnd() ? ' ' : peek();
         skip();
--- a/cli/src/main/java/garnetreel/cli/config/HclSyntaxException.java
+++ b/cli/src/main/java/garnetreel/cli/config/HclSyntaxException.java
@@ -1,6 +1,6 @@
 package garnetreel.cli.config;
 
-/** A text is not in the subset of HCL that settings use. */
+/** A text is not valid in the subset of HCL that settings files use. */
 final class HclSyntaxException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/cli/src/main/java/garnetreel/cli/config/SchedulingReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/SchedulingReader.java
@@ -49,12 +49,12 @@
         return rules;
     }
 
-    /** Time kept back from each deadline for the way back to the client. */
+    /** Time before each deadline, in microseconds, reserved for returning the response to the client. */
     long margin() {
         return margin;
     }
 
-    /** Units of the largest sub-request. */
+    /** The largest number of units of a sub-request. */
     int maxUnits() {
         return values.integer("/module/most_units", 8);
     }
@@ -63,23 +63,23 @@
         return classes.values().stream().mapToLong(RequestClass::deadline).max().orElse(0);
     }
 
-    /** The value of the key {@code effect}; the schema admits no others. */
+    /** Converts the key {@code effect}; the schema allows no other values. */
     private static Idempotency idempotency(String effect) {
         return switch (effect) {
             case "repeatable" -> Idempotency.IDEMPOTENT;
             case "keyed" -> Idempotency.IDEMPOTENCY_KEY;
             case "once" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw new IllegalArgumentException("no such effect: " + effect);
+            default -> throw new IllegalArgumentException("unknown effect: " + effect);
         };
     }
 
-    /** The value of the key {@code group}; the schema admits no others. */
+    /** Converts the key {@code group}; the schema allows no other values. */
     private static DeduplicationScope deduplicationScope(String group) {
         return switch (group) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.SHARD;
-            default -> throw new IllegalArgumentException("no such group: " + group);
+            default -> throw new IllegalArgumentException("unknown group: " + group);
         };
     }
 
@@ -100,7 +100,7 @@
         values.check(
                 idempotency != Idempotency.IDEMPOTENCY_KEY || values.has(path + "/window"),
                 path,
-                "is keyed and lacks \"window\"");
+                "has the effect \"keyed\" and lacks \"window\"");
         return new RequestClass(
                 name,
                 latencyObjective,
@@ -123,8 +123,8 @@
         values.check(
                 limit == 0 || burst >= maxUnits(),
                 path + "/burst",
-                "is " + burst + " units; a plan with a limit holds at least the largest request, " + maxUnits()
-                        + " units");
+                "is " + burst + " units; with a limit at least the largest request, " + maxUnits()
+                        + " units, is expected");
         values.check(
                 limit == 0 || reserve <= limit,
                 path + "/reserve",
--- a/cli/src/main/java/garnetreel/cli/config/Secrets.java
+++ b/cli/src/main/java/garnetreel/cli/config/Secrets.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Users and passwords of a module: a line a user, {@code name:password}, in a file that nobody else may read. */
+/** Reads the users of a module from a file that only its owner may access: one line {@code name:password} per user. */
 final class Secrets {
     private static final Set<PosixFilePermission> OWNER_ONLY =
             Set.of(PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE, PosixFilePermission.OWNER_EXECUTE);
@@ -17,17 +17,17 @@
     private Secrets() {}
 
     /**
-     * Reads such a file.
+     * Reads a secrets file.
      *
      * @return passwords by user
-     * @throws IOException when it can't be read, or others may read it, or it has another form; the message says which
+     * @throws IOException when the file can't be read, others may access it, or a line is malformed; the message says which
      */
     static Map<String, String> read(Path file) throws IOException {
         if (!Files.isRegularFile(file)) {
-            throw new IOException("names " + file + ", and there is no such file");
+            throw new IOException("names " + file + ", which does not exist");
         }
         if (!OWNER_ONLY.containsAll(Files.getPosixFilePermissions(file))) {
-            throw new IOException("names " + file + ", which others than its owner may read or write; chmod 600 it");
+            throw new IOException("names " + file + ", which users other than its owner may access; chmod 600 it");
         }
         Map<String, String> users = new TreeMap<>();
         int lineNumber = 0;
@@ -43,7 +43,7 @@
             users.put(line.substring(0, colon), line.substring(colon + 1));
         }
         if (users.isEmpty()) {
-            throw new IOException("names " + file + ", which holds no user");
+            throw new IOException("names " + file + ", which has no users");
         }
         return users;
     }
--- a/cli/src/main/java/garnetreel/cli/config/ServiceReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/ServiceReader.java
@@ -15,7 +15,7 @@
     private static final int MAX_PAYLOAD_BYTES = 64 << 20;
     private static final int MIN_KEY_BYTES = 512;
 
-    /** Largest data of a sub-request that fits into a frame of the node protocol, beside the frame's other fields. */
+    /** Largest payload of a sub-request: a frame of the node protocol less 4096 bytes for the frame's other fields. */
     private static final long MAX_SUB_REQUEST_BYTES = LengthPrefixedFrames.MOST - 4096;
 
     private final SettingsValues values;
@@ -47,7 +47,7 @@
                 values.flag("/links/follow_map", true));
     }
 
-    /** Reads the blocks {@code head} and checks the bounds; comes last, so that problems are listed in this order. */
+    /** Reads the blocks {@code head} and checks the bounds; called last, so that these problems are listed last. */
     void readGateways(int maxUnits) {
         values.forEach("head", (name, path) -> {
             int number = Integer.parseInt(name);
@@ -59,14 +59,16 @@
         values.check(
                 subRequestBytes <= MAX_SUB_REQUEST_BYTES,
                 "/bounds/unit",
-                "times module most_units is " + subRequestBytes + " bytes; " + MAX_SUB_REQUEST_BYTES
-                        + " at most, the largest part of a request");
+                "times module most_units is " + subRequestBytes + " bytes; the largest sub-request has "
+                        + MAX_SUB_REQUEST_BYTES + " at most");
         values.check(
                 bounds.maxPayload() >= MIN_PAYLOAD_BYTES && bounds.maxPayload() <= MAX_PAYLOAD_BYTES,
                 "/bounds/payload",
                 "is " + bounds.maxPayload() + " bytes; 4KiB to 64MiB are expected");
         values.check(
-                bounds.keyBytes() >= MIN_KEY_BYTES, "/bounds/key", "is " + bounds.keyBytes() + " bytes; 512B at least");
+                bounds.keyBytes() >= MIN_KEY_BYTES,
+                "/bounds/key",
+                "is " + bounds.keyBytes() + " bytes; at least 512B is expected");
     }
 
     /** Number of gateway instances. */
@@ -87,7 +89,7 @@
         return listenAddresses.get(gateway);
     }
 
-    /** @param gateway what the map service, as a client of nodes and list, has in common with a gateway */
+    /** @param gateway the settings that the map service, a client of nodes and of the node list, shares with a gateway */
     MapServiceSettings mapService(String listen, GatewaySettings gateway) {
         return new MapServiceSettings(
                 listen,
--- a/cli/src/main/java/garnetreel/cli/config/Settings.java
+++ b/cli/src/main/java/garnetreel/cli/config/Settings.java
@@ -17,8 +17,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * The meaning of a settings file: checked as a whole, then given out as the settings of each part of the program. Blocks are read
- * by a class for each subject; whoever has further blocks, as scenarios do, reads their values by path.
+ * A settings file, checked as a whole and converted to the settings of each part of the program. One reader class per subject
+ * reads the blocks; callers with further blocks, such as scenarios, read their values by path.
  */
 public final class Settings {
     private final SettingsValues values;
@@ -37,12 +37,12 @@
         service.readGateways(scheduling.maxUnits());
     }
 
-    /** Reads a file and checks its form and its meaning. */
+    /** Reads a file and checks its syntax and its values. */
     public static Settings read(Path path) throws SettingsException, IOException {
         return of(HclFile.read(path));
     }
 
-    /** Checks the meaning of a file whose form was checked. */
+    /** Checks the values of a file whose syntax and schema have been checked. */
     public static Settings of(HclFile file) throws SettingsException {
         Settings settings = new Settings(file);
         settings.values.throwProblems();
@@ -71,7 +71,7 @@
         return values.number(path, defaultValue);
     }
 
-    /** A text; the default also where it is empty. */
+    /** A text; an empty one is replaced by the default too. */
     public String text(String path, String defaultValue) {
         return values.text(path, defaultValue);
     }
@@ -91,12 +91,12 @@
         return values.bytes(path, defaultValue);
     }
 
-    /** Where a path is in the file, as the beginning of an error message by whoever reads more of the file. */
+    /** The location of a path, as the prefix of an error message; for callers that check further blocks. */
     public String location(String path) {
         return values.locate(path);
     }
 
-    // ---------------------------------------------------------------- what all parts share
+    // ---------------------------------------------------------------- shared settings
 
     /** Number of gateway instances. */
     public int heads() {
@@ -113,7 +113,7 @@
         return volumes.volumes();
     }
 
-    /** Volumes by number, as traces have them. */
+    /** Volumes by id; traces name volumes by id. */
     public Map<Long, Volume> volumesById() {
         Map<Long, Volume> byId = new HashMap<>();
         volumes().values().forEach(volume -> byId.put(volume.id(), volume));
@@ -146,19 +146,19 @@
     }
 
     /** Address of the map service; empty when the file names none. */
-    public String map() {
+    public String mapServiceAddress() {
         return values.text("/service/map", "");
     }
 
     // ---------------------------------------------------------------- gateway instances
 
     /** Listening address of a gateway instance; null when the file has no block for it. */
-    public String listen(int gateway) {
+    public String listenAddress(int gateway) {
         return service.listenAddress(gateway);
     }
 
     /** State directory of a gateway instance; empty for none. */
-    public String state(int gateway) {
+    public String stateDirectory(int gateway) {
         return values.text("/head/" + gateway + "/state", "");
     }
 
@@ -186,7 +186,7 @@
                 fileModules.files(number));
     }
 
-    /** A volume with files belongs to their module's gateway; others may name the gateways that export them. */
+    /** A volume of a file module is exported by the module's gateway only; any other by the gateways it names, or by all. */
     private boolean exports(int gateway, String volume) {
         Integer owner = fileModules.ownerOfVolume(volume);
         if (owner != null) {
@@ -198,7 +198,7 @@
 
     // ---------------------------------------------------------------- the map service
 
-    /** The maps of a service none of whose extents was ever migrated. */
+    /** The extent maps of a service before any migration. */
     public Whole initialMaps() {
         return volumes.initialMaps();
     }
--- a/cli/src/main/java/garnetreel/cli/config/SettingsException.java
+++ b/cli/src/main/java/garnetreel/cli/config/SettingsException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Settings that can't be used; each problem is one line with file, location, what was found and what is expected. */
+/** Invalid settings; each problem is one line with file, location, the value found and what is expected. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -14,7 +14,7 @@
         this.problems = List.copyOf(problems);
     }
 
-    /** What is wrong, a line each. */
+    /** The problems, a line each. */
     public List<String> problems() {
         return problems;
     }
--- a/cli/src/main/java/garnetreel/cli/config/SettingsSchema.java
+++ b/cli/src/main/java/garnetreel/cli/config/SettingsSchema.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** The JSON schema of settings files, with what it finds in the words of those who write such files. */
+/** Checks settings files against their JSON schema, and phrases violations for the authors of such files. */
 final class SettingsSchema {
     private static final int MAX_SHOWN_CHARACTERS = 60;
     private static final JsonSchema SCHEMA = load();
@@ -34,8 +34,8 @@
     /**
      * Checks a file.
      *
-     * @param locate gives the beginning of an error message for a path
-     * @throws SettingsException with all problems that the schema finds, by path
+     * @param locate returns the prefix of an error message for a path
+     * @throws SettingsException with all violations of the schema, ordered by path
      */
     static void check(JsonNode root, UnaryOperator<String> locate) throws SettingsException {
         List<ValidationMessage> messages = new ArrayList<>(SCHEMA.validate(root));
@@ -61,11 +61,11 @@
         return switch (message.getType()) {
             case "additionalProperties", "unevaluatedProperties" -> "is not a known key here";
             case "required" -> "lacks \"" + message.getProperty() + "\"";
-            case "type" -> "is " + shown(found) + "; a " + message.getArguments()[1] + " is expected";
-            case "pattern" -> "is " + shown(found) + "; " + expectedForm(message) + " is expected";
-            case "enum" -> "is " + shown(found) + "; one of " + message.getArguments()[0] + " is expected";
+            case "type" -> "is " + abbreviated(found) + "; a " + message.getArguments()[1] + " is expected";
+            case "pattern" -> "is " + abbreviated(found) + "; " + expectedForm(message) + " is expected";
+            case "enum" -> "is " + abbreviated(found) + "; one of " + message.getArguments()[0] + " is expected";
             case "minProperties" -> "is empty";
-            default -> "is " + shown(found) + "; " + message.getError();
+            default -> "is " + abbreviated(found) + "; " + message.getError();
         };
     }
 
@@ -77,7 +77,7 @@
         return path.toString();
     }
 
-    /** What a pattern of the schema stands for: those of durations and sizes are known by their units. */
+    /** Describes a pattern of the schema; those of durations and sizes are recognized by their units. */
     private static String expectedForm(ValidationMessage message) {
         JsonNode schema = message.getSchemaNode();
         String pattern = schema == null ? "" : schema.asText();
@@ -87,7 +87,7 @@
         return pattern.contains("KiB") ? "a size such as \"4KiB\" or \"64MiB\"" : "a text of the form " + pattern;
     }
 
-    private static String shown(JsonNode found) {
+    private static String abbreviated(JsonNode found) {
         boolean integer = found.isNumber() && found.asDouble() == Math.rint(found.asDouble());
         String text = integer ? Long.toString(found.asLong()) : found.toString();
         return text.length() > MAX_SHOWN_CHARACTERS ? text.substring(0, MAX_SHOWN_CHARACTERS) + "..." : text;
--- a/cli/src/main/java/garnetreel/cli/config/SettingsValues.java
+++ b/cli/src/main/java/garnetreel/cli/config/SettingsValues.java
@@ -7,7 +7,7 @@
 
 /**
  * The values of a settings file by their paths ({@code /block/label/key}), and the problems found in them. The schema has checked
- * the types; a key that is missing has the default that the caller names.
+ * the types; a missing key has the default that the caller passes.
  */
 final class SettingsValues {
     private final HclFile file;
@@ -35,7 +35,7 @@
         return (int) number(path, defaultValue);
     }
 
-    /** A text that is not empty. */
+    /** A text; an empty one is replaced by the default too. */
     String text(String path, String defaultValue) {
         String text = root.at(path).asText(defaultValue);
         return text.isEmpty() ? defaultValue : text;
@@ -49,12 +49,12 @@
         return Quantities.micros(text(path, defaultValue));
     }
 
-    /** A size; one that a long can't hold is a problem. */
+    /** A size; one that overflows a long is reported as a problem. */
     long bytes(String path, String defaultValue) {
         try {
             return Quantities.bytes(text(path, defaultValue));
         } catch (ArithmeticException e) {
-            problems.add(file.locate(path) + "is " + text(path, defaultValue) + ", more than can be counted");
+            problems.add(file.locate(path) + "is " + text(path, defaultValue) + ", too large a size");
             return 0;
         }
     }
@@ -75,19 +75,19 @@
         return "/" + kind + "/" + label.replace("~", "~0").replace("/", "~1");
     }
 
-    /** Notes a problem with the value at a path unless the condition holds. */
+    /** Records a problem with the value at a path unless the condition holds. */
     void check(boolean holds, String path, String problem) {
         if (!holds) {
             problems.add(file.locate(path) + problem);
         }
     }
 
-    /** Where a path is in the file, as the beginning of an error message. */
+    /** The location of a path in the file, as the prefix of an error message. */
     String locate(String path) {
         return file.locate(path);
     }
 
-    /** Throws all problems that were found, if there are any. */
+    /** Throws an exception with all problems that were recorded, if there are any. */
     void throwProblems() throws SettingsException {
         if (!problems.isEmpty()) {
             throw new SettingsException(problems);
--- a/cli/src/main/java/garnetreel/cli/config/StrictHclParser.java
+++ b/cli/src/main/java/garnetreel/cli/config/StrictHclParser.java
@@ -7,9 +7,9 @@
 
 /**
  * A strict parser of the subset of HCL that settings use: attributes, blocks with labels, strings, numbers, booleans, lists and
- * objects. It exists for two things that hcl4j does not give: the location of each key, and the certainty that no text is passed
- * over (hcl4j 0.9.4 takes {@code listen = \n foo { a = [1,} without complaint, and reads 1e3 as a string). Values come from
- * hcl4j; {@link HclFile} rejects a file that the two read differently.
+ * objects. It provides two things that hcl4j does not: the location of each key, and the certainty that no text is skipped
+ * (hcl4j 0.9.4 accepts {@code listen = \n foo { a = [1,} without an error, and reads 1e3 as a string). Values come from hcl4j;
+ * {@link HclFile} rejects a file that the two parsers read differently.
  */
 final class StrictHclParser {
     private static final int MAX_DEPTH = 16;
@@ -21,7 +21,7 @@
         scanner = new HclScanner(text);
     }
 
-    /** Locations of keys, by path with slashes. */
+    /** Locations of keys, by path ({@code /block/label/key}). */
     Map<String, SourceLocation> locations() {
         return locations;
     }
@@ -30,7 +30,7 @@
     Map<String, Object> parse() throws HclSyntaxException {
         Map<String, Object> body = body("", 0);
         if (!scanner.atEnd()) {
-            throw scanner.error("a \"}\" that closes nothing");
+            throw scanner.error("a \"}\" without a matching \"{\"");
         }
         return body;
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /** What follows the equals sign of an attribute or of an object's key. */
+    /** Parses the value after the equals sign of an attribute or of an object's key. */
     private void attribute(Map<String, Object> body, String path, String name, SourceLocation location, int depth)
             throws HclSyntaxException {
         scanner.skipBlanks();
@@ -71,11 +71,11 @@
     private void endOfAttribute() throws HclSyntaxException {
         scanner.skipBlanks();
         if (!scanner.atEnd() && !scanner.isNext('\n') && !scanner.isNext('}')) {
-            throw scanner.error("after a value the line should end");
+            throw scanner.error("after a value the end of the line is expected");
         }
     }
 
-    /** The labels of a block and its body; each label is a level of the result. */
+    /** Parses the labels of a block and its body; each label is a level of the result. */
     private void block(Map<String, Object> body, String path, String name, SourceLocation location, int depth)
             throws HclSyntaxException {
         List<String> names = new ArrayList<>(List.of(name));
@@ -144,7 +144,7 @@
         }
         throw new HclSyntaxException(
                 location,
-                "\"" + word + "\" is no value: a string in quotes, a number, true, false,"
+                "\"" + word + "\" is not a value: a string in quotes, a number, true, false,"
                         + " a list or an object is expected");
     }
 
--- a/cli/src/main/java/garnetreel/cli/config/VolumeReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/VolumeReader.java
@@ -13,13 +13,13 @@
 
 /** Reads the blocks {@code volume}. */
 final class VolumeReader {
-    /** Sizes of volumes and extents are multiples of this. */
-    private static final int PAGE = 4096;
+    /** Sizes of volumes and extents are multiples of this, in bytes. */
+    private static final int PAGE_BYTES = 4096;
 
     private static final int MAX_EXTENT_BYTES = 1 << 30;
     private static final String DEFAULT_EXTENT = "1MiB";
 
-    /** Keys to the scheduler stay under 2^53: 36 bits are left for the block within a volume. */
+    /** Scheduler keys stay below 2^53, which leaves 36 bits for the block's number within a volume. */
     private static final long MAX_BLOCKS = 1L << 36;
 
     private final SettingsValues values;
@@ -28,7 +28,7 @@
     private final int keyBytes;
     private final Map<String, Volume> volumes = new LinkedHashMap<>();
 
-    /** @param keyBytes how much of a volume one key of the scheduler stands for */
+    /** @param keyBytes bytes of a volume that share one scheduler key */
     VolumeReader(SettingsValues values, SchedulingReader scheduling, int gateways, int keyBytes) {
         this.values = values;
         this.scheduling = scheduling;
@@ -48,7 +48,9 @@
         checkSizes(path, size, extent);
         volumes.values()
                 .forEach(other -> values.check(
-                        other.id() != id, path + "/id", "is " + id + ", which volume " + other.name() + " has"));
+                        other.id() != id,
+                        path + "/id",
+                        "is " + id + ", which volume " + other.name() + " already has"));
         String plan = values.text(path + "/plan", "");
         values.check(
                 scheduling.plans().containsKey(plan),
@@ -77,15 +79,15 @@
 
     private void checkSizes(String path, long size, long extent) {
         values.check(
-                size >= PAGE && size % PAGE == 0,
+                size >= PAGE_BYTES && size % PAGE_BYTES == 0,
                 path + "/size",
                 "is " + size + " bytes; a multiple of 4KiB is expected");
         values.check(
                 size / Math.max(1, keyBytes) < MAX_BLOCKS,
                 path + "/size",
-                "is " + size + " bytes; more pieces of data than keys can name");
+                "is " + size + " bytes; more blocks than the scheduler has keys for");
         values.check(
-                extent >= PAGE && extent % PAGE == 0 && extent <= MAX_EXTENT_BYTES,
+                extent >= PAGE_BYTES && extent % PAGE_BYTES == 0 && extent <= MAX_EXTENT_BYTES,
                 path + "/extent",
                 "is " + extent + " bytes; a multiple of 4KiB up to 1GiB is expected");
     }
@@ -100,7 +102,7 @@
         return name;
     }
 
-    /** The name of a request class that there has to be. */
+    /** The name of a request class, which has to exist. */
     private String requestClass(String path) {
         String name = values.text(path, "");
         values.check(
@@ -108,7 +110,7 @@
         return name;
     }
 
-    /** The maps of a service none of whose extents was ever migrated. */
+    /** The extent maps of a service before any migration. */
     Whole initialMaps() {
         List<VolumeMap> maps = new ArrayList<>();
         for (Volume volume : volumes.values()) {
--- a/cli/src/main/java/garnetreel/cli/config/package-info.java
+++ b/cli/src/main/java/garnetreel/cli/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings files: their syntax (HCL), their schema and their meaning. Every problem is reported with file, line, column, key,
- * what was found and what is expected.
+ * Settings files: their syntax (HCL), their schema and the checks of their values. Every problem is reported with file, line,
+ * column and key, the value found and the one expected.
  */
 package garnetreel.cli.config;
--- a/cli/src/main/java/garnetreel/cli/lifecycle/ExitCode.java
+++ b/cli/src/main/java/garnetreel/cli/lifecycle/ExitCode.java
@@ -1,11 +1,11 @@
 package garnetreel.cli.lifecycle;
 
-/** The exit codes of all commands; scripts and the operators' pages rely on them. */
+/** The exit codes of all commands; scripts and the operators' documentation rely on them. */
 public final class ExitCode {
-    /** The command did what it was asked to do. */
+    /** The command succeeded. */
     public static final int OK = 0;
 
-    /** The command failed, or a check that it made did not hold. */
+    /** The command failed, or a check that it made failed. */
     public static final int FAILED = 1;
 
     /** The command line or a settings file is wrong. */
--- a/cli/src/main/java/garnetreel/cli/lifecycle/ProcessSignals.java
+++ b/cli/src/main/java/garnetreel/cli/lifecycle/ProcessSignals.java
@@ -6,28 +6,28 @@
 import java.util.function.IntSupplier;
 
 /**
- * How a process reacts to Unix signals. There are two ways to obey SIGTERM:
+ * Handling of Unix signals. SIGTERM is handled in two ways:
  *
  * <ul>
- *   <li>{@code serve} and {@code map-service} run {@linkplain #beforeExit a shutdown hook}. It needs supported interfaces only
- *       and runs at SIGINT too. The JVM is exiting by then, so nothing but the hook delays the end: it drains within the time limit
- *       that it is given, and halts the JVM with an exit code of its own.
- *   <li>{@code platform} installs {@linkplain #handle a signal handler}, as it must for SIGHUP. The JVM goes on running: the
- *       handler asks the gateway to shut down, the gateway decides itself when every request is answered and every connection
- *       closed (docs/platform.md), and only then does the main thread return with the exit code. No time limit cuts that
- *       short. SIGINT keeps its default action, an immediate exit.
+ *   <li>{@code serve} and {@code map-service} run {@linkplain #beforeExit a shutdown hook}, which uses supported interfaces
+ *       only and runs at SIGINT too. The JVM is already exiting, so only the hook delays the exit: it drains within its time
+ *       limit, and halts the JVM with its own exit code.
+ *   <li>{@code platform} installs {@linkplain #handle a signal handler}, as it must for SIGHUP. The JVM keeps running: the
+ *       handler requests a shutdown, the gateway stops once every request is answered and every connection is closed
+ *       (docs/platform.md), and only then does the main thread return with the exit code. There is no time limit. SIGINT keeps
+ *       its default action, an immediate exit.
  * </ul>
  *
- * <p>The JDK offers signal handlers in sun.misc only, which the compiler warns of, so they are reached by reflection.
+ * <p>The JDK has signal handlers only in sun.misc, which the compiler warns about; reflection avoids the warning.
  */
 public final class ProcessSignals {
     private ProcessSignals() {}
 
     /**
-     * Runs {@code action} on a thread of the JVM's at each signal of that name, instead of the signal's default action.
+     * Runs {@code action} on a JVM thread at each signal of that name, instead of the signal's default action.
      *
      * @param name without the prefix SIG
-     * @return false where the parent process had the signal ignored, as nohup does with SIGHUP: the JVM leaves it so
+     * @return false where the process was started with the signal ignored, as nohup does with SIGHUP: the JVM keeps it ignored
      * @throws IllegalStateException when signals can't be handled here
      */
     public static boolean handle(String name, Runnable action) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** What the handler's proxy answers: {@code handle} runs the action, the rest is what any object has. */
+    /** Invocation handler of the signal handler's proxy: {@code handle} runs the action, the rest are methods of Object. */
     private static Object invoke(String name, Runnable action, Object self, Method method, Object[] arguments) {
         return switch (method.getName()) {
             case "handle" -> {
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Runs {@code shutdown} when the JVM begins to exit, and halts it with the exit code that this gives. Halting is the only
-     * way to choose an exit code there: after a signal the JVM would give its own (143 for SIGTERM).
+     * Runs {@code shutdown} when the JVM begins to exit, and halts it with the exit code that {@code shutdown} returns. Halting
+     * is the only way to choose the exit code at that point: after a signal the JVM would use its own (143 for SIGTERM).
      *
      * @param threadName name of the thread that runs it
      */
--- a/cli/src/main/java/garnetreel/cli/map/AbortCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/AbortCommand.java
@@ -4,7 +4,10 @@
 import picocli.CommandLine.Parameters;
 
 /** Aborts a migration. */
-@Command(name = "abort", mixinStandardHelpOptions = true, description = "Aborts a migration that has not switched yet.")
+@Command(
+        name = "abort",
+        mixinStandardHelpOptions = true,
+        description = "Aborts a migration that has not switched to the new shard yet.")
 final class AbortCommand extends QueryCommand {
     @Parameters(index = "0", paramLabel = "MOVE", description = "Number of the migration.")
     long move;
--- a/cli/src/main/java/garnetreel/cli/map/AdoptCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/AdoptCommand.java
@@ -3,16 +3,17 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Rebuilds the maps from what nodes hold. */
+/** Rebuilds the maps from the extents that nodes hold. */
 @Command(
         name = "adopt",
         mixinStandardHelpOptions = true,
         description =
-                "Rebuilds the maps from what nodes hold, and begins an epoch; for a service restored from an old backup.")
+                "Rebuilds the maps from the extents that nodes hold, and begins a new epoch; for a service restored from an old backup.")
 final class AdoptCommand extends QueryCommand {
     @Option(
             names = "--force",
-            description = "Also without nodes that do not answer; what only they hold stays as the map has it.")
+            description =
+                    "Continues even if nodes do not answer; the map entries of extents that only they hold stay as they are.")
     boolean force;
 
     @Override
--- a/cli/src/main/java/garnetreel/cli/map/BlockingConnection.java
+++ b/cli/src/main/java/garnetreel/cli/map/BlockingConnection.java
@@ -8,14 +8,14 @@
 import java.nio.ByteBuffer;
 
 /**
- * A client's connection for a tool that waits for each response: sends whole messages, and reads until a decoder has one.
+ * A client connection for tools that wait for each response: sends whole messages, and reads until a message is decoded.
  *
- * @param <M> what is received
+ * @param <M> type of the received messages
  */
 final class BlockingConnection<M> implements AutoCloseable {
     /** An incremental decoder of a protocol. */
     interface Decoder<M> {
-        /** Takes the next message out of the queue; null while it is incomplete. */
+        /** Removes the next message from the queue; null while it is incomplete. */
         M next(ByteQueue received) throws ProtocolException;
     }
 
@@ -28,9 +28,9 @@
     /**
      * Connects.
      *
-     * @param peer what the peer is, for error messages
+     * @param peer kind of peer, for error messages
      * @param address HOST:PORT
-     * @param timeoutMillis bounds the connecting and each read
+     * @param timeoutMillis limits connecting and each read
      * @param readBytes largest number of bytes of one read
      */
     BlockingConnection(String peer, String address, int timeoutMillis, int readBytes, Decoder<M> decoder)
@@ -49,7 +49,7 @@
     /**
      * Waits for the next message.
      *
-     * @throws IOException when the peer closes the connection, stays silent or violates the protocol
+     * @throws IOException when the peer closes the connection, sends nothing within the time limit or violates the protocol
      */
     M receive() throws IOException {
         try {
--- a/cli/src/main/java/garnetreel/cli/map/DiffCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/DiffCommand.java
@@ -24,10 +24,10 @@
         name = "diff",
         mixinStandardHelpOptions = true,
         description =
-                "Prints the extents whose place differs from an older version of the maps, a gateway's cached maps, or "
+                "Prints the extents whose shard or version differs from an older version of the maps, a gateway's cached maps, or "
                         + "another service. Exits with 1 if there are any.")
 final class DiffCommand extends MapSubcommand {
-    /** What the service's maps are compared with: exactly one of three. */
+    /** What the service's maps are compared with: exactly one of these. */
     static final class Reference {
         @Option(names = "--since", required = true, paramLabel = "VERSION", description = "A version of this epoch.")
         Long version;
@@ -54,7 +54,7 @@
         } else {
             addDifferences(maps(client), referenceMaps(), rows);
         }
-        map.print(rows);
+        mapCommand.print(rows);
         return rows.isEmpty() ? ExitCode.OK : ExitCode.FAILED;
     }
 
@@ -62,8 +62,8 @@
         long epoch = client.execute("status").path("epoch").asLong();
         if (!(client.changesSince(epoch, reference.version) instanceof Changes changes)) {
             throw new RequestRejectedException(
-                    "version " + reference.version + " is not in the history: it begins with "
-                            + client.execute("status").path("horizon").asText() + ", or the version is yet to come");
+                    "version " + reference.version + " is not in the history, which begins with version "
+                            + client.execute("status").path("horizon").asText() + ", or is newer than the maps");
         }
         changes.changes().forEach(change -> rows.addObject()
                 .put("volume", change.volume())
@@ -84,7 +84,7 @@
         if (reference.stateDirectory != null) {
             return cachedMaps(reference.stateDirectory);
         }
-        try (MapClient client = new MapClient(reference.service, map.operator)) {
+        try (MapClient client = new MapClient(reference.service, mapCommand.operator)) {
             return maps(client);
         }
     }
@@ -92,7 +92,7 @@
     private static MapCache cachedMaps(Path stateDirectory) throws IOException {
         byte[] bytes = new StateDirectory(stateDirectory)
                 .read(MapServiceClient.CACHE_NAME)
-                .orElseThrow(() -> new IOException(stateDirectory + " holds no map that can be read"));
+                .orElseThrow(() -> new IOException(stateDirectory + " holds no readable map"));
         ByteQueue queue = new ByteQueue();
         queue.add(ByteBuffer.wrap(bytes));
         try {
@@ -102,14 +102,15 @@
                 return cache;
             }
         } catch (ProtocolException e) {
-            throw new IOException("the map in " + stateDirectory + ": " + e.getMessage(), e);
+            throw new IOException("corrupt map in " + stateDirectory + ": " + e.getMessage(), e);
         }
-        throw new IOException(stateDirectory + " holds something else than a map");
+        throw new IOException(stateDirectory + " holds no whole map");
     }
 
     private void addDifferences(MapCache maps, MapCache others, ArrayNode rows) {
-        if (!map.json) {
-            map.out()
+        if (!mapCommand.json) {
+            mapCommand
+                    .out()
                     .println("service: epoch " + maps.epoch() + ", version " + maps.version() + "; other: epoch "
                             + others.epoch() + ", version " + others.version());
         }
@@ -121,7 +122,7 @@
         }
     }
 
-    /** Adds a row where an extent differs or the other map, which may be null, does not have it. */
+    /** Adds a row if an extent differs, or if the other map (null for none) lacks it. */
     private static void addDifference(ExtentMap volume, ExtentMap other, long extent, ArrayNode rows) {
         boolean known = other != null && extent < other.extents();
         if (known && other.shard(extent) == volume.shard(extent) && other.version(extent) == volume.version(extent)) {
--- a/cli/src/main/java/garnetreel/cli/map/DrainNodeCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/DrainNodeCommand.java
@@ -12,17 +12,19 @@
 @Command(
         name = "drain-node",
         mixinStandardHelpOptions = true,
-        description = "Migrates all extents away from a shard, which receives none from then on.")
+        description = "Migrates all extents away from a shard, which receives no further ones.")
 final class DrainNodeCommand extends MapSubcommand {
     @Parameters(index = "0", paramLabel = "SHARD", description = "Number of the shard.")
     int shard;
 
-    @Option(names = "--wait", description = "Prints how many extents are left and returns when the shard is empty.")
+    @Option(
+            names = "--wait",
+            description = "Prints the number of remaining extents and returns when the shard is empty.")
     boolean wait;
 
     @Override
     int execute(MapClient client) throws IOException {
-        map.print(client.execute("drain", shard));
+        mapCommand.print(client.execute("drain", shard));
         if (wait) {
             awaitEmpty(client);
         }
@@ -32,22 +34,22 @@
     private void awaitEmpty(MapClient client) throws IOException {
         long printed = -1;
         while (true) {
-            long left = extentsLeft(client);
-            if (left != printed) {
-                map.print(JsonNodeFactory.instance
+            long remaining = remainingExtents(client);
+            if (remaining != printed) {
+                mapCommand.print(JsonNodeFactory.instance
                         .objectNode()
                         .put("shard", shard)
-                        .put("extents_left", left));
-                printed = left;
+                        .put("extents_left", remaining));
+                printed = remaining;
             }
-            if (left == 0) {
+            if (remaining == 0) {
                 return;
             }
             awaitNextPoll();
         }
     }
 
-    private long extentsLeft(MapClient client) throws IOException {
+    private long remainingExtents(MapClient client) throws IOException {
         for (JsonNode row : client.execute("status").path("draining")) {
             if (row.path("shard").asInt() == shard) {
                 return row.path("extents").asLong();
--- a/cli/src/main/java/garnetreel/cli/map/MapClient.java
+++ b/cli/src/main/java/garnetreel/cli/map/MapClient.java
@@ -8,18 +8,18 @@
 import java.util.Arrays;
 import java.util.stream.Collectors;
 
-/** A connection of an operator's command to the map service. */
+/** Connection to the map service, for the operators' commands. */
 final class MapClient implements AutoCloseable {
     private static final int TIMEOUT_MILLIS = 10_000;
     private static final int READ_BYTES = 1 << 16;
-    private static final ObjectMapper JSON = new ObjectMapper();
-    /** Subscribes under a number that no gateway instance has: theirs count from 0. */
-    private static final int OPERATOR = -2;
+    private static final ObjectMapper MAPPER = new ObjectMapper();
+    /** Subscriber number of these commands; no gateway instance has it, as those count from 0. */
+    private static final int OPERATOR_SUBSCRIBER = -2;
 
     private final BlockingConnection<MapMessage> connection;
     private final String operator;
 
-    /** @param operator who sends the commands, for the history */
+    /** @param operator name of the operator, for the history */
     MapClient(String address, String operator) throws IOException {
         this.operator = operator;
         connection = new BlockingConnection<>("the map service", address, TIMEOUT_MILLIS, READ_BYTES, MapCodec::next);
@@ -35,7 +35,7 @@
         connection.send(MapCodec.frame(new MapMessage.Command(operator, command)));
         while (true) {
             if (connection.receive() instanceof MapMessage.Result result) {
-                JsonNode json = JSON.readTree(result.json());
+                JsonNode json = MAPPER.readTree(result.json());
                 if (!result.ok()) {
                     throw new RequestRejectedException(json.path("message").asText(result.json()));
                 }
@@ -45,18 +45,18 @@
     }
 
     /**
-     * Asks what changed after a version of an epoch.
+     * Requests the changes after a version of an epoch.
      *
-     * @param version 0 asks for everything
-     * @return the changes, or the whole maps where the history does not reach back to that version
+     * @param version 0 for the whole maps
+     * @return the changes, or the whole maps where the history does not go back to that version
      */
     MapMessage changesSince(long epoch, long version) throws IOException {
-        connection.send(MapCodec.frame(new MapMessage.Subscribe(OPERATOR, epoch, version)));
+        connection.send(MapCodec.frame(new MapMessage.Subscribe(OPERATOR_SUBSCRIBER, epoch, version)));
         while (true) {
             MapMessage message = connection.receive();
             if (message instanceof MapMessage.Busy) {
                 throw new RequestRejectedException(
-                        "the map service is asked by too many at once; try again in a second");
+                        "the map service has too many subscription requests at once; try again in a second");
             }
             if (!(message instanceof MapMessage.Result)) {
                 return message;
--- a/cli/src/main/java/garnetreel/cli/map/MapCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/MapCommand.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** The commands to the map service, and the options that they share. */
+/** The parent of the commands to the map service, with the options that they share. */
 @Command(
         name = "map",
         mixinStandardHelpOptions = true,
-        description = "Queries the map service, and has it migrate extents.",
+        description = "Queries the map service and starts migrations of extents.",
         subcommands = {
             StatusCommand.class,
             ShowCommand.class,
@@ -58,7 +58,7 @@
 
     MapClient connect() throws IOException {
         if (service == null) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "--service=HOST:PORT is needed");
+            throw new CommandLine.ParameterException(spec.commandLine(), "--service=HOST:PORT is required");
         }
         return new MapClient(service, operator);
     }
@@ -67,7 +67,7 @@
         return spec.commandLine().getOut();
     }
 
-    /** Prints a result: as it is with {@code --json}, else as a table or as lines. */
+    /** Prints a result, with {@code --json} unchanged, otherwise as a table or as lines. */
     void print(JsonNode result) {
         if (json) {
             out().println(result);
--- a/cli/src/main/java/garnetreel/cli/map/MapSubcommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/MapSubcommand.java
@@ -7,22 +7,22 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.ParentCommand;
 
-/** A command to the map service, on a connection of its own. */
+/** A command to the map service; each run opens its own connection. */
 abstract class MapSubcommand implements Callable<Integer> {
-    /** Between two polls of work in progress. */
+    /** Pause between two polls of work in progress. */
     private static final long POLL_MILLIS = 500;
 
     @ParentCommand
-    MapCommand map;
+    MapCommand mapCommand;
 
     @Override
     public Integer call() throws IOException, SettingsException {
-        try (MapClient client = map.connect()) {
+        try (MapClient client = mapCommand.connect()) {
             return execute(client);
         }
     }
 
-    /** Runs the command; gives its exit code. */
+    /** Runs the command and returns its exit code. */
     abstract int execute(MapClient client) throws IOException;
 
     /** Waits until work in progress is to be polled again. */
--- a/cli/src/main/java/garnetreel/cli/map/MoveCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/MoveCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Migrates an extent. */
+/** Migrates an extent to another shard. */
 @Command(name = "move", mixinStandardHelpOptions = true, description = "Migrates an extent to another shard.")
 final class MoveCommand extends MapSubcommand {
     @Parameters(index = "0", paramLabel = "VOLUME", description = "Number of the volume.")
@@ -16,16 +16,16 @@
     @Parameters(index = "1", paramLabel = "EXTENT", description = "Number of the extent.")
     long extent;
 
-    @Parameters(index = "2", paramLabel = "SHARD", description = "Number of the shard that is to hold it.")
+    @Parameters(index = "2", paramLabel = "SHARD", description = "Number of the shard to migrate it to.")
     int shard;
 
-    @Option(names = "--wait", description = "Prints the states of the migration and returns when it is over.")
+    @Option(names = "--wait", description = "Prints the states of the migration and returns when it has ended.")
     boolean wait;
 
     @Override
     int execute(MapClient client) throws IOException {
         JsonNode migration = client.execute("move", volume, extent, shard);
-        map.print(migration);
+        mapCommand.print(migration);
         if (!wait) {
             return ExitCode.OK;
         }
@@ -34,7 +34,7 @@
         if (row.isMissingNode()) {
             return ExitCode.FAILED;
         }
-        map.print(row);
+        mapCommand.print(row);
         return row.path("shard").asInt() == shard ? ExitCode.OK : ExitCode.FAILED;
     }
 
@@ -48,7 +48,7 @@
                 return;
             }
             if (!current.path("state").asText().equals(last.path("state").asText())) {
-                map.print(current);
+                mapCommand.print(current);
             }
             last = current;
         }
--- a/cli/src/main/java/garnetreel/cli/map/NbdReader.java
+++ b/cli/src/main/java/garnetreel/cli/map/NbdReader.java
@@ -14,15 +14,16 @@
 
     /** Connects and opens the export. */
     NbdReader(String address, String export) throws IOException {
-        connection = new BlockingConnection<>("the head", address, TIMEOUT_MILLIS, READ_BYTES, new NbdReplies()::next);
+        connection =
+                new BlockingConnection<>("the gateway", address, TIMEOUT_MILLIS, READ_BYTES, new NbdReplies()::next);
         connection.send(NbdReplies.opening(export));
         while (!(connection.receive() instanceof NbdReplies.Ready)) {
-            // options are answered before the export is open
+            // skips the replies to the options, which precede the opening of the export
         }
     }
 
     /**
-     * Reads some bytes.
+     * Reads a range of the export.
      *
      * @throws RequestRejectedException when the gateway does not serve the read
      */
@@ -32,7 +33,7 @@
         while (true) {
             NbdReplies.Piece chunk = (NbdReplies.Piece) connection.receive();
             if (chunk.error() != 0) {
-                throw new RequestRejectedException("read at " + offset + " was not served: "
+                throw new RequestRejectedException("read of " + length + " bytes at " + offset + " failed: "
                         + (chunk.message().isEmpty() ? "error " + chunk.error() : chunk.message()));
             }
             if (chunk.data() != null) {
--- a/cli/src/main/java/garnetreel/cli/map/NewEpochCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/NewEpochCommand.java
@@ -2,11 +2,11 @@
 
 import picocli.CommandLine.Command;
 
-/** Begins an epoch, in which gateways take the maps of this service over. */
+/** Begins a new epoch, in which gateways replace their maps by those of this service. */
 @Command(
         name = "new-epoch",
         mixinStandardHelpOptions = true,
-        description = "Makes gateways follow this service's maps, whatever they held; after a restore use adopt.")
+        description = "Makes gateways replace their maps by those of this service; after a restore use adopt.")
 final class NewEpochCommand extends QueryCommand {
     @Override
     Object[] request() {
--- a/cli/src/main/java/garnetreel/cli/map/QueryCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/QueryCommand.java
@@ -3,14 +3,14 @@
 import garnetreel.cli.lifecycle.ExitCode;
 import java.io.IOException;
 
-/** A command that is one request and prints its result. */
+/** A command that sends one request and prints its result. */
 abstract class QueryCommand extends MapSubcommand {
-    /** The request, as words of the map service's protocol. */
+    /** The request: the words of a command of the map service's protocol. */
     abstract Object[] request();
 
     @Override
     final int execute(MapClient client) throws IOException {
-        map.print(client.execute(request()));
+        mapCommand.print(client.execute(request()));
         return ExitCode.OK;
     }
 }
--- a/cli/src/main/java/garnetreel/cli/map/RequestRejectedException.java
+++ b/cli/src/main/java/garnetreel/cli/map/RequestRejectedException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The peer is reachable and rejected the request; the message has its reason. */
+/** A request that a reachable peer rejected; the message gives the reason. */
 final class RequestRejectedException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/cli/src/main/java/garnetreel/cli/map/ResultPrinter.java
+++ b/cli/src/main/java/garnetreel/cli/map/ResultPrinter.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Prints results of the map service for people: rows as a table, fields as lines. */
+/** Prints results of the map service in readable form: rows as a table, fields as lines. */
 final class ResultPrinter {
     private final PrintWriter out;
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /** A column for each field that any row has, in the order in which they first occur. */
+    /** Prints one column per field that occurs in any row, in the order of first occurrence. */
     private void printTable(JsonNode rows) {
         List<String> names = new ArrayList<>();
         for (JsonNode row : rows) {
--- a/cli/src/main/java/garnetreel/cli/map/ShowCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/ShowCommand.java
@@ -3,8 +3,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Prints where the extents of a volume are. */
-@Command(name = "show", mixinStandardHelpOptions = true, description = "Prints where a volume's extents are.")
+/** Prints the shards of a volume's extents. */
+@Command(
+        name = "show",
+        mixinStandardHelpOptions = true,
+        description = "Prints which shard holds each extent of a volume.")
 final class ShowCommand extends QueryCommand {
     @Parameters(index = "0", paramLabel = "VOLUME", description = "Number of the volume.")
     long volume;
@@ -14,7 +17,7 @@
             arity = "0..1",
             paramLabel = "FROM",
             defaultValue = "0",
-            description = "First extent; 1000 are printed at a time.")
+            description = "First extent; at most 1000 are printed. Default: ${DEFAULT-VALUE}.")
     long from;
 
     @Override
--- a/cli/src/main/java/garnetreel/cli/map/UndrainNodeCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/UndrainNodeCommand.java
@@ -4,7 +4,10 @@
 import picocli.CommandLine.Parameters;
 
 /** Ends the draining of a shard. */
-@Command(name = "undrain-node", mixinStandardHelpOptions = true, description = "Lets a shard hold extents again.")
+@Command(
+        name = "undrain-node",
+        mixinStandardHelpOptions = true,
+        description = "Ends the draining of a shard, which then receives extents again.")
 final class UndrainNodeCommand extends QueryCommand {
     @Parameters(index = "0", paramLabel = "SHARD", description = "Number of the shard.")
     int shard;
--- a/cli/src/main/java/garnetreel/cli/map/VerifyCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/VerifyCommand.java
@@ -25,7 +25,7 @@
         description = "Reads extents through a gateway and compares checksums with those of the nodes that hold them. "
                 + "Exits with 1 if one differs or can't be read.")
 final class VerifyCommand extends MapSubcommand {
-    /** Attempts at an extent that clients write to or that migrates meanwhile, before it is reported as busy. */
+    /** Attempts at an extent that is written to or migrates meanwhile, before it is reported as busy. */
     private static final int MAX_ATTEMPTS = 5;
 
     private static final int READ_BYTES = 1 << 20;
@@ -41,31 +41,32 @@
             description = "Address at which a gateway serves NBD.")
     String gateway;
 
-    @Option(names = "--volume", paramLabel = "NAME", description = "This volume only.")
-    String only;
+    @Option(names = "--volume", paramLabel = "NAME", description = "Verifies this volume only.")
+    String volumeName;
 
     @Option(
             names = "--from",
             paramLabel = "EXTENT",
             defaultValue = "0",
-            description = "First extent, to resume a volume. Default: ${DEFAULT-VALUE}.")
-    long from;
+            description = "First extent, to resume an interrupted run. Default: ${DEFAULT-VALUE}.")
+    long firstExtent;
 
     private final ArrayNode mismatches = JsonNodeFactory.instance.arrayNode();
     private List<Volume> volumes;
-    private long equal;
+    private long equalExtents;
 
     @Override
     public Integer call() throws IOException, SettingsException {
         Settings settings = file.read();
-        if (map.service == null && !settings.map().isEmpty()) {
-            map.service = settings.map();
+        if (mapCommand.service == null && !settings.mapServiceAddress().isEmpty()) {
+            mapCommand.service = settings.mapServiceAddress();
         }
         volumes = settings.volumes().values().stream()
-                .filter(volume -> only == null || volume.name().equals(only))
+                .filter(volume -> volumeName == null || volume.name().equals(volumeName))
                 .toList();
         if (volumes.isEmpty()) {
-            throw new CommandLine.ParameterException(map.spec.commandLine(), file + " has no volume \"" + only + "\"");
+            throw new CommandLine.ParameterException(
+                    mapCommand.spec.commandLine(), file + " has no volume \"" + volumeName + "\"");
         }
         return super.call();
     }
@@ -75,9 +76,9 @@
         for (Volume volume : volumes) {
             verify(client, volume);
         }
-        ObjectNode summary = JsonNodeFactory.instance.objectNode().put("extents_equal", equal);
+        ObjectNode summary = JsonNodeFactory.instance.objectNode().put("extents_equal", equalExtents);
         summary.set("extents_not", mismatches);
-        map.print(summary);
+        mapCommand.print(summary);
         return mismatches.isEmpty() ? ExitCode.OK : ExitCode.FAILED;
     }
 
@@ -86,10 +87,10 @@
         long extents = extentMap.path("extents").asLong();
         int extentBytes = extentMap.path("extent_bytes").asInt();
         try (NbdReader reader = new NbdReader(gateway, volume.name())) {
-            for (long extent = from; extent < extents; extent++) {
+            for (long extent = firstExtent; extent < extents; extent++) {
                 String mismatch = verify(client, reader, volume, extent, extentBytes);
                 if (mismatch == null) {
-                    equal++;
+                    equalExtents++;
                 } else {
                     mismatches
                             .addObject()
@@ -105,25 +106,25 @@
     }
 
     private void printProgress(Volume volume, long done, long extents) {
-        PrintWriter err = map.spec.commandLine().getErr();
+        PrintWriter err = mapCommand.spec.commandLine().getErr();
         err.println(volume.name() + ": " + done + " of " + extents + " extents, " + mismatches.size() + " not equal");
         err.flush();
     }
 
     /**
-     * Compares one extent, which may be written to and migrate while it is read.
+     * Compares one extent, which may be written to or migrate while it is read.
      *
-     * @return what is wrong with it; null when nothing is
+     * @return the mismatch, or why the extent could not be compared; null when it is equal
      */
     private static String verify(MapClient client, NbdReader reader, Volume volume, long extent, int extentBytes)
             throws IOException {
         String reason = "";
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-            long before;
+            long storedBefore;
             long read;
             JsonNode after;
             try {
-                before = checksum(client.execute("sum", volume.id(), extent));
+                storedBefore = checksum(client.execute("sum", volume.id(), extent));
                 read = checksum(reader, volume, extent * extentBytes, extentBytes);
                 after = client.execute("sum", volume.id(), extent);
             } catch (RequestRejectedException e) {
@@ -134,7 +135,7 @@
             if (read == stored) {
                 return null;
             }
-            if (before == stored) {
+            if (storedBefore == stored) {
                 return String.format(
                         "read through the head as crc32c %08x, held by shard %d as %08x",
                         read, after.path("shard").asInt(), stored);
@@ -155,7 +156,7 @@
         for (long position = offset; position < end; position += READ_BYTES) {
             crc.update(reader.read(position, (int) Math.min(READ_BYTES, end - position)));
         }
-        // The last extent may reach past the volume; its holder sums all of it, and nothing was written there.
+        // The last extent may extend past the volume's end; the node's checksum includes that part, which is all zeros.
         for (long position = end; position < extentEnd; position += READ_BYTES) {
             crc.update(new byte[(int) Math.min(READ_BYTES, extentEnd - position)]);
         }
--- a/cli/src/main/java/garnetreel/cli/package-info.java
+++ b/cli/src/main/java/garnetreel/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line and what it assembles: one class a command, logging, and the process that event loops run in. {@link
- * garnetreel.cli.Main} is the program of operators, {@link garnetreel.cli.PlatformMain} that of a gateway instance on the users'
- * platform, which starts without the command line's library.
+ * The command line: one class per command, the logging, and the process that runs the event loops. {@link garnetreel.cli.Main} is
+ * the operators' entry point; {@link garnetreel.cli.PlatformMain} is that of a gateway instance on the users' platform, which
+ * starts without the command line library.
  */
 package garnetreel.cli;
