--- a/cli/src/test/java/garnetreel/cli/CancelledSendsTest.java
+++ b/cli/src/test/java/garnetreel/cli/CancelledSendsTest.java
@@ -20,47 +20,51 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Whatever withdraws the permission to send, crossed with what is still in flight at that instant, on real sockets. Each
- * crossing is forced: a peer takes its step after the step before was seen. Each of these tests failed before the fix that it
- * came with.
+ * Races, on real sockets, between sends that are in progress and events after which they must not happen: a client that
+ * disconnects, an endpoint that drains, time that runs out. The order of events is forced: a peer takes each step only after the
+ * previous one was observed. Each test failed before the fix that it came with.
  */
 @Timeout(120)
 class CancelledSendsTest extends SocketGatewayFixture {
-    /** Its attempt waits for a connection when the client leaves; the connection then serves the next request. */
+    /**
+     * The client disconnects while its attempt waits for a connection: the attempt must not be sent, and the connection serves
+     * the next request.
+     */
     @ParameterizedTest
     @EnumSource(End.class)
-    void queuedSendIsCancelledWhenItsClientDisconnects(End how) throws Exception {
-        try (SocketGatewayHarness gateway = gatewayOfABusyShelf()) {
-            Line leaves = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
+    void queuedSendIsCancelledWhenItsClientDisconnects(End clientEnd) throws Exception {
+        try (SocketGatewayHarness gateway = gatewayWithBusyEndpoint()) {
+            Line leavingClient = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
             gateway.await(SendAttempt.class);
-            if (how == End.RESET) {
-                leaves.reset();
+            if (clientEnd == End.RESET) {
+                leavingClient.reset();
             } else {
-                leaves.close();
+                leavingClient.close();
             }
             assertEquals(
                     Outcome.NOT_STARTED, gateway.await(AttemptCompleted.class).outcome());
-            try (Line stays = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
+            try (Line remainingClient =
+                    ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
                 gateway.await(SendAttempt.class);
-                shelf.bringUp();
-                try (Line sent = shelf.accept()) {
-                    String first = sent.read();
+                endpoint.bringUp();
+                try (Line upstream = endpoint.accept()) {
+                    String first = upstream.read();
                     assertTrue(first.contains("X-Correlation-Id: 0000000000000002\r\n"), first);
-                    sent.send(SocketGatewayHarness.response("result"));
-                    assertTrue(stays.read().endsWith("result"));
+                    upstream.send(SocketGatewayHarness.response("result"));
+                    assertTrue(remainingClient.read().endsWith("result"));
                 }
             }
         }
     }
 
-    /** A shelf drains while a connection to it is being established: nothing is sent to it until it is up again. */
+    /** An endpoint drains while a connection to it is being established: nothing may be sent to it until it is up again. */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "removed"})
-    void queuedSendIsCancelledWhenItsShelfDrains(String health) throws Exception {
-        try (SocketGatewayHarness gateway = gatewayOfABusyShelf().afterStartDelay();
+    void queuedSendIsCancelledWhenItsEndpointDrains(String health) throws Exception {
+        try (SocketGatewayHarness gateway = gatewayWithBusyEndpoint().afterStartDelay();
                 Line watch = discovery.accept()) {
             watch.read();
-            String entry = SocketGatewayHarness.entry(shelf.address(), "up");
+            String entry = SocketGatewayHarness.entry(endpoint.address(), "up");
             watch.send(SocketGatewayHarness.watch(SocketGatewayHarness.list(2, true, entry)));
             awaitKind(gateway, EndpointUpdateKind.SNAPSHOT);
             try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
@@ -72,59 +76,61 @@
                         gateway.await(AttemptCompleted.class).outcome());
                 watch.send(SocketGatewayHarness.chunk(SocketGatewayHarness.list(4, false, entry)));
                 gateway.await(SendAttempt.class);
-                shelf.bringUp();
-                try (Line sent = shelf.accept()) {
-                    assertTrue(sent.read().contains("0000000000000001"), "it is sent when the shelf is up again");
-                    sent.send(SocketGatewayHarness.response("result"));
+                endpoint.bringUp();
+                try (Line upstream = endpoint.accept()) {
+                    assertTrue(
+                            upstream.read().contains("0000000000000001"),
+                            "the request is sent once the endpoint is up again");
+                    upstream.send(SocketGatewayHarness.response("result"));
                     assertTrue(client.read().endsWith("result"));
                 }
             }
         }
     }
 
-    /** A connection that came up late has used up a part of the client's time; the shelf is told what is left. */
+    /** Time spent on establishing the connection must be deducted from the remaining time that is sent to the endpoint. */
     @Test
     void remainingTimeIsSentAsOfTheMomentOfSending() throws Exception {
-        try (SocketGatewayHarness gateway = gatewayOfABusyShelf();
+        try (SocketGatewayHarness gateway = gatewayWithBusyEndpoint();
                 Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 10))) {
             gateway.await(SendAttempt.class);
             gateway.advance(4_000_000);
-            shelf.bringUp();
-            try (Line sent = shelf.accept()) {
-                String passed = sent.read();
-                assertTrue(passed.contains("X-Time-Left: 6.000\r\n"), passed);
-                sent.send(SocketGatewayHarness.response("result"));
+            endpoint.bringUp();
+            try (Line upstream = endpoint.accept()) {
+                String forwarded = upstream.read();
+                assertTrue(forwarded.contains("X-Time-Left: 6.000\r\n"), forwarded);
+                upstream.send(SocketGatewayHarness.response("result"));
                 assertTrue(client.read().endsWith("result"));
             }
         }
     }
 
-    /** Requests that wait behind the open one stopped the reading, and with it the notice of the client's close. */
+    /** Requests queued behind the open one once stopped reading, so that the client's disconnect went unnoticed. */
     @ParameterizedTest
     @EnumSource(End.class)
-    void disconnectOfAPipeliningClientIsNoticed(End how) throws Exception {
+    void disconnectOfAPipeliningClientIsNoticed(End clientEnd) throws Exception {
         try (SocketGatewayHarness gateway = gateway()) {
-            StringBuilder many = new StringBuilder();
+            StringBuilder pipeline = new StringBuilder();
             for (int i = 1; i <= 200; i++) {
-                many.append(SocketGatewayHarness.request(i, 50));
+                pipeline.append(SocketGatewayHarness.request(i, 50));
             }
-            Line client = ScriptedPeer.connect(gateway.address).send(many.toString());
-            try (Line sent = shelf.accept()) {
-                sent.read();
-                if (how == End.RESET) {
+            Line client = ScriptedPeer.connect(gateway.address).send(pipeline.toString());
+            try (Line upstream = endpoint.accept()) {
+                upstream.read();
+                if (clientEnd == End.RESET) {
                     client.reset();
                 } else {
                     client.endSending();
                 }
                 gateway.await(RequestCancelled.class);
-                sent.send(SocketGatewayHarness.response("result"));
+                upstream.send(SocketGatewayHarness.response("result"));
                 gateway.await(AttemptCompleted.class);
                 gateway.advance(50_000);
                 assertEquals(0, gateway.eventLoop.acceptedCount() - 1);
                 assertThrows(
                         AssertionError.class,
-                        () -> gateway.drainSeen(RequestReceived.class),
-                        "what waited behind it came to the module");
+                        () -> gateway.drainRecorded(RequestReceived.class),
+                        "a queued request reached the scheduler");
             }
         }
     }
--- a/cli/src/test/java/garnetreel/cli/ConnectionClosingTest.java
+++ b/cli/src/test/java/garnetreel/cli/ConnectionClosingTest.java
@@ -22,14 +22,16 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Whatever closes a connection or shuts the gateway down, crossed with what is still in flight at that instant, on real
- * sockets. Each crossing is forced: a peer takes its step after the step before was seen. Each of these tests failed before the
- * fix that it came with, but for the one of a request that crosses the shutdown: that one guards the reading of what comes
- * after it.
+ * Races, on real sockets, between data in flight and the closing of a connection or the shutdown of the gateway. The order of
+ * events is forced: a peer takes each step only after the previous one was observed. Each test failed before the fix that it
+ * came with, except {@link #requestThatCrossesTheShutdownIsNotForwarded}, which guards how bytes are read after a shutdown.
  */
 @Timeout(120)
 class ConnectionClosingTest extends SocketGatewayFixture {
-    /** Bytes that come once the last answer is written meet a connection that is read to its end, not a reset. */
+    /**
+     * Bytes that arrive after the last response was written must not cause a reset, which could destroy the response: the
+     * gateway reads the connection to its end.
+     */
     @Test
     void responseSurvivesBytesThatArriveAtItsClose() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
@@ -44,7 +46,7 @@
         }
     }
 
-    /** What is read after the shutdown is nobody's: a request that crosses it is not sent on. */
+    /** Bytes read after the connection's shutdown are discarded: a request among them must not be forwarded. */
     @Test
     void requestThatCrossesTheShutdownIsNotForwarded() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
@@ -55,29 +57,29 @@
             client.endSending();
             assertEquals(new Rest("", End.IN_ORDER), client.readToEnd());
             gateway.advance(10_000);
-            assertThrows(AssertionError.class, () -> gateway.drainSeen(RequestReceived.class));
+            assertThrows(AssertionError.class, () -> gateway.drainRecorded(RequestReceived.class));
         }
     }
 
-    /** The process may end when the last answer's last byte has left, and not when it is handed to the connection. */
+    /** The gateway may stop only after the last byte of the last response is written, not when the response is queued. */
     @Test
     void shutdownWaitsForResponsesThatAreStillBeingWritten() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
                 Line client = ScriptedPeer.connect(gateway.address, 4 << 10)) {
             client.send(SocketGatewayHarness.request(1, 50));
             String body = "0123456789abcdef".repeat(120_000);
-            try (Line sent = shelf.accept()) {
-                sent.read();
+            try (Line upstream = endpoint.accept()) {
+                upstream.read();
                 gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
                 gateway.awaitListenerClosed();
-                sent.send(SocketGatewayHarness.response(body));
+                upstream.send(SocketGatewayHarness.response(body));
                 gateway.await(AttemptCompleted.class);
                 gateway.advance(10_000);
             }
             assertThrows(
                     TimeoutException.class,
                     () -> gateway.eventLoop.stopped().get(200, TimeUnit.MILLISECONDS),
-                    "most of the answer is not in the client's hands");
+                    "stopped before the response was written");
             assertTrue(client.read().endsWith(body));
             assertEquals(new Rest("", End.IN_ORDER), client.readToEnd());
             client.endSending();
@@ -86,30 +88,30 @@
         }
     }
 
-    /** Half a request had come at the end; its rest is read, and it is refused, which is harmless. */
+    /** Half a request has arrived at the shutdown: its rest is read, and it is rejected with 503, which is harmless. */
     @Test
     void partialRequestAtShutdownIsReadAndRejected() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
                 Line client = ScriptedPeer.connect(gateway.address);
-                Line rests = ScriptedPeer.connect(gateway.address)) {
-            rests.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").read();
+                Line idleClient = ScriptedPeer.connect(gateway.address)) {
+            idleClient.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").read();
             String request = SocketGatewayHarness.request(1, 50);
             client.send(request.substring(0, 100));
-            // Its answer shows that the half before it has been read.
-            rests.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").read();
+            // This response shows that the half request, which was sent before, has been read.
+            idleClient.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").read();
             gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
             gateway.awaitListenerClosed();
-            assertEquals(new Rest("", End.IN_ORDER), rests.readToEnd(), "one that rests is closed in order");
+            assertEquals(new Rest("", End.IN_ORDER), idleClient.readToEnd(), "an idle connection is closed in order");
             client.send(request.substring(100));
-            String answer = client.read();
-            assertTrue(answer.startsWith("HTTP/1.1 503 ") && answer.contains("Connection: close\r\n"), answer);
+            String response = client.read();
+            assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("Connection: close\r\n"), response);
             client.endSending();
-            rests.endSending();
+            idleClient.endSending();
             gateway.eventLoop.stopped().get(30, TimeUnit.SECONDS);
         }
     }
 
-    /** At the end each request of a pipeline gets its answer, not only the one that was open. */
+    /** At a shutdown every request of a pipeline must be answered, not only the open one. */
     @Test
     void pipelineAtShutdownIsAnsweredCompletely() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
@@ -117,11 +119,11 @@
             client.send(SocketGatewayHarness.request(1, 50)
                     + SocketGatewayHarness.request(2, 50)
                     + SocketGatewayHarness.request(3, 50));
-            try (Line sent = shelf.accept()) {
-                sent.read();
+            try (Line upstream = endpoint.accept()) {
+                upstream.read();
                 gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
                 gateway.awaitListenerClosed();
-                sent.send(SocketGatewayHarness.response("result"));
+                upstream.send(SocketGatewayHarness.response("result"));
                 assertTrue(client.read().endsWith("result"));
             }
             assertTrue(client.read().startsWith("HTTP/1.1 503 "));
@@ -131,7 +133,7 @@
         }
     }
 
-    /** A connection that waits in the listener's queue when that ends is taken; closing the queue would reset it. */
+    /** A connection in the accept queue at the shutdown must be accepted first: closing the listener would reset it. */
     @Test
     void connectionInTheAcceptQueueAtShutdownIsServed() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
@@ -140,43 +142,43 @@
             gateway.haltAt(event -> event instanceof RequestReceived);
             first.send(SocketGatewayHarness.request(1, 50));
             gateway.awaitHalt();
-            try (Line waits =
+            try (Line queuedClient =
                     ScriptedPeer.connect(gateway.address).send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")) {
-                waits.untilTheOtherSideStands();
-                gateway.clock.addAndGet(501_000); // the turn after this one, ahead of any accept, ends the listener
+                queuedClient.untilTheOtherSideStands();
+                gateway.clock.addAndGet(501_000); // the next turn closes the listener before it accepts anything
                 gateway.resume();
-                assertTrue(waits.read().startsWith("HTTP/1.1 503 "));
+                assertTrue(queuedClient.read().startsWith("HTTP/1.1 503 "));
             }
         }
     }
 
-    /** An answer without a length is whole when its connection ends in order; a reset is no end. */
+    /** A response without a length is complete only if its connection is closed in order; a reset makes it incomplete. */
     @ParameterizedTest
     @EnumSource(End.class)
-    void responseWithoutALengthIsCompleteOnlyAfterAnOrderlyClose(End how) throws Exception {
+    void responseWithoutALengthIsCompleteOnlyAfterAnOrderlyClose(End responseEnd) throws Exception {
         try (SocketGatewayHarness gateway = gateway();
                 Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
-                Line sent = shelf.accept()) {
-            sent.read();
-            sent.send("HTTP/1.1 200 OK\r\n\r\nresult");
-            if (how == End.RESET) {
-                sent.reset();
+                Line upstream = endpoint.accept()) {
+            upstream.read();
+            upstream.send("HTTP/1.1 200 OK\r\n\r\nresult");
+            if (responseEnd == End.RESET) {
+                upstream.reset();
             } else {
-                sent.endSending();
+                upstream.endSending();
             }
             assertEquals(
-                    how == End.RESET ? Outcome.RESET : Outcome.OK,
+                    responseEnd == End.RESET ? Outcome.RESET : Outcome.OK,
                     gateway.await(AttemptCompleted.class).outcome());
-            String answer = client.read();
-            assertEquals(how == End.RESET, answer.startsWith("HTTP/1.1 502 "), answer);
-            assertEquals(how == End.IN_ORDER, answer.endsWith("result"), answer);
+            String response = client.read();
+            assertEquals(responseEnd == End.RESET, response.startsWith("HTTP/1.1 502 "), response);
+            assertEquals(responseEnd == End.IN_ORDER, response.endsWith("result"), response);
         }
     }
 
-    /** More clients than the bound connect in one moment, each with a whole request: what has been read is answered. */
+    /** More clients than the limit connect at once, each with a whole request: every request that was read is answered. */
     @Test
     void requestThatHasBeenReadIsAnsweredAtTheConnectionLimit() throws Exception {
-        try (SocketGatewayHarness gateway = SocketGatewayHarness.withDescriptors(88, discovery, shelf);
+        try (SocketGatewayHarness gateway = SocketGatewayHarness.withDescriptors(88, discovery, endpoint);
                 Line first = ScriptedPeer.connect(gateway.address)) {
             gateway.haltAt(event -> event instanceof RequestReceived);
             first.send(SocketGatewayHarness.request(1, 50));
@@ -188,7 +190,9 @@
             }
             gateway.resume();
             for (Line client : clients) {
-                assertTrue(client.read().startsWith("HTTP/1.1 200 "), "read and closed with no answer");
+                assertTrue(
+                        client.read().startsWith("HTTP/1.1 200 "),
+                        "the request was read and its connection closed without a response");
                 client.close();
             }
         }
--- a/cli/src/test/java/garnetreel/cli/DiscoveryWatchTest.java
+++ b/cli/src/test/java/garnetreel/cli/DiscoveryWatchTest.java
@@ -9,20 +9,22 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Whatever interrupts the watch of the endpoint list, crossed with what is still in flight at that instant, on real sockets.
- * Each crossing is forced: a peer takes its step after the step before was seen. Each of these tests failed before the fix that
- * it came with.
+ * Interruptions of the endpoint list's watch, on real sockets. The order of events is forced: a peer takes each step only after
+ * the previous one was observed. Each test failed before the fix that it came with.
  */
 @Timeout(120)
 class DiscoveryWatchTest extends SocketGatewayFixture {
-    /** From the last event of a watch to the next call it takes well under the 6 s after which every change counts as notified. */
+    /**
+     * A silent watch is replaced by a new call well within 6 s of its last event: after that time every change counts as
+     * notified.
+     */
     @Test
     void silentWatchIsReopenedWithinItsBudget() throws Exception {
         try (SocketGatewayHarness gateway = gateway().afterStartDelay();
                 Line watch = discovery.accept()) {
             watch.read();
             watch.send(SocketGatewayHarness.watch(
-                    SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(shelf.address(), "up"))));
+                    SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
             awaitKind(gateway, EndpointUpdateKind.SNAPSHOT);
             gateway.advance(3_200_000);
             awaitKind(gateway, EndpointUpdateKind.UNAVAILABLE);
@@ -30,18 +32,18 @@
             try (Line next = discovery.accept()) {
                 assertTrue(next.read().contains("from=2 "));
             }
-            assertEquals("", watch.readToEnd().text(), "the silent one is ended");
+            assertEquals("", watch.readToEnd().text(), "the silent watch is closed");
         }
     }
 
-    /** Discovery was down for long; within 6 s of its return every gateway has polled it, however often that failed before. */
+    /** After a long outage every gateway polls discovery within 6 s of its return, however many polls failed before. */
     @Test
     void recoveredDiscoveryIsPolledWithinItsBudget() throws Exception {
         try (SocketGatewayHarness gateway = gateway().afterStartDelay()) {
             for (int i = 0; i < 12; i++) {
                 discovery.accept().reset();
                 awaitKind(gateway, EndpointUpdateKind.UNAVAILABLE);
-                gateway.advance(3_900_000); // the longest back-off: 6 s less 2 s in the queue and the margin
+                gateway.advance(3_900_000); // the longest back-off: 6 s less 2 s in discovery's queue and a margin
             }
             try (Line watch = discovery.accept()) {
                 assertTrue(watch.read().startsWith("GET /registry/instances?watch=1 "));
@@ -50,8 +52,8 @@
     }
 
     /**
-     * A discovery with many callers handles them in turn. Guards against giving up before one's turn, which wastes it and
-     * brings another call: with nineteen heads nobody had a list for 16 s.
+     * A discovery service with many callers handles them one after the other. Guards against abandoning a call before its turn,
+     * which wastes the turn and causes another call: with nineteen gateways none had a list for 16 s.
      */
     @Test
     void slowDiscoveryCallIsAwaited() throws Exception {
@@ -60,24 +62,24 @@
             watch.read();
             gateway.advance(2_500_000);
             watch.send(SocketGatewayHarness.watch(
-                    SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(shelf.address(), "up"))));
+                    SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
             awaitKind(gateway, EndpointUpdateKind.SNAPSHOT);
         }
     }
 
-    /** A list may come indented, in pieces, and two objects at once. */
+    /** Lists may be indented, split over several reads, or two in one read. */
     @Test
     void streamedListIsSplitByItsBraces() throws Exception {
         try (SocketGatewayHarness gateway = gateway().afterStartDelay();
                 Line watch = discovery.accept()) {
             watch.read();
-            String entry = SocketGatewayHarness.entry(shelf.address(), "up");
+            String entry = SocketGatewayHarness.entry(endpoint.address(), "up");
             String indented = SocketGatewayHarness.list(2, true, entry)
                     .replace(",", ",\n   ")
                     .replace("{", "{\n  ");
-            String both = indented + SocketGatewayHarness.list(3, false, entry.replace("\"up\"", "\"draining\""));
-            String all = SocketGatewayHarness.watch(both);
-            watch.send(all.substring(0, 150)).send(all.substring(150));
+            String bothLists = indented + SocketGatewayHarness.list(3, false, entry.replace("\"up\"", "\"draining\""));
+            String response = SocketGatewayHarness.watch(bothLists);
+            watch.send(response.substring(0, 150)).send(response.substring(150));
             awaitKind(gateway, EndpointUpdateKind.SNAPSHOT);
             awaitKind(gateway, EndpointUpdateKind.DELTA);
         }
--- a/cli/src/test/java/garnetreel/cli/LayoutTest.java
+++ b/cli/src/test/java/garnetreel/cli/LayoutTest.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The direction of dependencies: what each module may know is listed, and nothing else. */
+/** Dependencies between modules and packages: each module may use only the modules listed for it. */
 class LayoutTest {
-    private static final Map<String, List<String>> MAY_USE = Map.ofEntries(
+    private static final Map<String, List<String>> ALLOWED_DEPENDENCIES = Map.ofEntries(
             Map.entry("policy", List.of()),
             Map.entry("settings", List.of("policy")),
             Map.entry("codec", List.of()),
@@ -47,24 +47,25 @@
             .importPackages("garnetreel");
 
     @Test
-    void modulesUseOnlyWhatIsListed() {
-        MAY_USE.forEach((module, uses) -> MAY_USE.keySet().forEach(other -> {
-            if (!other.equals(module) && !uses.contains(other)) {
-                noClasses()
-                        .that()
-                        .resideInAPackage("garnetreel." + module + "..")
-                        .should()
-                        .dependOnClassesThat()
-                        .resideInAPackage("garnetreel." + other + "..")
-                        .allowEmptyShould(true)
-                        .check(classes);
-            }
-        }));
+    void modulesUseOnlyAllowedModules() {
+        ALLOWED_DEPENDENCIES.forEach(
+                (module, allowed) -> ALLOWED_DEPENDENCIES.keySet().forEach(other -> {
+                    if (!other.equals(module) && !allowed.contains(other)) {
+                        noClasses()
+                                .that()
+                                .resideInAPackage("garnetreel." + module + "..")
+                                .should()
+                                .dependOnClassesThat()
+                                .resideInAPackage("garnetreel." + other + "..")
+                                .allowEmptyShould(true)
+                                .check(classes);
+                    }
+                }));
     }
 
-    /** A machine in service gets a jar without stand-ins, so what it runs must not need them. */
+    /** The deployed jar contains no test bed and no emulator, so code in service must not depend on them. */
     @Test
-    void serviceNeedsNoStandIn() {
+    void serviceDoesNotDependOnTestBed() {
         noClasses()
                 .that()
                 .resideInAPackage("garnetreel.cli..")
@@ -77,7 +78,7 @@
     }
 
     @Test
-    void whatDecidesHasNoClockThreadOrInputOutput() {
+    void deterministicModulesUseNoClockThreadOrIo() {
         for (String module : List.of("policy", "settings", "codec", "map", "files", "core", "mapservice", "emulator")) {
             noClasses()
                     .that()
@@ -112,8 +113,8 @@
     }
 
     /**
-     * Each package of the command line is a slice of its own, the top one too: none needs a package that needs it. What needs
-     * the testbed, {@code cli.testing} with its inner packages, is one slice.
+     * Each package of the command line, including the top one, is a slice of its own; {@code cli.testing} and the packages below
+     * it, which depend on the test bed, are one slice.
      */
     @Test
     void packagesOfTheCommandLineAreFreeOfCycles() {
--- a/cli/src/test/java/garnetreel/cli/MainTest.java
+++ b/cli/src/test/java/garnetreel/cli/MainTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The names that scripts call commands by, and exit codes of wrong calls. */
+/** Command names that scripts rely on, and the exit codes of failed commands. */
 class MainTest {
-    private static String help(String... words) {
+    private static String help(String... arguments) {
         PrintStream console = System.out;
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         System.setOut(new PrintStream(printed, true, StandardCharsets.UTF_8));
         try {
-            assertEquals(ExitCode.OK, Main.run(List.of(), words));
+            assertEquals(ExitCode.OK, Main.run(List.of(), arguments));
         } finally {
             System.setOut(console);
         }
@@ -29,7 +29,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"serve", "platform", "map-service", "mapd", "map", "files", "check-config"})
-    void commandsHaveTheirNames(String name) {
+    void commandNamesAreStable(String name) {
         assertTrue(help(name, "--help").contains("Usage: garnetreel " + name.replace("mapd", "map-service")));
     }
 
@@ -38,14 +38,14 @@
         "status, ''", "show, VOLUME [FROM]", "history, [ROWS]", "moves, ''", "move, VOLUME EXTENT SHARD", "abort, MOVE",
         "drain-node, SHARD", "undrain-node, SHARD", "adopt, ''", "new-epoch, ''", "diff, ''", "verify, FILE"
     })
-    void commandsOfTheMapHaveTheirNamesAndParameters(String name, String parameters) {
+    void mapCommandNamesAndParametersAreStable(String name, String parameters) {
         String usage = help("map", name, "--help").replaceAll("\\s+", " ");
         assertTrue(usage.contains("Usage: garnetreel map " + name + " "), usage);
         assertTrue(usage.contains(" " + parameters), usage);
     }
 
     @Test
-    void wrongCallsExitWith2AndFailuresWith1() {
+    void usageErrorsExitWith2AndFailuresWith1() {
         assertEquals(ExitCode.USAGE, Main.run(List.of(), "no-such-command"));
         assertEquals(ExitCode.USAGE, Main.run(List.of(), "map", "status"));
         assertEquals(ExitCode.FAILED, Main.run(List.of(), "check-config", "no-such-file.hcl"));
--- a/cli/src/test/java/garnetreel/cli/PlatformTest.java
+++ b/cli/src/test/java/garnetreel/cli/PlatformTest.java
@@ -13,24 +13,24 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The platform's gateway as a program, over sockets; clocks decide nothing here but when a hung test is stopped. */
+/** The platform's gateway as a process, over sockets; time limits only end a test that hangs. */
 class PlatformTest {
     @TempDir
     Path directory;
 
-    /** The training run: starts from a file, reloads it, serves and rejects requests, and shuts down. */
+    /** The class-data archive training: starts from a file, reloads it, serves and rejects requests, and shuts down. */
     @Test
     @Timeout(60)
-    void aGatewayStartsReloadsServesAndStops() throws Exception {
+    void gatewayStartsReloadsServesAndStops() throws Exception {
         Path file = directory.resolve("config.json");
         assertEquals(ExitCode.OK, ClassDataArchiveTraining.run(file));
         assertTrue(Files.notExists(file));
     }
 
-    /** The JVM exits on SIGHUP where nobody handles it, and this test with it. */
+    /** A signal handler stays installed after the first signal; without one, SIGHUP would terminate this test's JVM. */
     @Test
     @Timeout(60)
-    void aSignalIsHandledEachTime() throws Exception {
+    void repeatedSignalsAreHandled() throws Exception {
         Class<?> signal = Class.forName("sun.misc.Signal");
         for (int i = 0; i < 2; i++) {
             CountDownLatch handled = new CountDownLatch(1);
--- a/cli/src/test/java/garnetreel/cli/SignalsTest.java
+++ b/cli/src/test/java/garnetreel/cli/SignalsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Signals sent to a real process, started by the class that {@code run} in deploy/balancer.toml names. */
+/** Signals to a real process, started with the main class that {@code run} in deploy/balancer.toml names. */
 @Timeout(120)
 class SignalsTest {
     private static final Pattern LISTENS = Pattern.compile(".* listens on (\\S+)");
@@ -34,14 +34,14 @@
     Path directory;
 
     private ScriptedPeer discovery;
-    private ScriptedPeer shelf;
+    private ScriptedPeer endpoint;
     private java.lang.Process process;
     private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
 
     @BeforeEach
     void start() throws Exception {
         discovery = ScriptedPeer.listening();
-        shelf = ScriptedPeer.listening();
+        endpoint = ScriptedPeer.listening();
     }
 
     @AfterEach
@@ -50,7 +50,7 @@
             process.destroyForcibly().waitFor();
         }
         discovery.close();
-        shelf.close();
+        endpoint.close();
     }
 
     private Path file() {
@@ -71,7 +71,8 @@
                 <root level="INFO"><appender-ref ref="out"/></root></configuration>
                 """);
         String classes = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
-        // Whoever runs the tests may ignore SIGHUP, as nohup does; a process takes that over, and the JVM leaves it so.
+        // The tests may run with SIGHUP ignored, as under nohup; a child process inherits that, and the JVM keeps it
+        // ignored.
         ProcessBuilder builder = new ProcessBuilder(
                 "env",
                 signals,
@@ -91,7 +92,7 @@
         reader.start();
     }
 
-    /** Waits for a line of the log that matches. */
+    /** Waits for a matching log line. */
     private Matcher awaitLogLine(Pattern pattern) throws InterruptedException {
         StringBuilder before = new StringBuilder();
         for (String line = log.poll(30, TimeUnit.SECONDS); line != null; line = log.poll(30, TimeUnit.SECONDS)) {
@@ -101,7 +102,7 @@
             }
             before.append(line).append('\n');
         }
-        throw new AssertionError("never logged " + pattern + " but:\n" + before);
+        throw new AssertionError("no log line matches " + pattern + "; logged:\n" + before);
     }
 
     private void signal(String name) throws Exception {
@@ -113,39 +114,39 @@
     /** A request is in flight when SIGTERM arrives: it is answered, and the process then exits with 0. */
     @Test
     void sigtermAnswersAcceptedRequests() throws Exception {
-        run(SocketGatewayHarness.text(discovery.address(), shelf.address()));
+        run(SocketGatewayHarness.text(discovery.address(), endpoint.address()));
         String address = awaitLogLine(LISTENS).group(1);
         try (Line client = ScriptedPeer.connect(address).send(SocketGatewayHarness.request(1, 50));
-                Line sent = shelf.accept()) {
-            sent.read();
+                Line upstream = endpoint.accept()) {
+            upstream.read();
             signal("TERM");
             awaitLogLine(Pattern.compile("no new requests accepted"));
-            sent.send(SocketGatewayHarness.response("result"));
-            String answer = client.read();
-            assertTrue(answer.endsWith("result") && answer.contains("Connection: close\r\n"), answer);
+            upstream.send(SocketGatewayHarness.response("result"));
+            String response = client.read();
+            assertTrue(response.endsWith("result") && response.contains("Connection: close\r\n"), response);
             assertEquals(ScriptedPeer.End.IN_ORDER, client.readToEnd().end());
         }
         assertTrue(process.waitFor(30, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    /** A file that is no configuration changes nothing and is named with its field; a good one moves discovery at once. */
+    /** An invalid file changes nothing, and the log names the field; a valid one changes the discovery address at once. */
     @Test
-    void sighupTakesAGoodFileAndKeepsTheOldOneAgainstABadOne() throws Exception {
-        String good = SocketGatewayHarness.text(discovery.address(), shelf.address());
-        run(good);
+    void sighupLoadsAValidFileAndIgnoresAnInvalidOne() throws Exception {
+        String valid = SocketGatewayHarness.text(discovery.address(), endpoint.address());
+        run(valid);
         String address = awaitLogLine(LISTENS).group(1);
-        Files.writeString(file(), good.replace("\"sockets\": 512", "\"sockets\": 5"));
+        Files.writeString(file(), valid.replace("\"sockets\": 512", "\"sockets\": 5"));
         signal("HUP");
         awaitLogLine(Pattern.compile("can't be read, the configuration is unchanged: .*\"sockets\" is 5"));
         try (Line client = ScriptedPeer.connect(address).send(SocketGatewayHarness.request(1, 50));
-                Line sent = shelf.accept()) {
-            sent.read();
-            sent.send(SocketGatewayHarness.response("result"));
-            assertTrue(client.read().endsWith("result"), "it goes on as before");
+                Line upstream = endpoint.accept()) {
+            upstream.read();
+            upstream.send(SocketGatewayHarness.response("result"));
+            assertTrue(client.read().endsWith("result"), "requests are served as before");
         }
         try (ScriptedPeer moved = ScriptedPeer.listening()) {
-            Files.writeString(file(), SocketGatewayHarness.text(moved.address(), shelf.address()));
+            Files.writeString(file(), SocketGatewayHarness.text(moved.address(), endpoint.address()));
             signal("HUP");
             try (Line watch = moved.accept()) {
                 assertTrue(watch.read().startsWith("GET /registry/instances?watch=1"));
@@ -153,8 +154,11 @@
         }
     }
 
-    /** Where discovery moved last, once nothing has been logged for so many seconds; {@code before} if it did not move. */
-    private String lastMove(int quietSeconds, String before) throws InterruptedException {
+    /**
+     * The latest discovery address in the log, once nothing has been logged for {@code quietSeconds}; {@code before} if there was
+     * none.
+     */
+    private String latestDiscoveryAddress(int quietSeconds, String before) throws InterruptedException {
         Pattern moves = Pattern.compile("discovery moves from \\S+ to (\\S+)");
         String last = before;
         for (String line = log.poll(quietSeconds, TimeUnit.SECONDS);
@@ -166,12 +170,12 @@
         return last;
     }
 
-    /** The read for the first of two signals is delayed; the gateway ends up with the last content of the file, not with the last read. */
+    /** The read for the first of two signals is delayed: the gateway must end up with the latest file, not with the latest read. */
     @Test
-    void theLastOfTwoConfigurationsHolds() throws Exception {
+    void latestOfTwoConfigurationsIsUsed() throws Exception {
         try (ScriptedPeer second = ScriptedPeer.listening();
                 ScriptedPeer third = ScriptedPeer.listening()) {
-            run(SocketGatewayHarness.text(discovery.address(), shelf.address()));
+            run(SocketGatewayHarness.text(discovery.address(), endpoint.address()));
             awaitLogLine(LISTENS);
             Path pipe = directory.resolve("pipe");
             assertEquals(
@@ -180,29 +184,29 @@
             Files.createLink(file(), pipe);
             signal("HUP");
             String last;
-            // Opening it waits for its reader: the first signal's read has begun.
+            // Opening the pipe blocks until it has a reader: then the first signal's read has begun.
             try (OutputStream slow = Files.newOutputStream(pipe)) {
                 Path next = Files.writeString(
-                        directory.resolve("next"), SocketGatewayHarness.text(third.address(), shelf.address()));
+                        directory.resolve("next"), SocketGatewayHarness.text(third.address(), endpoint.address()));
                 Files.move(next, file(), StandardCopyOption.ATOMIC_MOVE);
                 signal("HUP");
-                last = lastMove(1, null);
-                slow.write(SocketGatewayHarness.text(second.address(), shelf.address())
+                last = latestDiscoveryAddress(1, null);
+                slow.write(SocketGatewayHarness.text(second.address(), endpoint.address())
                         .getBytes(StandardCharsets.UTF_8));
             }
-            last = lastMove(3, last);
+            last = latestDiscoveryAddress(3, last);
             assertEquals(third.address(), last);
         }
     }
 
-    /** A file that is being written when the signal comes is read once it is whole. */
+    /** A file that is half written when the signal arrives is read again until it is complete. */
     @Test
-    void aFileThatIsHalfWrittenIsReadAgain() throws Exception {
-        String config = SocketGatewayHarness.text(discovery.address(), shelf.address());
+    void partlyWrittenFileIsReadAgain() throws Exception {
+        String config = SocketGatewayHarness.text(discovery.address(), endpoint.address());
         run(config);
         awaitLogLine(LISTENS);
         try (ScriptedPeer moved = ScriptedPeer.listening()) {
-            String next = SocketGatewayHarness.text(moved.address(), shelf.address());
+            String next = SocketGatewayHarness.text(moved.address(), endpoint.address());
             Files.writeString(file(), next.substring(0, next.length() / 2));
             signal("HUP");
             awaitLogLine(Pattern.compile("can't be read, the configuration is unchanged"));
@@ -211,18 +215,18 @@
         }
     }
 
-    /** Started under nohup it can't receive SIGHUP; it logs that instead of ignoring the signal in silence. */
+    /** A process started under nohup can't receive SIGHUP; it logs that instead of silently ignoring the signal. */
     @Test
-    void aSignalThatCannotBeHandledIsLogged() throws Exception {
-        run(SocketGatewayHarness.text(discovery.address(), shelf.address()), "--ignore-signal=HUP");
+    void ignoredSignalIsLogged() throws Exception {
+        run(SocketGatewayHarness.text(discovery.address(), endpoint.address()), "--ignore-signal=HUP");
         awaitLogLine(Pattern.compile("SIGHUP is ignored"));
         awaitLogLine(LISTENS);
     }
 
-    /** A bad configuration at the start: its field is logged, and the exit code is not 0. */
+    /** An invalid configuration at start-up: the log names the field, and the exit code is 1. */
     @Test
-    void aBadFileAtTheStartIsRefused() throws Exception {
-        run(SocketGatewayHarness.text(discovery.address(), shelf.address())
+    void invalidFileAtStartIsRejected() throws Exception {
+        run(SocketGatewayHarness.text(discovery.address(), endpoint.address())
                 .replace("\"memory_mb\": 128", "\"memory_mb\": 0"));
         awaitLogLine(Pattern.compile("config.json: .*\"memory_mb\" is 0"));
         assertTrue(process.waitFor(30, TimeUnit.SECONDS));
--- a/cli/src/test/java/garnetreel/cli/SocketGatewayFixture.java
+++ b/cli/src/test/java/garnetreel/cli/SocketGatewayFixture.java
@@ -9,31 +9,31 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A discovery and a shelf for the tests of a platform's gateway on real sockets. */
+/** A discovery service and an upstream endpoint for tests of the platform's gateway on real sockets. */
 abstract class SocketGatewayFixture {
     ScriptedPeer discovery;
-    ScriptedPeer shelf;
+    ScriptedPeer endpoint;
 
     @BeforeEach
     void listen() throws Exception {
         discovery = ScriptedPeer.listening();
-        shelf = ScriptedPeer.listening();
+        endpoint = ScriptedPeer.listening();
     }
 
     @AfterEach
     void close() throws Exception {
         discovery.close();
-        shelf.close();
+        endpoint.close();
     }
 
     final SocketGatewayHarness gateway() throws Exception {
-        return new SocketGatewayHarness(discovery, shelf);
+        return new SocketGatewayHarness(discovery, endpoint);
     }
 
-    /** A head whose shelf's connections do not come up before they are brought up. */
-    final SocketGatewayHarness gatewayOfABusyShelf() throws Exception {
-        shelf.close();
-        shelf = ScriptedPeer.busy();
+    /** A gateway whose endpoint completes no connection until {@link ScriptedPeer#bringUp}. */
+    final SocketGatewayHarness gatewayWithBusyEndpoint() throws Exception {
+        endpoint.close();
+        endpoint = ScriptedPeer.busy();
         return gateway();
     }
 
--- a/cli/src/test/java/garnetreel/cli/SocketGatewayHarness.java
+++ b/cli/src/test/java/garnetreel/cli/SocketGatewayHarness.java
@@ -24,8 +24,8 @@
 import java.util.function.Predicate;
 
 /**
- * The platform's gateway on real sockets, with a clock that tests may set and the real scheduler, whose events and actions
- * are recorded. A test waits for one of them before its peers take their next step.
+ * The platform's gateway on real sockets, with a clock that tests set and the real scheduler, whose events and actions are
+ * recorded. A test waits for one of them before its peers take their next step.
  */
 final class SocketGatewayHarness implements AutoCloseable {
     private static final int WAIT_SECONDS = 30;
@@ -43,21 +43,21 @@
               "specifics": {"unit-mean": 2, "most-units": 8, "class-writes": [false, true]}}}
             """;
 
-    /** Gives the machine a turn, and nothing else. */
-    private record Nudge() implements NetEvent.Command {}
+    /** Makes the event loop run a turn; has no other effect. */
+    private record RunTurn() implements NetEvent.Command {}
 
-    /** Is released at the end of the turn that handles it. */
-    private record Barrier(CountDownLatch passed) implements NetEvent.Command {}
+    /** Released at the end of the turn that handles it. */
+    private record Barrier(CountDownLatch released) implements NetEvent.Command {}
 
-    /** A state machine that releases barriers. */
-    private record Watched(StateMachine machine) implements StateMachine {
+    /** Wraps a state machine and releases barriers after each turn. */
+    private record BarrierMachine(StateMachine machine) implements StateMachine {
         @Override
         public void handle(long now, List<NetEvent> events, List<NetAction> actions) {
             machine.handle(now, events, actions);
             for (NetEvent event : events) {
                 if (event instanceof NetEvent.CommandReceived received
                         && received.command() instanceof Barrier barrier) {
-                    barrier.passed().countDown();
+                    barrier.released().countDown();
                 }
             }
         }
@@ -71,60 +71,64 @@
     final EventLoop eventLoop;
     final String address;
     final AtomicLong clock = new AtomicLong(1_000_000_000L);
-    private final BlockingQueue<Object> seen = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Object> recorded = new LinkedBlockingQueue<>();
     private volatile Predicate<SchedulerEvent> halt = event -> false;
     private final CountDownLatch halted = new CountDownLatch(1);
     private final CountDownLatch resume = new CountDownLatch(1);
 
-    SocketGatewayHarness(ScriptedPeer discovery, ScriptedPeer shelf) throws Exception {
-        this(config(discovery.address(), shelf.address()));
+    SocketGatewayHarness(ScriptedPeer discovery, ScriptedPeer endpoint) throws Exception {
+        this(config(discovery.address(), endpoint.address()));
     }
 
-    /** A gateway with so many file descriptors, which limit its client connections. */
-    static SocketGatewayHarness withDescriptors(int descriptors, ScriptedPeer discovery, ScriptedPeer shelf)
+    /** A gateway with this number of file descriptors, which limits its client connections. */
+    static SocketGatewayHarness withDescriptors(int descriptors, ScriptedPeer discovery, ScriptedPeer endpoint)
             throws Exception {
-        String text =
-                text(discovery.address(), shelf.address()).replace("\"sockets\": 512", "\"sockets\": " + descriptors);
+        String text = text(discovery.address(), endpoint.address())
+                .replace("\"sockets\": 512", "\"sockets\": " + descriptors);
         return new SocketGatewayHarness(PlatformSettings.read(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     private SocketGatewayHarness(PlatformSettings settings) throws Exception {
-        FairQueueScheduler control = new FairQueueScheduler(settings.scheduling(), settings.seed());
-        Scheduler spied = (now, events) -> {
-            seen.addAll(events);
+        FairQueueScheduler scheduler = new FairQueueScheduler(settings.scheduling(), settings.seed());
+        Scheduler recordingScheduler = (now, events) -> {
+            recorded.addAll(events);
             if (events.stream().anyMatch(halt)) {
                 halted.countDown();
                 await(resume);
             }
-            List<SchedulerAction> actions = control.decide(now, events);
-            seen.addAll(actions);
+            List<SchedulerAction> actions = scheduler.decide(now, events);
+            recorded.addAll(actions);
             return actions;
         };
         eventLoop = new EventLoop(
-                        "head", new Watched(new PlatformGateway(settings, spied)), clock::get, (name, data) -> {})
+                        "head",
+                        new BarrierMachine(new PlatformGateway(settings, recordingScheduler)),
+                        clock::get,
+                        (name, data) -> {})
                 .start();
         address = eventLoop.boundAddress(PlatformGateway.CLIENT_LISTENER).get(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    static PlatformSettings config(String discovery, String shelf) throws Exception {
-        return PlatformSettings.read(text(discovery, shelf).getBytes(StandardCharsets.UTF_8));
+    static PlatformSettings config(String discovery, String endpoint) throws Exception {
+        return PlatformSettings.read(text(discovery, endpoint).getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A configuration file. */
-    static String text(String discovery, String shelf) {
-        return String.format(CONFIG, discovery, entry(shelf, "up"));
+    /** The text of a configuration file. */
+    static String text(String discovery, String endpoint) {
+        return String.format(CONFIG, discovery, entry(endpoint, "up"));
     }
 
-    static String entry(String shelf, String health) {
-        return "{\"host\":\"s-1\",\"dial\":\"" + shelf + "\",\"site\":\"a\",\"class\":\"c\",\"block\":0,\"health\":\""
-                + health + "\",\"share\":1.0,\"born_ms\":0}";
+    static String entry(String endpoint, String health) {
+        return "{\"host\":\"s-1\",\"dial\":\"" + endpoint
+                + "\",\"site\":\"a\",\"class\":\"c\",\"block\":0,\"health\":\"" + health
+                + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
     static String list(int version, boolean whole, String entries) {
         return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + entries + "]}";
     }
 
-    /** The head of a watch's answer, and its first object. */
+    /** The header of the response to a watch, and its first object. */
     static String watch(String first) {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(first);
     }
@@ -149,50 +153,50 @@
 
     /** Waits for an event or an action of a type. */
     <T> T await(Class<T> type) throws InterruptedException {
-        for (Object one = seen.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-                one != null;
-                one = seen.poll(WAIT_SECONDS, TimeUnit.SECONDS)) {
-            if (type.isInstance(one)) {
-                return type.cast(one);
+        for (Object next = recorded.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+                next != null;
+                next = recorded.poll(WAIT_SECONDS, TimeUnit.SECONDS)) {
+            if (type.isInstance(next)) {
+                return type.cast(next);
             }
         }
         throw new AssertionError("no " + type.getSimpleName() + " occurred");
     }
 
-    /** Waits for an event or an action that fits. */
-    Object await(Predicate<Object> fits) throws InterruptedException {
-        for (Object one = seen.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-                one != null;
-                one = seen.poll(WAIT_SECONDS, TimeUnit.SECONDS)) {
-            if (fits.test(one)) {
-                return one;
+    /** Waits for an event or an action that matches. */
+    Object await(Predicate<Object> condition) throws InterruptedException {
+        for (Object next = recorded.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+                next != null;
+                next = recorded.poll(WAIT_SECONDS, TimeUnit.SECONDS)) {
+            if (condition.test(next)) {
+                return next;
             }
         }
-        throw new AssertionError("nothing that fits occurred");
+        throw new AssertionError("no matching event or action occurred");
     }
 
-    /** Fails if there is nothing of a type among what has been seen and not yet waited for. */
-    void drainSeen(Class<?> type) {
+    /** Removes all recorded events and actions that were not waited for yet; fails if none is of this type. */
+    void drainRecorded(Class<?> type) {
         List<Object> all = new ArrayList<>();
-        seen.drainTo(all);
+        recorded.drainTo(all);
         if (all.stream().noneMatch(type::isInstance)) {
             throw new AssertionError("no " + type.getSimpleName() + " among " + all);
         }
     }
 
-    /** Advances the clock, and gives the gateway a turn. */
+    /** Advances the clock and makes the gateway run a turn. */
     void advance(long micros) {
         clock.addAndGet(micros);
-        eventLoop.submitCommand(new Nudge());
+        eventLoop.submitCommand(new RunTurn());
     }
 
-    /** Advances the clock past the delay by which gateways that start at once spread their first call for the list. */
+    /** Advances the clock past the delay that spreads the first list calls of gateways that start at the same time. */
     SocketGatewayHarness afterStartDelay() {
         advance(3_000_000);
         return this;
     }
 
-    /** Halts the gateway's only thread in the turn that has this event, until {@link #resume}. */
+    /** Blocks the gateway's only thread in the turn with a matching event, until {@link #resume}. */
     void haltAt(Predicate<SchedulerEvent> event) {
         halt = event;
     }
@@ -208,21 +212,21 @@
     private static void await(CountDownLatch latch) {
         try {
             if (!latch.await(WAIT_SECONDS, TimeUnit.SECONDS)) {
-                throw new AssertionError("not released");
+                throw new AssertionError("latch was not released in time");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits until the gateway has handled what it was sent before. */
+    /** Waits until the gateway has handled everything submitted before. */
     void awaitTurn() {
         Barrier barrier = new Barrier(new CountDownLatch(1));
         eventLoop.submitCommand(barrier);
-        await(barrier.passed());
+        await(barrier.released());
     }
 
-    /** Waits until nobody listens any more at the gateway's address. Its clock advances only after it has handled the shutdown. */
+    /** Waits until the gateway's listener is closed. The clock advances only after the gateway has handled the shutdown. */
     void awaitListenerClosed() throws InterruptedException {
         awaitTurn();
         for (long tries = 0; tries < 1_000_000; tries++) {
@@ -233,7 +237,7 @@
                 return;
             }
         }
-        throw new AssertionError("it still listens");
+        throw new AssertionError("the gateway still listens");
     }
 
     @Override
--- a/cli/src/test/java/garnetreel/cli/StaleListTest.java
+++ b/cli/src/test/java/garnetreel/cli/StaleListTest.java
@@ -14,24 +14,24 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Discovery can be reached and gives no list: after 6 s every change counts as notified, so a server may have drained
- * unknown to the gateway. Only a server that accepted a request lately is known not to have.
+ * Discovery is reachable but sends no list: after 6 s every change counts as notified, so an endpoint may be draining without
+ * the gateway's knowledge. Only an endpoint that recently accepted a request is known not to be draining.
  */
 @Timeout(120)
 class StaleListTest extends SocketGatewayFixture {
     private static final long SECOND = 1_000_000;
 
     private static void awaitList(SocketGatewayHarness gateway, EndpointUpdateKind kind) throws InterruptedException {
-        gateway.await(one -> one instanceof EndpointUpdate update && update.kind() == kind);
+        gateway.await(recorded -> recorded instanceof EndpointUpdate update && update.kind() == kind);
     }
 
-    /** Lets a watch deliver one list and then fall silent, and the next call wait for its answer in vain. */
-    private Line loseTheList(SocketGatewayHarness gateway, Runnable whileSilent) throws Exception {
+    /** A watch delivers one list and then falls silent; the next call is read and left without a response. */
+    private Line makeListStale(SocketGatewayHarness gateway, Runnable whileSilent) throws Exception {
         gateway.afterStartDelay();
         try (Line watch = discovery.accept()) {
             watch.read();
             watch.send(SocketGatewayHarness.watch(
-                    SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(shelf.address(), "up"))));
+                    SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
             awaitList(gateway, EndpointUpdateKind.SNAPSHOT);
             gateway.advance(3_200_000);
             awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
@@ -44,47 +44,51 @@
     }
 
     @Test
-    void aServerOfWhichNothingIsKnownGetsNothingOnceTheListIsLost() throws Exception {
-        try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, shelf);
-                Line call = loseTheList(gateway, () -> {})) {
-            gateway.advance(2 * SECOND); // 6.0 s since the watch was last heard
+    void endpointWithoutRecentRequestsGetsNoneOnceTheListIsStale() throws Exception {
+        try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, endpoint);
+                Line call = makeListStale(gateway, () -> {})) {
+            gateway.advance(2 * SECOND); // 6.0 s since the last event of the watch
             try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
-                Object decided = gateway.await(one -> one instanceof SendAttempt || one instanceof RejectRequest);
-                assertInstanceOf(RejectRequest.class, decided);
+                Object decision =
+                        gateway.await(recorded -> recorded instanceof SendAttempt || recorded instanceof RejectRequest);
+                assertInstanceOf(RejectRequest.class, decision);
                 assertTrue(client.read().startsWith("HTTP/1.1 503 "));
                 call.send(SocketGatewayHarness.watch(
-                        SocketGatewayHarness.list(3, true, SocketGatewayHarness.entry(shelf.address(), "up"))));
+                        SocketGatewayHarness.list(3, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
                 awaitList(gateway, EndpointUpdateKind.SNAPSHOT);
             }
             try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50));
-                    Line sent = shelf.accept()) {
-                assertTrue(sent.read().contains("0000000000000002"), "with the list back all is as before");
-                sent.send(SocketGatewayHarness.response("result"));
+                    Line upstream = endpoint.accept()) {
+                assertTrue(upstream.read().contains("0000000000000002"), "with a new list the endpoint is used again");
+                upstream.send(SocketGatewayHarness.response("result"));
                 assertTrue(client.read().endsWith("result"));
             }
         }
     }
 
     @Test
-    void aServerThatTookOnARequestLatelyGetsMore() throws Exception {
-        try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, shelf)) {
-            Line unanswered = loseTheList(gateway, () -> serve(gateway, 1));
+    void endpointThatRecentlyAcceptedARequestGetsMore() throws Exception {
+        try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, endpoint)) {
+            Line unanswered = makeListStale(gateway, () -> serve(gateway, 1));
             gateway.advance(2 * SECOND);
             serve(gateway, 2);
-            gateway.advance(500_000); // discovery's answer has not been waited for in full yet
+            gateway.advance(500_000); // the call to discovery has not timed out yet
             serve(gateway, 3);
             unanswered.close();
         }
     }
 
-    /** Discovery goes down, which closes watches: nothing can be notified before it is back, so all goes on, however long that takes. */
+    /**
+     * An outage of discovery closes the watches. No change can be notified until it is back, so requests are served however
+     * long the outage lasts.
+     */
     @Test
-    void anOutageOfDiscoveryStopsNothing() throws Exception {
-        try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, shelf).afterStartDelay()) {
+    void requestsAreServedDuringADiscoveryOutage() throws Exception {
+        try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, endpoint).afterStartDelay()) {
             Line watch = discovery.accept();
             watch.read();
             watch.send(SocketGatewayHarness.watch(
-                    SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(shelf.address(), "up"))));
+                    SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
             awaitList(gateway, EndpointUpdateKind.SNAPSHOT);
             watch.reset();
             awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
@@ -105,8 +109,8 @@
             try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
                 assertInstanceOf(
                         RejectRequest.class,
-                        gateway.await(one -> one instanceof SendAttempt || one instanceof RejectRequest),
-                        "it is up, and crowded");
+                        gateway.await(recorded -> recorded instanceof SendAttempt || recorded instanceof RejectRequest),
+                        "discovery is up but overloaded");
                 assertTrue(client.read().startsWith("HTTP/1.1 503 "));
             }
         }
@@ -116,10 +120,11 @@
         try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(number, 50))) {
             assertInstanceOf(
                     SendAttempt.class,
-                    gateway.await(one -> one instanceof SendAttempt || one instanceof RejectRequest));
-            try (Line sent = shelf.accept()) {
-                sent.read();
-                sent.send(SocketGatewayHarness.response("result").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+                    gateway.await(recorded -> recorded instanceof SendAttempt || recorded instanceof RejectRequest));
+            try (Line upstream = endpoint.accept()) {
+                upstream.read();
+                upstream.send(
+                        SocketGatewayHarness.response("result").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
                 assertTrue(client.read().endsWith("result"));
                 gateway.await(AttemptCompleted.class);
             }
--- a/cli/src/test/java/garnetreel/cli/StoredStateTest.java
+++ b/cli/src/test/java/garnetreel/cli/StoredStateTest.java
@@ -40,12 +40,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * State files that version 0.2 wrote are read as that version read them: the map service's journal, the file catalogue,
+ * State files written by version 0.2 must be read as that version read them: the map service's journal, the file catalogue,
  * and a gateway's cached extent map and node list. The files and the expected texts are in {@code stored-state-0.2}.
  */
 @Timeout(120)
 class StoredStateTest {
-    private static final String FOLDER = "/stored-state-0.2";
+    private static final String STATE_RESOURCE = "/stored-state-0.2";
     private static final long EXTENT_BYTES = 1 << 20;
     private static final int TRANSACTIONS = 39;
     private static final String LOOPBACK = "127.0.0.1:";
@@ -54,12 +54,12 @@
     Path temp;
 
     private final ServiceProcess process = new ServiceProcess();
-    private BackgroundJournalWriter keeper;
+    private BackgroundJournalWriter journalWriter;
     private Path file;
 
     @BeforeEach
     void copy() throws Exception {
-        Path source = Path.of(StoredStateTest.class.getResource(FOLDER).toURI());
+        Path source = Path.of(StoredStateTest.class.getResource(STATE_RESOURCE).toURI());
         try (Stream<Path> all = Files.walk(source)) {
             for (Path from : all.filter(Files::isRegularFile).toList()) {
                 Path to = temp.resolve(source.relativize(from).toString());
@@ -74,13 +74,13 @@
     @AfterEach
     void close() {
         process.close();
-        if (keeper != null) {
-            keeper.close();
+        if (journalWriter != null) {
+            journalWriter.close();
         }
     }
 
     @Test
-    void fileCatalogueIsReadAsItWas() throws Exception {
+    void fileCatalogueIsReadUnchanged() throws Exception {
         String checked = run("files", "check", file.toString(), "--head", "0");
         assertTrue(checked.contains(" 26 names, 2518259 bytes,"), checked);
         assertEquals(expected("files-check.txt"), checked);
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void journalOfTheMapServiceIsReadAsItWas() throws Exception {
+    void mapServiceJournalIsReadUnchanged() throws Exception {
         try (ServerSocket silentNodeList = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String service = startMapService(LOOPBACK + silentNodeList.getLocalPort());
             List<String> status = run("map", "--service", service, "status")
@@ -103,20 +103,20 @@
     }
 
     @Test
-    void cachedMapOfAGatewayIsReadAsItWas() throws Exception {
-        List<NetAction> notes = new ArrayList<>();
-        MapServiceClient map = cachedMap(notes);
-        assertEquals(List.of(), notes);
+    void cachedMapOfAGatewayIsReadUnchanged() throws Exception {
+        List<NetAction> actions = new ArrayList<>();
+        MapServiceClient map = cachedMap(actions);
+        assertEquals(List.of(), actions);
         assertEquals(10, map.version());
-        assertEquals(shownRows("map-show-1.txt"), places(map, "births", 64));
-        assertEquals(shownRows("map-show-2.txt"), places(map, "folders", 32));
+        assertEquals(shownRows("map-show-1.txt"), extentRows(map, "births", 64));
+        assertEquals(shownRows("map-show-2.txt"), extentRows(map, "folders", 32));
     }
 
     @Test
-    void cachedNodeListOfAGatewayIsReadAsItWas() throws Exception {
-        List<NetAction> notes = new ArrayList<>();
-        List<String> nodes = cachedNodes(notes);
-        assertEquals(List.of(), notes);
+    void cachedNodeListOfAGatewayIsReadUnchanged() throws Exception {
+        List<NetAction> actions = new ArrayList<>();
+        List<String> nodes = cachedNodes(actions);
+        assertEquals(List.of(), actions);
         assertEquals(
                 List.of("127.0.0.1:4720 zone-a shard 0 UP 1.0 0", "127.0.0.1:4721 zone-a shard 1 UP 1.0 0"), nodes);
         assertEquals(3, cachedNodeListVersion());
@@ -126,7 +126,7 @@
         return Files.readString(temp.resolve("expected").resolve(name));
     }
 
-    /** The transactions that version 0.2 wrote, without the heading and without what starts since then added. */
+    /** The rows of the transactions that version 0.2 wrote, without the heading and the rows that later starts added. */
     private static String storedRows(String history) {
         StringBuilder rows = new StringBuilder();
         history.lines()
@@ -144,46 +144,46 @@
                 .toList();
     }
 
-    /** Runs a command that has to succeed and gives what it printed. */
-    private static String run(String... words) {
+    /** Runs a command, which has to succeed, and returns its standard output. */
+    private static String run(String... arguments) {
         PrintStream out = System.out;
         PrintStream err = System.err;
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        ByteArrayOutputStream complained = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
-        System.setErr(new PrintStream(complained, true, StandardCharsets.UTF_8));
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        ByteArrayOutputStream errors = new ByteArrayOutputStream();
+        System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
+        System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
         int code;
         try {
-            code = runMain(words);
+            code = runMain(arguments);
         } finally {
             System.setOut(out);
             System.setErr(err);
         }
-        assertEquals(0, code, () -> String.join(" ", words) + ": " + complained.toString(StandardCharsets.UTF_8));
-        return said.toString(StandardCharsets.UTF_8);
+        assertEquals(0, code, () -> String.join(" ", arguments) + ": " + errors.toString(StandardCharsets.UTF_8));
+        return output.toString(StandardCharsets.UTF_8);
     }
 
-    private static int runMain(String... words) {
-        return Main.run(List.of(), words);
+    private static int runMain(String... arguments) {
+        return Main.run(List.of(), arguments);
     }
 
     private Settings settings() throws Exception {
         return Settings.read(file);
     }
 
-    /** Starts the map service on its stored state as its command does, on a free port, and gives its address. */
+    /** Starts the map service on its stored state as its command does, on a free port, and returns its address. */
     private String startMapService(String nodeList) throws Exception {
         Settings settings = settings();
         Path directory = temp.resolve("state/map");
         Journal journal = new Journal(directory.resolve("map.journal"));
-        Journal.Contents kept = journal.contents();
-        MapState state = MapState.recover(settings.initialMaps(), kept.snapshot(), kept.records());
-        keeper = new BackgroundJournalWriter(new StateDirectory(directory), journal);
-        EventLoop driver = process.run(
+        Journal.Contents contents = journal.contents();
+        MapState state = MapState.recover(settings.initialMaps(), contents.snapshot(), contents.records());
+        journalWriter = new BackgroundJournalWriter(new StateDirectory(directory), journal);
+        EventLoop eventLoop = process.run(
                 "mapd",
                 new MapService(settings.mapService(LOOPBACK + 0, nodeList, process.clock.currentMicros()), state),
-                keeper);
-        return ServiceProcess.bound(driver, MapService.LISTENER);
+                journalWriter);
+        return ServiceProcess.bound(eventLoop, MapService.LISTENER);
     }
 
     private GatewaySettings gateway() throws Exception {
@@ -194,30 +194,30 @@
         return new StateDirectory(temp.resolve("state/head-0")).read(name).orElseThrow();
     }
 
-    private MapServiceClient cachedMap(List<NetAction> notes) throws Exception {
-        MapServiceClient link = new MapServiceClient(gateway(), new ConnectionIdAllocator());
-        link.beginTurn(0, notes);
-        link.start(cached(MapServiceClient.CACHE_NAME));
-        return link;
+    private MapServiceClient cachedMap(List<NetAction> actions) throws Exception {
+        MapServiceClient client = new MapServiceClient(gateway(), new ConnectionIdAllocator());
+        client.beginTurn(0, actions);
+        client.start(cached(MapServiceClient.CACHE_NAME));
+        return client;
     }
 
-    /** Where a gateway sends requests for each extent of a volume, in the form of the rows of {@code map show}. */
-    private List<String> places(MapServiceClient map, String name, int extents) throws Exception {
+    /** Extent, shard and version of each extent of a volume in a cached map, in the form of the rows of {@code map show}. */
+    private List<String> extentRows(MapServiceClient map, String name, int extents) throws Exception {
         Volume volume = settings().volumes().get(name);
         List<String> rows = new ArrayList<>();
         for (long extent = 0; extent < extents; extent++) {
-            ExtentLayout.ExtentLocation place = map.locate(volume, extent * EXTENT_BYTES);
-            rows.add(extent + " " + place.shard() + " " + place.version());
+            ExtentLayout.ExtentLocation location = map.locate(volume, extent * EXTENT_BYTES);
+            rows.add(extent + " " + location.shard() + " " + location.version());
         }
         return rows;
     }
 
-    private List<String> cachedNodes(List<NetAction> notes) throws Exception {
-        List<EndpointUpdate> news = new ArrayList<>();
-        NodeListClient link = new NodeListClient(gateway(), new ConnectionIdAllocator(), news::add);
-        link.beginTurn(0, notes);
-        link.start(cached(NodeListClient.CACHE_NAME));
-        return news.stream()
+    private List<String> cachedNodes(List<NetAction> actions) throws Exception {
+        List<EndpointUpdate> updates = new ArrayList<>();
+        NodeListClient client = new NodeListClient(gateway(), new ConnectionIdAllocator(), updates::add);
+        client.beginTurn(0, actions);
+        client.start(cached(NodeListClient.CACHE_NAME));
+        return updates.stream()
                 .flatMap(n -> n.entries().stream())
                 .map(e -> e.address() + " " + e.zone() + " shard " + e.shard() + " " + e.state() + " " + e.weight()
                         + " " + e.startedAt())
--- a/cli/src/test/java/garnetreel/cli/config/SettingsTest.java
+++ b/cli/src/test/java/garnetreel/cli/config/SettingsTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Each error names file, place, key, what was found and what was expected. */
+/** Validation of settings files: each error names file, location, key, the value found and the one expected. */
 class SettingsTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             service {
               heads = 2
@@ -52,51 +52,52 @@
                 .problems();
     }
 
-    private static void wrong(String old, String replacement, String expected) {
-        assertTrue(GOOD.contains(old));
-        List<String> problems = problems(GOOD.replace(old, replacement));
+    private static void assertProblem(String original, String replacement, String expected) {
+        assertTrue(VALID.contains(original));
+        List<String> problems = problems(VALID.replace(original, replacement));
         assertTrue(
                 problems.stream().anyMatch(p -> p.startsWith("f.hcl:") && p.contains(expected)),
                 expected + " in " + problems);
     }
 
     @Test
-    void goodSettingsAreRead() throws Exception {
-        Settings settings = Settings.of(HclFile.parse("f.hcl", GOOD));
+    void validSettingsAreRead() throws Exception {
+        Settings settings = Settings.of(HclFile.parse("f.hcl", VALID));
         assertEquals(64 << 20, settings.volumes().get("births").size());
         assertEquals(400_000, settings.classes().get("read").latencyObjective());
         assertEquals(19, settings.scheduling(0).plans().get(0).rateLimit());
     }
 
     @Test
-    void formIsChecked() {
-        wrong("heads = 2", "heads = \"two\"", "f.hcl:2:3: service heads is \"two\"; a number is expected");
-        wrong("heads = 2", "heads = 2\n  haeds = 3", "f.hcl:3:3: service haeds is not a known key here");
-        wrong("\"400ms\"", "\"400\"", "class read aim is \"400\"; a duration such as");
-        wrong("\"64MiB\"", "\"64MB\"", "volume births size is \"64MB\"; a size such as");
-        wrong("\"repeatable\"", "\"maybe\"", "class read effect is \"maybe\"; one of");
-        wrong("  id          = 1\n", "", "volume births lacks \"id\"");
-        wrong("weight = 1", "weight = 1e3", "\"1e3\" is no plain decimal number");
+    void schemaViolationsAreReported() {
+        assertProblem("heads = 2", "heads = \"two\"", "f.hcl:2:3: service heads is \"two\"; a number is expected");
+        assertProblem("heads = 2", "heads = 2\n  haeds = 3", "f.hcl:3:3: service haeds is not a known key here");
+        assertProblem("\"400ms\"", "\"400\"", "class read aim is \"400\"; a duration such as");
+        assertProblem("\"64MiB\"", "\"64MB\"", "volume births size is \"64MB\"; a size such as");
+        assertProblem("\"repeatable\"", "\"maybe\"", "class read effect is \"maybe\"; one of");
+        assertProblem("  id          = 1\n", "", "volume births lacks \"id\"");
+        assertProblem("weight = 1", "weight = 1e3", "\"1e3\" is no plain decimal number");
     }
 
     @Test
-    void meaningIsChecked() {
-        wrong("plan        = \"archive\"", "plan = \"gold\"", "names the plan \"gold\", and there is none");
-        wrong("flush_class = \"read\"", "flush_class = \"write\"", "names the class \"write\", and there is none");
-        wrong("aim      = \"400ms\"", "aim = \"3s\"", "at most the deadline");
-        wrong("burst  = 48", "burst = 2", "at least the largest request");
-        wrong("\"64MiB\"", "\"1000B\"", "a multiple of 4KiB is expected");
-        wrong("shards      = [0, 1]", "shards = [0]\n  hosts = 9", "the service has 2 heads");
-        wrong("\"64MiB\"", "\"999999999TiB\"", "too large a size");
+    void invalidValuesAreReported() {
+        assertProblem("plan        = \"archive\"", "plan = \"gold\"", "names the plan \"gold\", and there is none");
+        assertProblem(
+                "flush_class = \"read\"", "flush_class = \"write\"", "names the class \"write\", and there is none");
+        assertProblem("aim      = \"400ms\"", "aim = \"3s\"", "at most the deadline");
+        assertProblem("burst  = 48", "burst = 2", "at least the largest request");
+        assertProblem("\"64MiB\"", "\"1000B\"", "a multiple of 4KiB is expected");
+        assertProblem("shards      = [0, 1]", "shards = [0]\n  hosts = 9", "the service has 2 heads");
+        assertProblem("\"64MiB\"", "\"999999999TiB\"", "too large a size");
     }
 
     @Test
-    void textThatWouldBeDroppedIsRefused() {
+    void textThatHcl4jWouldSkipIsRejected() {
         assertEquals(List.of("f.hcl:1:10: a value is missing"), problems("listen = \n foo { a = [1,"));
         assertTrue(
                 problems("").get(0).contains("the file lacks \"service\""),
                 problems("").toString());
-        for (String bad : List.of(
+        for (String invalid : List.of(
                 "a = 1 b = 2",
                 "a {",
                 "a = [1,",
@@ -116,15 +117,15 @@
                 "a = [1 2]",
                 "= 3",
                 "\"a\" = 3")) {
-            assertTrue(problems(bad).get(0).startsWith("f.hcl:"), bad);
+            assertTrue(problems(invalid).get(0).startsWith("f.hcl:"), invalid);
         }
     }
 
     @Test
-    void eachTruncationIsRefusedOrReadWhole() {
-        // A file cut short must not pass as another one with less in it, unless it ends between two blocks.
-        for (int length = 0; length < GOOD.length(); length++) {
-            String cut = GOOD.substring(0, length);
+    void truncatedFilesAreRejected() {
+        // A truncated file must not pass as a valid one with fewer settings, unless it ends between two blocks.
+        for (int length = 0; length < VALID.length(); length++) {
+            String cut = VALID.substring(0, length);
             if (!cut.isBlank() && !cut.stripTrailing().endsWith("}")) {
                 assertTrue(!problems(cut).isEmpty());
             }
@@ -132,32 +133,33 @@
     }
 
     @Test
-    void daysThatComeWithTheProgramAreGood() throws Exception {
-        try (Stream<Path> days = Files.list(Path.of("../days"))) {
-            for (Path day : days.filter(d -> d.toString().endsWith(".hcl")).toList()) {
-                assertTrue(!ScenarioFile.read(day).about().isEmpty(), day.toString());
+    void bundledScenariosAreValid() throws Exception {
+        try (Stream<Path> files = Files.list(Path.of("../days"))) {
+            for (Path scenario :
+                    files.filter(f -> f.toString().endsWith(".hcl")).toList()) {
+                assertTrue(!ScenarioFile.read(scenario).about().isEmpty(), scenario.toString());
             }
         }
     }
 
     @Test
-    void dayIsLaidOverItsDeploymentAndErrorsNameTheRightFile(@TempDir Path temp) throws Exception {
-        Files.writeString(temp.resolve("base"), GOOD);
-        Path day = temp.resolve("day.hcl");
+    void scenarioOverridesItsDeploymentAndErrorsNameTheirFile(@TempDir Path temp) throws Exception {
+        Files.writeString(temp.resolve("base"), VALID);
+        Path scenario = temp.resolve("day.hcl");
         Files.writeString(
-                day, "day {\n  length = \"1s\"\n  deployment = \"base\"\n}\nplan \"archive\" {\n  rate = 7\n}\n");
-        Settings settings = Settings.read(day);
+                scenario, "day {\n  length = \"1s\"\n  deployment = \"base\"\n}\nplan \"archive\" {\n  rate = 7\n}\n");
+        Settings settings = Settings.read(scenario);
         assertEquals(7, settings.plans().get("archive").provisionedRate());
         assertEquals(19, settings.plans().get("archive").rateLimit());
-        Files.writeString(temp.resolve("base"), GOOD.replace("\"400ms\"", "\"400\""));
-        String problem = assertThrows(SettingsException.class, () -> Settings.read(day))
+        Files.writeString(temp.resolve("base"), VALID.replace("\"400ms\"", "\"400\""));
+        String problem = assertThrows(SettingsException.class, () -> Settings.read(scenario))
                 .problems()
                 .get(0);
         assertTrue(problem.startsWith(temp.resolve("base") + ":5:3: class read aim is \"400\""), problem);
     }
 
     @Test
-    void tracesKeepTheirSchema(@TempDir Path temp) throws Exception {
+    void tracesConformToTheirSchema(@TempDir Path temp) throws Exception {
         TraceEvent event = TraceEvent.client(5, "load", "0", TraceEvent.Kind.REPLY, 7, "write", 1, 4096, 512, "served");
         Path file = temp.resolve("trace.json");
         try (TraceFile trace = new TraceFile(file)) {
