--- a/cli/src/main/java/garnetreel/cli/ServiceProcess.java
+++ b/cli/src/main/java/garnetreel/cli/ServiceProcess.java
@@ -105,8 +105,7 @@
             try {
                 gateway.stopped().get(longestDeadlineMicros, TimeUnit.MICROSECONDS);
             } catch (InterruptedException | ExecutionException | TimeoutException e) {
-                // The interrupt flag is not restored: the JVM halts next, and close() must complete pending writes
-                // first.
+                // The interrupt flag is not restored: close() must complete pending writes before the JVM halts.
                 code = ExitCode.FAILED;
             }
             close();
