--- a/cli/src/main/java/garnetreel/cli/GatewayState.java
+++ b/cli/src/main/java/garnetreel/cli/GatewayState.java
@@ -22,7 +22,7 @@
     static final String FILES_JOURNAL = "files.journal";
 
     /** The state of an instance without a state directory. */
-    static final GatewayState NONE = new GatewayState(null, null, StoredCatalogue.NOTHING, null);
+    static final GatewayState NONE = new GatewayState(null, null, StoredCatalogue.EMPTY, null);
 
     /**
      * Reads a state directory and starts its writer.
@@ -33,7 +33,7 @@
         StateDirectory directory = new StateDirectory(path);
         byte[] nodeList = directory.read(NodeListClient.CACHE_NAME).orElse(null);
         byte[] maps = directory.read(MapServiceClient.CACHE_NAME).orElse(null);
-        StoredCatalogue files = StoredCatalogue.NOTHING;
+        StoredCatalogue files = StoredCatalogue.EMPTY;
         Journal journal = null;
         if (servesFiles) {
             journal = new Journal(path.resolve(FILES_JOURNAL));
--- a/cli/src/main/java/garnetreel/cli/config/ServiceReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/ServiceReader.java
@@ -16,7 +16,7 @@
     private static final int MIN_KEY_BYTES = 512;
 
     /** Largest payload of a sub-request: a frame of the node protocol less 4096 bytes for the frame's other fields. */
-    private static final long MAX_SUB_REQUEST_BYTES = LengthPrefixedFrames.MOST - 4096;
+    private static final long MAX_SUB_REQUEST_BYTES = LengthPrefixedFrames.MAX_BODY_BYTES - 4096;
 
     private final SettingsValues values;
     private final Map<Integer, String> listenAddresses = new TreeMap<>();
--- a/cli/src/main/java/garnetreel/cli/config/Settings.java
+++ b/cli/src/main/java/garnetreel/cli/config/Settings.java
@@ -1,7 +1,7 @@
 package garnetreel.cli.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import garnetreel.codec.map.MapMessage.Whole;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.core.GatewaySettings;
 import garnetreel.core.GatewaySettings.Bounds;
 import garnetreel.core.Volume;
@@ -199,7 +199,7 @@
     // ---------------------------------------------------------------- the map service
 
     /** The extent maps of a service before any migration. */
-    public Whole initialMaps() {
+    public Snapshot initialMaps() {
         return volumes.initialMaps();
     }
 
--- a/cli/src/main/java/garnetreel/cli/config/VolumeReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/VolumeReader.java
@@ -1,7 +1,7 @@
 package garnetreel.cli.config;
 
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.codec.map.MapMessage.VolumeMap;
-import garnetreel.codec.map.MapMessage.Whole;
 import garnetreel.core.ExtentLayout;
 import garnetreel.core.Volume;
 import garnetreel.policy.config.Idempotency;
@@ -111,7 +111,7 @@
     }
 
     /** The extent maps of a service before any migration. */
-    Whole initialMaps() {
+    Snapshot initialMaps() {
         List<VolumeMap> maps = new ArrayList<>();
         for (Volume volume : volumes.values()) {
             String path = SettingsValues.block("volume", volume.name());
@@ -119,6 +119,6 @@
             long extents = (volume.size() + extent - 1) / extent;
             maps.add(new VolumeMap(volume.id(), extents, (int) extent, values.integers(path + "/shards"), List.of()));
         }
-        return new Whole(1, 1, maps);
+        return new Snapshot(1, 1, maps);
     }
 }
--- a/cli/src/main/java/garnetreel/cli/map/DiffCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/DiffCommand.java
@@ -7,7 +7,7 @@
 import garnetreel.codec.ProtocolException;
 import garnetreel.codec.map.MapCodec;
 import garnetreel.codec.map.MapMessage.Changes;
-import garnetreel.codec.map.MapMessage.Whole;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.core.connection.MapServiceClient;
 import garnetreel.map.ExtentMap;
 import garnetreel.map.MapCache;
@@ -74,7 +74,7 @@
 
     private static MapCache maps(MapClient client) throws IOException {
         MapCache cache = new MapCache();
-        if (client.changesSince(0, 0) instanceof Whole snapshot) {
+        if (client.changesSince(0, 0) instanceof Snapshot snapshot) {
             cache.apply(snapshot);
         }
         return cache;
@@ -96,7 +96,7 @@
         ByteQueue queue = new ByteQueue();
         queue.add(ByteBuffer.wrap(bytes));
         try {
-            if (MapCodec.next(queue) instanceof Whole snapshot) {
+            if (MapCodec.next(queue) instanceof Snapshot snapshot) {
                 MapCache cache = new MapCache();
                 cache.apply(snapshot);
                 return cache;
--- a/cli/src/main/java/garnetreel/cli/map/NbdReader.java
+++ b/cli/src/main/java/garnetreel/cli/map/NbdReader.java
@@ -1,7 +1,7 @@
 package garnetreel.cli.map;
 
 import garnetreel.codec.nbd.Nbd;
-import garnetreel.codec.nbd.NbdReplies;
+import garnetreel.codec.nbd.NbdClientCodec;
 import java.io.IOException;
 
 /** Reads an export through a gateway, one request at a time. */
@@ -9,15 +9,15 @@
     private static final int TIMEOUT_MILLIS = 30_000;
     private static final int READ_BYTES = 1 << 17;
 
-    private final BlockingConnection<NbdReplies.Said> connection;
+    private final BlockingConnection<NbdClientCodec.ServerMessage> connection;
     private long cookie;
 
     /** Connects and opens the export. */
     NbdReader(String address, String export) throws IOException {
-        connection =
-                new BlockingConnection<>("the gateway", address, TIMEOUT_MILLIS, READ_BYTES, new NbdReplies()::next);
-        connection.send(NbdReplies.opening(export));
-        while (!(connection.receive() instanceof NbdReplies.Ready)) {
+        connection = new BlockingConnection<>(
+                "the gateway", address, TIMEOUT_MILLIS, READ_BYTES, new NbdClientCodec()::next);
+        connection.send(NbdClientCodec.encodeHandshake(export));
+        while (!(connection.receive() instanceof NbdClientCodec.Ready)) {
             // skips the replies to the options, which precede the opening of the export
         }
     }
@@ -28,10 +28,10 @@
      * @throws RequestRejectedException when the gateway does not serve the read
      */
     byte[] read(long offset, int length) throws IOException {
-        connection.send(NbdReplies.request(Nbd.CMD_READ, 0, ++cookie, offset, length, null));
+        connection.send(NbdClientCodec.encodeRequest(Nbd.CMD_READ, 0, ++cookie, offset, length, null));
         byte[] data = new byte[length];
         while (true) {
-            NbdReplies.Piece chunk = (NbdReplies.Piece) connection.receive();
+            NbdClientCodec.ReplyChunk chunk = (NbdClientCodec.ReplyChunk) connection.receive();
             if (chunk.error() != 0) {
                 throw new RequestRejectedException("read of " + length + " bytes at " + offset + " failed: "
                         + (chunk.message().isEmpty() ? "error " + chunk.error() : chunk.message()));
@@ -39,7 +39,7 @@
             if (chunk.data() != null) {
                 System.arraycopy(chunk.data(), 0, data, (int) (chunk.offset() - offset), chunk.data().length);
             }
-            if (chunk.done()) {
+            if (chunk.last()) {
                 return data;
             }
         }
--- a/cli/src/main/java/garnetreel/cli/testing/ScenarioCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/ScenarioCommand.java
@@ -151,22 +151,30 @@
         out.printf(
                 "%-18s %-6s %8s %8s %8s %8s %8s %8s %8s%n",
                 "load", "op", "asked", "in time", "late", "refused", "failed", "lost", "tries");
-        result.tallies()
+        result.nbdTallies()
                 .forEach((load, byOp) -> byOp.forEach((op, t) -> out.printf(
                         "%-18s %-6s %8d %8d %8d %8d %8d %8d %8d%n",
                         load,
                         op,
-                        t.asked,
+                        t.requests,
                         t.inTime,
                         t.served - t.inTime,
-                        t.refused,
+                        t.rejected,
                         t.failed,
                         t.unreachable,
-                        t.tries)));
-        result.folders()
+                        t.attempts)));
+        result.rsyncTallies()
                 .forEach((name, t) -> out.printf(
                         "%-18s %d pushes, %d pulls: %d whole, %d broken off; %d files, %d bytes, %d of them literal; %d wrong%n",
-                        name, t.pushes, t.pulls, t.whole, t.broken, t.files, t.bytes, t.literal, t.misread));
+                        name,
+                        t.pushes,
+                        t.pulls,
+                        t.completed,
+                        t.failed,
+                        t.files,
+                        t.bytes,
+                        t.literalBytes,
+                        t.mismatches));
         for (Verdict verdict : result.verdicts()) {
             out.println(line(verdict));
             verdict.shownBreaches().forEach(b -> out.println("       " + b));
@@ -186,7 +194,7 @@
         for (TraceEvent event : result.events()) {
             arrived += event.kind() == TraceEvent.Kind.ARRIVE ? 1 : 0;
             stale += event.kind() == TraceEvent.Kind.ANSWER && event.outcome().equals("stale") ? 1 : 0;
-            steps += event.kind() == TraceEvent.Kind.STEP
+            steps += event.kind() == TraceEvent.Kind.MIGRATION_STEP
                             && event.operation().equals("serve")
                             && event.outcome().equals("ok")
                     ? 1
--- a/cli/src/main/java/garnetreel/cli/testing/lab/MapSizes.java
+++ b/cli/src/main/java/garnetreel/cli/testing/lab/MapSizes.java
@@ -6,9 +6,9 @@
 import garnetreel.codec.map.MapMessage;
 import garnetreel.codec.map.MapMessage.Change;
 import garnetreel.codec.map.MapMessage.Changes;
-import garnetreel.codec.map.MapMessage.Moved;
+import garnetreel.codec.map.MapMessage.MovedExtent;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.codec.map.MapMessage.VolumeMap;
-import garnetreel.codec.map.MapMessage.Whole;
 import garnetreel.map.ExtentMap;
 import garnetreel.map.MapCache;
 import garnetreel.map.MapState;
@@ -40,12 +40,12 @@
     }
 
     /** A volume whose every extent has moved: the largest a map can be. */
-    private static Whole moved(int extents) {
-        List<Moved> all = new ArrayList<>(extents);
+    private static Snapshot moved(int extents) {
+        List<MovedExtent> all = new ArrayList<>(extents);
         for (int i = 0; i < extents; i++) {
-            all.add(new Moved(i, (i + 3) % SHARDS.size(), i + 2L));
+            all.add(new MovedExtent(i, (i + 3) % SHARDS.size(), i + 2L));
         }
-        return new Whole(1, extents + 1L, List.of(new VolumeMap(1, extents, 1 << 20, SHARDS, all)));
+        return new Snapshot(1, extents + 1L, List.of(new VolumeMap(1, extents, 1 << 20, SHARDS, all)));
     }
 
     /** Bytes and time of a refresh, by delta of one and of a hundred changes and whole. */
@@ -55,7 +55,7 @@
                         + "following one change, us | taking the whole, us |");
         out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int extents : EXTENTS) {
-            Whole whole = moved(extents);
+            Snapshot whole = moved(extents);
             long wholeBytes = MapCodec.frame(whole).remaining();
             long one = MapCodec.frame(changes(extents, 1)).remaining();
             long hundred = MapCodec.frame(changes(extents, 100)).remaining();
@@ -63,7 +63,7 @@
             double takeOne = 0;
             for (int run = 0; run < WARM; run++) {
                 MapCache cache = new MapCache();
-                takeWhole = time(() -> cache.apply((Whole) read(MapCodec.frame(whole))));
+                takeWhole = time(() -> cache.apply((Snapshot) read(MapCodec.frame(whole))));
                 takeOne = time(() -> cache.apply((Changes) read(MapCodec.frame(changes(extents, 1)))));
             }
             out.printf(
@@ -113,7 +113,7 @@
         for (int records : RECORDS) {
             Path directory = Files.createTempDirectory("garnetreel-map-lab");
             Path file = directory.resolve("map.journal");
-            Whole begin = new Whole(1, 1, List.of(new VolumeMap(1, 100_000, 1 << 20, SHARDS, List.of())));
+            Snapshot begin = new Snapshot(1, 1, List.of(new VolumeMap(1, 100_000, 1 << 20, SHARDS, List.of())));
             MapState state = new MapState(begin);
             try (Journal journal = new Journal(file)) {
                 SplittableRandom random = new SplittableRandom(records);
@@ -132,7 +132,7 @@
                     Locale.ROOT,
                     "| %d | %d | %d | %.0f | %d | %.0f |%n",
                     state.seq(),
-                    state.map(1).toMessage().moved().size(),
+                    state.map(1).toMessage().movedExtents().size(),
                     bytes,
                     plain,
                     snapshotBytes,
@@ -171,7 +171,7 @@
         }
     }
 
-    private static double recover(Path file, Whole begin, MapState expected) throws IOException {
+    private static double recover(Path file, Snapshot begin, MapState expected) throws IOException {
         double best = Double.MAX_VALUE;
         for (int run = 0; run < WARM; run++) {
             long from = System.nanoTime();
--- a/cli/src/main/java/garnetreel/cli/testing/lab/MovesLab.java
+++ b/cli/src/main/java/garnetreel/cli/testing/lab/MovesLab.java
@@ -125,20 +125,20 @@
     private Scenario scenario(Way way, long seed) {
         Scenario scenario = file.scenario(seed, TRANSIT);
         Scenario.MapScenario map = scenario.map();
-        VolumeMap volume = map.begin().volumes().get(0);
+        VolumeMap volume = map.initialMaps().volumes().get(0);
         SplittableRandom random = new SplittableRandom(seed);
         List<Integer> shards = scenario.nodes().stream().map(n -> n.shard()).toList();
         List<Scenario.ScriptedCommand> script = new ArrayList<>();
         for (int i = 0; i < map.migrations() && way != Way.NO_MOVES; i++) {
             script.add(new Scenario.ScriptedCommand(
-                    map.migrationsFrom() + map.migrationsFor() * i / map.migrations(),
+                    map.migrationsStart() + map.migrationsDuration() * i / map.migrations(),
                     new MapService.MigrateCommand(
                             volume.volume(),
                             random.nextLong(volume.extents()),
                             shards.get(random.nextInt(shards.size())))));
         }
         return scenario.withMap(new Scenario.MapScenario(
-                        map.settings(), map.begin(), 0, map.migrationsFrom(), map.migrationsFor(), script))
+                        map.settings(), map.initialMaps(), 0, map.migrationsStart(), map.migrationsDuration(), script))
                 .withGateways(
                         place -> following(scenario.gatewaySettings().apply(place), way != Way.ON_STALE),
                         scenario.scheduler());
@@ -170,15 +170,15 @@
     private static void add(Row row, Scenario scenario, ScenarioRunner.Result result) {
         row.broken += result.verdicts().stream().filter(v -> !v.isKept()).count() + (result.unverified() > 0 ? 1 : 0);
         Map<Long, Integer> extentBytes = new HashMap<>();
-        scenario.map().begin().volumes().forEach(v -> extentBytes.put(v.volume(), v.extentBytes()));
-        long movedVolume = scenario.map().begin().volumes().get(0).volume();
+        scenario.map().initialMaps().volumes().forEach(v -> extentBytes.put(v.volume(), v.extentBytes()));
+        long movedVolume = scenario.map().initialMaps().volumes().get(0).volume();
         long begin = result.events().stream()
-                .filter(e -> e.kind() == Kind.ASK)
+                .filter(e -> e.kind() == Kind.REQUEST)
                 .mapToLong(TraceEvent::time)
                 .min()
                 .orElse(0);
-        long from = begin + scenario.map().migrationsFrom();
-        long to = from + scenario.map().migrationsFor();
+        long from = begin + scenario.map().migrationsStart();
+        long to = from + scenario.map().migrationsDuration();
         Map<Long, Long> asked = new HashMap<>();
         Map<Spot, Long> switched = new HashMap<>();
         Map<Spot, Long> last = new HashMap<>();
@@ -186,10 +186,10 @@
         events.sort(java.util.Comparator.comparingLong(TraceEvent::time));
         for (TraceEvent e : events) {
             switch (e.kind()) {
-                case ASK -> asked.put(e.tag(), e.time());
+                case REQUEST -> asked.put(e.tag(), e.time());
                 case REPLY -> reply(row, e, asked.getOrDefault(e.tag(), e.time()), movedVolume, begin, from, to);
                 case ARRIVE -> row.arrived++;
-                case STEP -> {
+                case MIGRATION_STEP -> {
                     if (e.operation().equals("serve") && e.outcome().equals("ok")) {
                         row.moves++;
                         Spot spot = new Spot(e.volume(), e.key());
--- a/cli/src/test/java/garnetreel/cli/CancelledSendsTest.java
+++ b/cli/src/test/java/garnetreel/cli/CancelledSendsTest.java
@@ -12,7 +12,7 @@
 import garnetreel.policy.event.RequestReceived;
 import garnetreel.testbed.peer.ScriptedPeer;
 import garnetreel.testbed.peer.ScriptedPeer.End;
-import garnetreel.testbed.peer.ScriptedPeer.Line;
+import garnetreel.testbed.peer.ScriptedPeer.PeerConnection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -34,7 +34,8 @@
     @EnumSource(End.class)
     void queuedSendIsCancelledWhenItsClientDisconnects(End clientEnd) throws Exception {
         try (SocketGatewayHarness gateway = gatewayWithBusyEndpoint()) {
-            Line leavingClient = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
+            PeerConnection leavingClient =
+                    ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
             gateway.await(SendAttempt.class);
             if (clientEnd == End.RESET) {
                 leavingClient.reset();
@@ -43,11 +44,11 @@
             }
             assertEquals(
                     Outcome.NOT_STARTED, gateway.await(AttemptCompleted.class).outcome());
-            try (Line remainingClient =
+            try (PeerConnection remainingClient =
                     ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
                 gateway.await(SendAttempt.class);
-                endpoint.bringUp();
-                try (Line upstream = endpoint.accept()) {
+                endpoint.emptyAcceptQueue();
+                try (PeerConnection upstream = endpoint.accept()) {
                     String first = upstream.read();
                     assertTrue(first.contains("X-Correlation-Id: 0000000000000002\r\n"), first);
                     upstream.send(SocketGatewayHarness.response("result"));
@@ -62,12 +63,13 @@
     @ValueSource(strings = {"draining", "removed"})
     void queuedSendIsCancelledWhenItsEndpointDrains(String health) throws Exception {
         try (SocketGatewayHarness gateway = gatewayWithBusyEndpoint().afterStartDelay();
-                Line watch = discovery.accept()) {
+                PeerConnection watch = discovery.accept()) {
             watch.read();
             String entry = SocketGatewayHarness.entry(endpoint.address(), "up");
             watch.send(SocketGatewayHarness.watch(SocketGatewayHarness.list(2, true, entry)));
             awaitKind(gateway, EndpointUpdateKind.SNAPSHOT);
-            try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
+            try (PeerConnection client =
+                    ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
                 gateway.await(SendAttempt.class);
                 watch.send(SocketGatewayHarness.chunk(
                         SocketGatewayHarness.list(3, false, entry.replace("\"up\"", "\"" + health + "\""))));
@@ -76,8 +78,8 @@
                         gateway.await(AttemptCompleted.class).outcome());
                 watch.send(SocketGatewayHarness.chunk(SocketGatewayHarness.list(4, false, entry)));
                 gateway.await(SendAttempt.class);
-                endpoint.bringUp();
-                try (Line upstream = endpoint.accept()) {
+                endpoint.emptyAcceptQueue();
+                try (PeerConnection upstream = endpoint.accept()) {
                     assertTrue(
                             upstream.read().contains("0000000000000001"),
                             "the request is sent once the endpoint is up again");
@@ -92,11 +94,12 @@
     @Test
     void remainingTimeIsSentAsOfTheMomentOfSending() throws Exception {
         try (SocketGatewayHarness gateway = gatewayWithBusyEndpoint();
-                Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 10))) {
+                PeerConnection client =
+                        ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 10))) {
             gateway.await(SendAttempt.class);
             gateway.advance(4_000_000);
-            endpoint.bringUp();
-            try (Line upstream = endpoint.accept()) {
+            endpoint.emptyAcceptQueue();
+            try (PeerConnection upstream = endpoint.accept()) {
                 String forwarded = upstream.read();
                 assertTrue(forwarded.contains("X-Time-Left: 6.000\r\n"), forwarded);
                 upstream.send(SocketGatewayHarness.response("result"));
@@ -114,13 +117,13 @@
             for (int i = 1; i <= 200; i++) {
                 pipeline.append(SocketGatewayHarness.request(i, 50));
             }
-            Line client = ScriptedPeer.connect(gateway.address).send(pipeline.toString());
-            try (Line upstream = endpoint.accept()) {
+            PeerConnection client = ScriptedPeer.connect(gateway.address).send(pipeline.toString());
+            try (PeerConnection upstream = endpoint.accept()) {
                 upstream.read();
                 if (clientEnd == End.RESET) {
                     client.reset();
                 } else {
-                    client.endSending();
+                    client.shutdownOutput();
                 }
                 gateway.await(RequestCancelled.class);
                 upstream.send(SocketGatewayHarness.response("result"));
--- a/cli/src/test/java/garnetreel/cli/ConnectionClosingTest.java
+++ b/cli/src/test/java/garnetreel/cli/ConnectionClosingTest.java
@@ -10,8 +10,8 @@
 import garnetreel.policy.event.RequestReceived;
 import garnetreel.testbed.peer.ScriptedPeer;
 import garnetreel.testbed.peer.ScriptedPeer.End;
-import garnetreel.testbed.peer.ScriptedPeer.Line;
-import garnetreel.testbed.peer.ScriptedPeer.Rest;
+import garnetreel.testbed.peer.ScriptedPeer.PeerConnection;
+import garnetreel.testbed.peer.ScriptedPeer.Remainder;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -35,14 +35,14 @@
     @Test
     void responseSurvivesBytesThatArriveAtItsClose() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection client = ScriptedPeer.connect(gateway.address)) {
             client.send("no request\r\n\r\n");
             assertTrue(client.read().startsWith("HTTP/1.1 400 "));
             for (int i = 0; i < 8; i++) {
                 client.send("x".repeat(1_000));
             }
-            client.endSending();
-            assertEquals(new Rest("", End.IN_ORDER), client.readToEnd());
+            client.shutdownOutput();
+            assertEquals(new Remainder("", End.GRACEFUL), client.readToEnd());
         }
     }
 
@@ -50,12 +50,12 @@
     @Test
     void requestThatCrossesTheShutdownIsNotForwarded() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection client = ScriptedPeer.connect(gateway.address)) {
             client.send("no request\r\n\r\n");
             client.read();
             client.send(SocketGatewayHarness.request(1, 50));
-            client.endSending();
-            assertEquals(new Rest("", End.IN_ORDER), client.readToEnd());
+            client.shutdownOutput();
+            assertEquals(new Remainder("", End.GRACEFUL), client.readToEnd());
             gateway.advance(10_000);
             assertThrows(AssertionError.class, () -> gateway.drainRecorded(RequestReceived.class));
         }
@@ -65,10 +65,10 @@
     @Test
     void shutdownWaitsForResponsesThatAreStillBeingWritten() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address, 4 << 10)) {
+                PeerConnection client = ScriptedPeer.connect(gateway.address, 4 << 10)) {
             client.send(SocketGatewayHarness.request(1, 50));
             String body = "0123456789abcdef".repeat(120_000);
-            try (Line upstream = endpoint.accept()) {
+            try (PeerConnection upstream = endpoint.accept()) {
                 upstream.read();
                 gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
                 gateway.awaitListenerClosed();
@@ -81,8 +81,8 @@
                     () -> gateway.eventLoop.stopped().get(200, TimeUnit.MILLISECONDS),
                     "stopped before the response was written");
             assertTrue(client.read().endsWith(body));
-            assertEquals(new Rest("", End.IN_ORDER), client.readToEnd());
-            client.endSending();
+            assertEquals(new Remainder("", End.GRACEFUL), client.readToEnd());
+            client.shutdownOutput();
             gateway.advance(50_000);
             gateway.eventLoop.stopped().get(30, TimeUnit.SECONDS);
         }
@@ -92,8 +92,8 @@
     @Test
     void partialRequestAtShutdownIsReadAndRejected() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address);
-                Line idleClient = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection client = ScriptedPeer.connect(gateway.address);
+                PeerConnection idleClient = ScriptedPeer.connect(gateway.address)) {
             idleClient.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").read();
             String request = SocketGatewayHarness.request(1, 50);
             client.send(request.substring(0, 100));
@@ -101,12 +101,13 @@
             idleClient.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").read();
             gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
             gateway.awaitListenerClosed();
-            assertEquals(new Rest("", End.IN_ORDER), idleClient.readToEnd(), "an idle connection is closed in order");
+            assertEquals(
+                    new Remainder("", End.GRACEFUL), idleClient.readToEnd(), "an idle connection is closed in order");
             client.send(request.substring(100));
             String response = client.read();
             assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("Connection: close\r\n"), response);
-            client.endSending();
-            idleClient.endSending();
+            client.shutdownOutput();
+            idleClient.shutdownOutput();
             gateway.eventLoop.stopped().get(30, TimeUnit.SECONDS);
         }
     }
@@ -115,11 +116,11 @@
     @Test
     void pipelineAtShutdownIsAnsweredCompletely() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection client = ScriptedPeer.connect(gateway.address)) {
             client.send(SocketGatewayHarness.request(1, 50)
                     + SocketGatewayHarness.request(2, 50)
                     + SocketGatewayHarness.request(3, 50));
-            try (Line upstream = endpoint.accept()) {
+            try (PeerConnection upstream = endpoint.accept()) {
                 upstream.read();
                 gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
                 gateway.awaitListenerClosed();
@@ -129,7 +130,7 @@
             assertTrue(client.read().startsWith("HTTP/1.1 503 "));
             String last = client.read();
             assertTrue(last.startsWith("HTTP/1.1 503 ") && last.contains("Connection: close\r\n"), last);
-            assertEquals(End.IN_ORDER, client.readToEnd().end());
+            assertEquals(End.GRACEFUL, client.readToEnd().end());
         }
     }
 
@@ -137,14 +138,14 @@
     @Test
     void connectionInTheAcceptQueueAtShutdownIsServed() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line first = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection first = ScriptedPeer.connect(gateway.address)) {
             gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
             gateway.haltAt(event -> event instanceof RequestReceived);
             first.send(SocketGatewayHarness.request(1, 50));
             gateway.awaitHalt();
-            try (Line queuedClient =
+            try (PeerConnection queuedClient =
                     ScriptedPeer.connect(gateway.address).send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")) {
-                queuedClient.untilTheOtherSideStands();
+                queuedClient.awaitEstablishedByPeer();
                 gateway.clock.addAndGet(501_000); // the next turn closes the listener before it accepts anything
                 gateway.resume();
                 assertTrue(queuedClient.read().startsWith("HTTP/1.1 503 "));
@@ -157,21 +158,22 @@
     @EnumSource(End.class)
     void responseWithoutALengthIsCompleteOnlyAfterAnOrderlyClose(End responseEnd) throws Exception {
         try (SocketGatewayHarness gateway = gateway();
-                Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
-                Line upstream = endpoint.accept()) {
+                PeerConnection client =
+                        ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
+                PeerConnection upstream = endpoint.accept()) {
             upstream.read();
             upstream.send("HTTP/1.1 200 OK\r\n\r\nresult");
             if (responseEnd == End.RESET) {
                 upstream.reset();
             } else {
-                upstream.endSending();
+                upstream.shutdownOutput();
             }
             assertEquals(
                     responseEnd == End.RESET ? Outcome.RESET : Outcome.OK,
                     gateway.await(AttemptCompleted.class).outcome());
             String response = client.read();
             assertEquals(responseEnd == End.RESET, response.startsWith("HTTP/1.1 502 "), response);
-            assertEquals(responseEnd == End.IN_ORDER, response.endsWith("result"), response);
+            assertEquals(responseEnd == End.GRACEFUL, response.endsWith("result"), response);
         }
     }
 
@@ -179,17 +181,17 @@
     @Test
     void requestThatHasBeenReadIsAnsweredAtTheConnectionLimit() throws Exception {
         try (SocketGatewayHarness gateway = SocketGatewayHarness.withDescriptors(88, discovery, endpoint);
-                Line first = ScriptedPeer.connect(gateway.address)) {
+                PeerConnection first = ScriptedPeer.connect(gateway.address)) {
             gateway.haltAt(event -> event instanceof RequestReceived);
             first.send(SocketGatewayHarness.request(1, 50));
             gateway.awaitHalt();
-            List<Line> clients = new ArrayList<>();
+            List<PeerConnection> clients = new ArrayList<>();
             for (int i = 2; i <= 24; i++) {
                 clients.add(
                         ScriptedPeer.connect(gateway.address).send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"));
             }
             gateway.resume();
-            for (Line client : clients) {
+            for (PeerConnection client : clients) {
                 assertTrue(
                         client.read().startsWith("HTTP/1.1 200 "),
                         "the request was read and its connection closed without a response");
--- a/cli/src/test/java/garnetreel/cli/DiscoveryWatchTest.java
+++ b/cli/src/test/java/garnetreel/cli/DiscoveryWatchTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetreel.policy.event.EndpointUpdateKind;
-import garnetreel.testbed.peer.ScriptedPeer.Line;
+import garnetreel.testbed.peer.ScriptedPeer.PeerConnection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -21,7 +21,7 @@
     @Test
     void silentWatchIsReopenedWithinItsBudget() throws Exception {
         try (SocketGatewayHarness gateway = gateway().afterStartDelay();
-                Line watch = discovery.accept()) {
+                PeerConnection watch = discovery.accept()) {
             watch.read();
             watch.send(SocketGatewayHarness.watch(
                     SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
@@ -29,7 +29,7 @@
             gateway.advance(3_200_000);
             awaitKind(gateway, EndpointUpdateKind.UNAVAILABLE);
             gateway.advance(800_000);
-            try (Line next = discovery.accept()) {
+            try (PeerConnection next = discovery.accept()) {
                 assertTrue(next.read().contains("from=2 "));
             }
             assertEquals("", watch.readToEnd().text(), "the silent watch is closed");
@@ -45,7 +45,7 @@
                 awaitKind(gateway, EndpointUpdateKind.UNAVAILABLE);
                 gateway.advance(3_900_000); // the longest back-off: 6 s less 2 s in discovery's queue and a margin
             }
-            try (Line watch = discovery.accept()) {
+            try (PeerConnection watch = discovery.accept()) {
                 assertTrue(watch.read().startsWith("GET /registry/instances?watch=1 "));
             }
         }
@@ -58,7 +58,7 @@
     @Test
     void slowDiscoveryCallIsAwaited() throws Exception {
         try (SocketGatewayHarness gateway = gateway().afterStartDelay();
-                Line watch = discovery.accept()) {
+                PeerConnection watch = discovery.accept()) {
             watch.read();
             gateway.advance(2_500_000);
             watch.send(SocketGatewayHarness.watch(
@@ -71,7 +71,7 @@
     @Test
     void streamedListIsSplitByItsBraces() throws Exception {
         try (SocketGatewayHarness gateway = gateway().afterStartDelay();
-                Line watch = discovery.accept()) {
+                PeerConnection watch = discovery.accept()) {
             watch.read();
             String entry = SocketGatewayHarness.entry(endpoint.address(), "up");
             String indented = SocketGatewayHarness.list(2, true, entry)
--- a/cli/src/test/java/garnetreel/cli/SignalsTest.java
+++ b/cli/src/test/java/garnetreel/cli/SignalsTest.java
@@ -5,7 +5,7 @@
 
 import garnetreel.cli.lifecycle.ExitCode;
 import garnetreel.testbed.peer.ScriptedPeer;
-import garnetreel.testbed.peer.ScriptedPeer.Line;
+import garnetreel.testbed.peer.ScriptedPeer.PeerConnection;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -116,15 +116,15 @@
     void sigtermAnswersAcceptedRequests() throws Exception {
         run(SocketGatewayHarness.text(discovery.address(), endpoint.address()));
         String address = awaitLogLine(LISTENS).group(1);
-        try (Line client = ScriptedPeer.connect(address).send(SocketGatewayHarness.request(1, 50));
-                Line upstream = endpoint.accept()) {
+        try (PeerConnection client = ScriptedPeer.connect(address).send(SocketGatewayHarness.request(1, 50));
+                PeerConnection upstream = endpoint.accept()) {
             upstream.read();
             signal("TERM");
             awaitLogLine(Pattern.compile("no new requests accepted"));
             upstream.send(SocketGatewayHarness.response("result"));
             String response = client.read();
             assertTrue(response.endsWith("result") && response.contains("Connection: close\r\n"), response);
-            assertEquals(ScriptedPeer.End.IN_ORDER, client.readToEnd().end());
+            assertEquals(ScriptedPeer.End.GRACEFUL, client.readToEnd().end());
         }
         assertTrue(process.waitFor(30, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
@@ -139,8 +139,8 @@
         Files.writeString(file(), valid.replace("\"sockets\": 512", "\"sockets\": 5"));
         signal("HUP");
         awaitLogLine(Pattern.compile("can't be read, the configuration is unchanged: .*\"sockets\" is 5"));
-        try (Line client = ScriptedPeer.connect(address).send(SocketGatewayHarness.request(1, 50));
-                Line upstream = endpoint.accept()) {
+        try (PeerConnection client = ScriptedPeer.connect(address).send(SocketGatewayHarness.request(1, 50));
+                PeerConnection upstream = endpoint.accept()) {
             upstream.read();
             upstream.send(SocketGatewayHarness.response("result"));
             assertTrue(client.read().endsWith("result"), "requests are served as before");
@@ -148,7 +148,7 @@
         try (ScriptedPeer moved = ScriptedPeer.listening()) {
             Files.writeString(file(), SocketGatewayHarness.text(moved.address(), endpoint.address()));
             signal("HUP");
-            try (Line watch = moved.accept()) {
+            try (PeerConnection watch = moved.accept()) {
                 assertTrue(watch.read().startsWith("GET /registry/instances?watch=1"));
             }
         }
--- a/cli/src/test/java/garnetreel/cli/SocketGatewayFixture.java
+++ b/cli/src/test/java/garnetreel/cli/SocketGatewayFixture.java
@@ -30,10 +30,10 @@
         return new SocketGatewayHarness(discovery, endpoint);
     }
 
-    /** A gateway whose endpoint completes no connection until {@link ScriptedPeer#bringUp}. */
+    /** A gateway whose endpoint completes no connection until {@link ScriptedPeer#emptyAcceptQueue}. */
     final SocketGatewayHarness gatewayWithBusyEndpoint() throws Exception {
         endpoint.close();
-        endpoint = ScriptedPeer.busy();
+        endpoint = ScriptedPeer.listeningWithFullQueue();
         return gateway();
     }
 
--- a/cli/src/test/java/garnetreel/cli/StaleListTest.java
+++ b/cli/src/test/java/garnetreel/cli/StaleListTest.java
@@ -9,7 +9,7 @@
 import garnetreel.policy.event.EndpointUpdate;
 import garnetreel.policy.event.EndpointUpdateKind;
 import garnetreel.testbed.peer.ScriptedPeer;
-import garnetreel.testbed.peer.ScriptedPeer.Line;
+import garnetreel.testbed.peer.ScriptedPeer.PeerConnection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -26,9 +26,9 @@
     }
 
     /** A watch delivers one list and then falls silent; the next call is read and left without a response. */
-    private Line makeListStale(SocketGatewayHarness gateway, Runnable whileSilent) throws Exception {
+    private PeerConnection makeListStale(SocketGatewayHarness gateway, Runnable whileSilent) throws Exception {
         gateway.afterStartDelay();
-        try (Line watch = discovery.accept()) {
+        try (PeerConnection watch = discovery.accept()) {
             watch.read();
             watch.send(SocketGatewayHarness.watch(
                     SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
@@ -37,7 +37,7 @@
             awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
             whileSilent.run();
             gateway.advance(800_000);
-            Line call = discovery.accept();
+            PeerConnection call = discovery.accept();
             call.read();
             return call;
         }
@@ -46,9 +46,10 @@
     @Test
     void endpointWithoutRecentRequestsGetsNoneOnceTheListIsStale() throws Exception {
         try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, endpoint);
-                Line call = makeListStale(gateway, () -> {})) {
+                PeerConnection call = makeListStale(gateway, () -> {})) {
             gateway.advance(2 * SECOND); // 6.0 s since the last event of the watch
-            try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
+            try (PeerConnection client =
+                    ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
                 Object decision =
                         gateway.await(recorded -> recorded instanceof SendAttempt || recorded instanceof RejectRequest);
                 assertInstanceOf(RejectRequest.class, decision);
@@ -57,8 +58,9 @@
                         SocketGatewayHarness.list(3, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
                 awaitList(gateway, EndpointUpdateKind.SNAPSHOT);
             }
-            try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50));
-                    Line upstream = endpoint.accept()) {
+            try (PeerConnection client =
+                            ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50));
+                    PeerConnection upstream = endpoint.accept()) {
                 assertTrue(upstream.read().contains("0000000000000002"), "with a new list the endpoint is used again");
                 upstream.send(SocketGatewayHarness.response("result"));
                 assertTrue(client.read().endsWith("result"));
@@ -69,7 +71,7 @@
     @Test
     void endpointThatRecentlyAcceptedARequestGetsMore() throws Exception {
         try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, endpoint)) {
-            Line unanswered = makeListStale(gateway, () -> serve(gateway, 1));
+            PeerConnection unanswered = makeListStale(gateway, () -> serve(gateway, 1));
             gateway.advance(2 * SECOND);
             serve(gateway, 2);
             gateway.advance(500_000); // the call to discovery has not timed out yet
@@ -85,7 +87,7 @@
     @Test
     void requestsAreServedDuringADiscoveryOutage() throws Exception {
         try (SocketGatewayHarness gateway = new SocketGatewayHarness(discovery, endpoint).afterStartDelay()) {
-            Line watch = discovery.accept();
+            PeerConnection watch = discovery.accept();
             watch.read();
             watch.send(SocketGatewayHarness.watch(
                     SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
@@ -94,7 +96,7 @@
             awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
             for (int i = 0; i < 4; i++) {
                 gateway.advance(3_900_000);
-                Line call = discovery.accept();
+                PeerConnection call = discovery.accept();
                 call.read();
                 gateway.advance(2 * SECOND);
                 call.send("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
@@ -102,11 +104,12 @@
             }
             serve(gateway, 1);
             gateway.advance(3_900_000);
-            Line call = discovery.accept();
+            PeerConnection call = discovery.accept();
             call.read();
             call.send("HTTP/1.1 503 Crowded\r\nContent-Length: 0\r\n\r\n");
             awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
-            try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
+            try (PeerConnection client =
+                    ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
                 assertInstanceOf(
                         RejectRequest.class,
                         gateway.await(recorded -> recorded instanceof SendAttempt || recorded instanceof RejectRequest),
@@ -117,11 +120,12 @@
     }
 
     private void serve(SocketGatewayHarness gateway, int number) {
-        try (Line client = ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(number, 50))) {
+        try (PeerConnection client =
+                ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(number, 50))) {
             assertInstanceOf(
                     SendAttempt.class,
                     gateway.await(recorded -> recorded instanceof SendAttempt || recorded instanceof RejectRequest));
-            try (Line upstream = endpoint.accept()) {
+            try (PeerConnection upstream = endpoint.accept()) {
                 upstream.read();
                 upstream.send(
                         SocketGatewayHarness.response("result").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
--- a/cli/src/test/java/garnetreel/cli/StoredStateTest.java
+++ b/cli/src/test/java/garnetreel/cli/StoredStateTest.java
@@ -6,7 +6,7 @@
 import garnetreel.cli.config.Settings;
 import garnetreel.codec.ByteQueue;
 import garnetreel.codec.nodelist.NodeListCodec;
-import garnetreel.codec.nodelist.NodeListMessage.News;
+import garnetreel.codec.nodelist.NodeListMessage.NodeListUpdate;
 import garnetreel.core.ExtentLayout;
 import garnetreel.core.GatewaySettings;
 import garnetreel.core.Volume;
@@ -227,6 +227,6 @@
     private long cachedNodeListVersion() throws Exception {
         ByteQueue queue = new ByteQueue();
         queue.add(ByteBuffer.wrap(cached(NodeListClient.CACHE_NAME)));
-        return ((News) NodeListCodec.next(queue)).version();
+        return ((NodeListUpdate) NodeListCodec.next(queue)).version();
     }
 }
--- a/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
+++ b/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
@@ -228,7 +228,7 @@
     }
 
     List<Verdict> verdicts() {
-        return RulesChecker.judge(
+        return RulesChecker.check(
                 new RuleSettings(
                         settings.rules(), settings.volumesById(), settings.classes(), settings.plans(), TRANSIT),
                 trace());
--- a/cli/src/test/java/garnetreel/cli/testing/HardCasesTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/HardCasesTest.java
@@ -68,7 +68,7 @@
             rig.fault(0, NodeFault.Kind.LOSE_ANSWERS, 1);
             NbdSocket client = rig.client();
             long tag = client.send(Nbd.CMD_WRITE, 0, 0, 4096, bytes(2, 4096));
-            rig.await(e -> e.kind() == Kind.RUN && e.tag() == tag);
+            rig.await(e -> e.kind() == Kind.EXECUTE && e.tag() == tag);
             client.hangUp();
             rig.fault(0, NodeFault.Kind.LOSE_ANSWERS, 0);
             try (NbdSocket next = rig.client()) {
@@ -81,7 +81,7 @@
             List<TraceEvent> mine =
                     rig.trace().stream().filter(e -> e.tag() == tag).toList();
             assertEquals(1, mine.stream().filter(e -> e.kind() == Kind.ARRIVE).count());
-            assertEquals(1, mine.stream().filter(e -> e.kind() == Kind.RUN).count());
+            assertEquals(1, mine.stream().filter(e -> e.kind() == Kind.EXECUTE).count());
         }
     }
 
@@ -104,7 +104,8 @@
             assertEquals(
                     1,
                     rig.trace().stream()
-                            .filter(e -> e.kind() == Kind.RUN && e.operation().equals("write"))
+                            .filter(e ->
+                                    e.kind() == Kind.EXECUTE && e.operation().equals("write"))
                             .count());
         }
     }
@@ -116,7 +117,7 @@
                 NbdSocket client = rig.client()) {
             rig.fault(0, NodeFault.Kind.LOSE_ANSWERS, 1);
             long tag = client.send(Nbd.CMD_WRITE, 0, 0, 4096, bytes(4, 4096));
-            rig.await(e -> e.kind() == Kind.RUN && e.tag() == tag);
+            rig.await(e -> e.kind() == Kind.EXECUTE && e.tag() == tag);
             rig.fault(0, NodeFault.Kind.REFUSE, 1); // cuts the connection: the write may have run
             assertEquals(Nbd.EIO, client.reply().error);
             // Now nothing listens: what is sent next can't have run, and is refused.
@@ -126,7 +127,8 @@
             rig.fault(0, NodeFault.Kind.LOSE_ANSWERS, 0);
             rig.fault(0, NodeFault.Kind.REFUSE, 0);
             assertEquals(
-                    1, rig.trace().stream().filter(e -> e.kind() == Kind.RUN).count());
+                    1,
+                    rig.trace().stream().filter(e -> e.kind() == Kind.EXECUTE).count());
         }
     }
 
--- a/cli/src/test/java/garnetreel/cli/testing/MapCommandTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/MapCommandTest.java
@@ -169,7 +169,7 @@
         assertEquals(
                 16,
                 map("verify", file, "--head", head).json().path("extents_equal").asInt());
-        assertEquals(0, disks.get(0).used(), "what was moved away is still kept");
+        assertEquals(0, disks.get(0).usedBytes(), "what was moved away is still kept");
         String who = map("history", "--who", "somebody", 200).out();
         assertTrue(who.contains("drain shard 0") && who.contains("copied and fenced"), who);
     }
--- a/cli/src/test/java/garnetreel/cli/testing/MapScenariosTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/MapScenariosTest.java
@@ -51,14 +51,14 @@
 
     private static long begin(ScenarioRunner.Result result) {
         return result.events().stream()
-                .filter(e -> e.kind() == Kind.ASK)
+                .filter(e -> e.kind() == Kind.REQUEST)
                 .mapToLong(TraceEvent::time)
                 .min()
                 .orElseThrow();
     }
 
     private static boolean served(TraceEvent e) {
-        return e.kind() == Kind.STEP
+        return e.kind() == Kind.MIGRATION_STEP
                 && e.operation().equals("serve")
                 && e.outcome().equals("ok");
     }
@@ -86,7 +86,7 @@
         assertTrue(
                 count(
                                 result,
-                                e -> e.kind() == Kind.RUN
+                                e -> e.kind() == Kind.EXECUTE
                                         && e.time() > back + 6_000_000
                                         && e.counterpart().equals("0")
                                         && e.version() > 1)
@@ -102,7 +102,7 @@
         for (TraceEvent e : result.events()) {
             if (stale(e)) {
                 parts.computeIfAbsent(e.tag(), any -> new HashSet<>()).add("stale");
-            } else if (e.kind() == Kind.RUN) {
+            } else if (e.kind() == Kind.EXECUTE) {
                 parts.computeIfAbsent(e.tag(), any -> new HashSet<>()).add("ran " + e.offset());
             } else if (e.kind() == Kind.REPLY
                     && (e.outcome().equals("served") || e.outcome().equals("late"))) {
@@ -126,7 +126,7 @@
         List<TraceEvent> events = new ArrayList<>(result.events());
         events.sort(java.util.Comparator.comparingLong(TraceEvent::time));
         for (TraceEvent e : events) {
-            if (e.kind() != Kind.RUN || e.version() == 0 || e.operation().equals("flush")) {
+            if (e.kind() != Kind.EXECUTE || e.version() == 0 || e.operation().equals("flush")) {
                 continue;
             }
             String extent = e.volume() + "/" + e.offset() / (256 << 10);
@@ -165,7 +165,7 @@
                 0,
                 count(
                         result,
-                        e -> e.kind() == Kind.RUN
+                        e -> e.kind() == Kind.EXECUTE
                                 && e.shard() == 7
                                 && !e.operation().equals("flush")
                                 && e.time() > begin + length - 5_000_000),
@@ -177,7 +177,7 @@
         assertTrue(
                 count(
                                 result,
-                                e -> e.kind() == Kind.STEP
+                                e -> e.kind() == Kind.MIGRATION_STEP
                                         && e.operation().equals("release")
                                         && e.shard() == 2
                                         && e.outcome().equals("ok")
@@ -203,7 +203,8 @@
     void manyHeadsGoOnWhileTheServiceIsSilentAndComeBackAtOnce() throws Exception {
         ScenarioRunner.Result result = play("many-heads", 1);
         long silent = begin(result) + 8_000_000;
-        long asked = count(result, e -> e.kind() == Kind.ASK && e.time() > silent && e.time() < silent + 60_000_000);
+        long asked =
+                count(result, e -> e.kind() == Kind.REQUEST && e.time() > silent && e.time() < silent + 60_000_000);
         long done = count(
                 result,
                 e -> e.kind() == Kind.REPLY
--- a/cli/src/test/java/garnetreel/cli/testing/MovesTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/MovesTest.java
@@ -34,7 +34,7 @@
             }
             assertEquals(0, result.unverified());
             long moved = result.events().stream()
-                    .filter(e -> e.kind() == Kind.STEP
+                    .filter(e -> e.kind() == Kind.MIGRATION_STEP
                             && e.operation().equals("serve")
                             && e.outcome().equals("ok"))
                     .count();
@@ -61,7 +61,7 @@
         ScenarioRunner.Result result = play(4, Trace.NONE);
         java.util.Map<String, String> owner = new java.util.HashMap<>();
         for (TraceEvent e : result.events()) {
-            if (e.kind() == Kind.RUN && e.version() > 0 && !e.operation().equals("flush")) {
+            if (e.kind() == Kind.EXECUTE && e.version() > 0 && !e.operation().equals("flush")) {
                 String extent = e.volume() + "/" + e.offset() / (256 << 10) + "@" + e.version();
                 assertEquals(owner.computeIfAbsent(extent, any -> e.observer()), e.observer(), extent);
             }
--- a/cli/src/test/java/garnetreel/cli/testing/RsyncTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/RsyncTest.java
@@ -67,13 +67,13 @@
                 assertTrue(verdict.isKept(), "seed " + seed + ": " + verdict);
             }
             for (Map.Entry<String, RsyncLoadGenerator.Tally> folder :
-                    result.folders().entrySet()) {
+                    result.rsyncTallies().entrySet()) {
                 RsyncLoadGenerator.Tally tally = folder.getValue();
-                assertEquals(0, tally.misread, folder.getKey());
-                assertTrue(tally.whole > 5 && tally.broken > 0, "not put to the test: " + folder.getKey());
+                assertEquals(0, tally.mismatches, folder.getKey());
+                assertTrue(tally.completed > 5 && tally.failed > 0, "not put to the test: " + folder.getKey());
                 assertTrue(
-                        tally.literal < tally.bytes / 2,
-                        "deltas found nothing: " + tally.literal + " of " + tally.bytes);
+                        tally.literalBytes < tally.bytes / 2,
+                        "deltas found nothing: " + tally.literalBytes + " of " + tally.bytes);
             }
         }
     }
@@ -152,7 +152,7 @@
 
     private static byte[] push(String name) {
         RsyncOut out = new RsyncOut();
-        FileListCodec list = new FileListCodec(new FileListCodec.Form(true, false, false, false));
+        FileListCodec list = new FileListCodec(new FileListCodec.Options(true, false, false, false));
         list.write(out, new FileItem(name, Rsync.REGULAR | 0644, 5, 1, "", null));
         out.u8(0);
         return out.takeFrame().array();
@@ -235,7 +235,7 @@
         if (delete) {
             out.i32(0);
         }
-        FileListCodec list = new FileListCodec(new FileListCodec.Form(true, false, false, false));
+        FileListCodec list = new FileListCodec(new FileListCodec.Options(true, false, false, false));
         list.write(out, new FileItem(".", Rsync.DIRECTORY | 0755, 0, 1, "", null));
         list.write(out, new FileItem(name, Rsync.REGULAR | 0644, contents.length, contents[0], "", null));
         out.u8(0)
@@ -249,9 +249,9 @@
                 .bytes(contents)
                 .i32(0)
                 .bytes(Checksums.md5().digest(contents))
-                .index(Rsync.DONE)
-                .index(Rsync.DONE)
-                .index(Rsync.DONE);
+                .index(Rsync.PHASE_END)
+                .index(Rsync.PHASE_END)
+                .index(Rsync.PHASE_END);
         byte[] frame = out.takeFrame().array();
         try (Socket socket = new Socket()) {
             socket.connect(Addresses.parse(address));
@@ -294,7 +294,10 @@
             for (int index = 1; index <= 2; index++) {
                 asks.index(index).u16(Rsync.ITEM_TRANSFER).i32(0).i32(0).i32(0).i32(0);
             }
-            asks.index(Rsync.DONE).index(Rsync.DONE).index(Rsync.DONE).index(Rsync.DONE);
+            asks.index(Rsync.PHASE_END)
+                    .index(Rsync.PHASE_END)
+                    .index(Rsync.PHASE_END)
+                    .index(Rsync.PHASE_END);
             socket.getOutputStream().write(asks.takeFrame().array());
             said.writeBytes(socket.getInputStream().readAllBytes());
             String text = said.toString(StandardCharsets.ISO_8859_1);
--- a/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
@@ -146,7 +146,7 @@
     @Test
     void answersThatComeTooLate() throws Exception {
         Scenario scenario = badScenario();
-        Function<Scenario.GatewayPlace, GatewaySettings> late = place -> {
+        Function<Scenario.GatewayParameters, GatewaySettings> late = place -> {
             GatewaySettings s = scenario.gatewaySettings().apply(place);
             return new GatewaySettings(
                     s.gatewayNumber(),
