--- a/cli/src/main/java/garnetreel/cli/map/NbdReader.java
+++ b/cli/src/main/java/garnetreel/cli/map/NbdReader.java
@@ -14,16 +14,16 @@
 
     /** Connects and opens the export. */
     NbdReader(String address, String export) throws IOException {
-        connection =
-                new BlockingConnection<>("the head", address, TIMEOUT_MILLIS, READ_BYTES, new NbdClientCodec()::next);
+        connection = new BlockingConnection<>(
+                "the gateway", address, TIMEOUT_MILLIS, READ_BYTES, new NbdClientCodec()::next);
         connection.send(NbdClientCodec.encodeHandshake(export));
         while (!(connection.receive() instanceof NbdClientCodec.Ready)) {
-            // options are answered before the export is open
+            // skips the replies to the options, which precede the opening of the export
         }
     }
 
     /**
-     * Reads some bytes.
+     * Reads a range of the export.
      *
      * @throws RequestRejectedException when the gateway does not serve the read
      */
@@ -33,7 +33,7 @@
         while (true) {
             NbdClientCodec.ReplyChunk chunk = (NbdClientCodec.ReplyChunk) connection.receive();
             if (chunk.error() != 0) {
-                throw new RequestRejectedException("read at " + offset + " was not served: "
+                throw new RequestRejectedException("read of " + length + " bytes at " + offset + " failed: "
                         + (chunk.message().isEmpty() ? "error " + chunk.error() : chunk.message()));
             }
             if (chunk.data() != null) {
