--- a/policy/src/main/java/garnetreel/policy/ActionCollector.java
+++ b/policy/src/main/java/garnetreel/policy/ActionCollector.java
@@ -7,7 +7,10 @@
 
 /** Collects the actions returned by one scheduler call, in order. */
 final class ActionCollector {
-    /** Limit over the lifetime of a scheduler: enough messages to follow an incident, too few to fill a disk. */
+    /**
+     * Maximum number of messages over the lifetime of a scheduler: enough to follow an incident, too few to fill a
+     * disk. Later messages are dropped without notice.
+     */
     private static final int MAX_LOG_MESSAGES = 60;
 
     private List<SchedulerAction> actions = new ArrayList<>();
--- a/policy/src/main/java/garnetreel/policy/Attempt.java
+++ b/policy/src/main/java/garnetreel/policy/Attempt.java
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public double inObjectives(long time) {
-        return (double) time / latencyObjective;
+    public double toObjectiveMultiple(long duration) {
+        return (double) duration / latencyObjective;
     }
 }
--- a/policy/src/main/java/garnetreel/policy/AttemptDispatcher.java
+++ b/policy/src/main/java/garnetreel/policy/AttemptDispatcher.java
@@ -4,7 +4,7 @@
 import garnetreel.policy.endpoint.Endpoint;
 import java.util.function.BiPredicate;
 
-/** Sends held requests to endpoints in fair-queue order while concurrency tokens are free. */
+/** Sends held requests to endpoints in fair-queue order while their concurrency windows have free slots. */
 final class AttemptDispatcher {
     private final DecisionModules modules;
     /** Created once, as the selection evaluates it for every held request. */
@@ -17,7 +17,7 @@
         this.modules = modules;
     }
 
-    /** Sends held requests of a shard until its endpoint has no free token or no request may be sent. */
+    /** Sends held requests of a shard until its endpoint has no free slot or no request may be sent. */
     void dispatch(Shard shard, long time) {
         now = time;
         while (!shard.queue.isEmpty()) {
@@ -56,9 +56,9 @@
         if (!request.attempts.isEmpty()) {
             modules.retryBudget.retrySent(now);
         }
-        if (!request.drawnFromRateLimit) {
-            request.flow.buckets().drawAttempt(request.units);
-            request.drawnFromRateLimit = true;
+        if (!request.chargedToRateLimit) {
+            request.flow.buckets().chargeAttempt(request.units);
+            request.chargedToRateLimit = true;
         }
         long startBefore =
                 Math.min(modules.lease.sendBefore(endpoint.leaseRenewedAt()), request.guard.mustStartBefore());
--- a/policy/src/main/java/garnetreel/policy/DecisionStep.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionStep.java
@@ -5,36 +5,41 @@
 /** The steps of one scheduler call. Their order affects the decisions; each step states the reason for its position. */
 enum DecisionStep {
     /**
-     * Handles the events in the order given. First, so that all later decisions see the current state: a cancelled
-     * request is not sent, and endpoints come from the latest list.
+     * Handles the events in the order given. This step is first, so that all later decisions see the current state: a
+     * cancelled request is not sent, and endpoints come from the latest list.
      */
     HANDLE_EVENTS,
     /**
-     * Repeats admission for requests held for endpoints that the list reports as restarted. After the events, so that
-     * cancelled requests do not count as demand; before dispatch, so that requests held for a warm endpoint do not
-     * overload a cold one.
+     * Repeats admission for requests held for endpoints that the list reports as restarted. It follows the events, so
+     * that cancelled requests do not count as demand, and precedes dispatch, so that requests held for a warm endpoint
+     * do not overload a cold one.
      */
     READMIT_FOR_RESTARTS,
     /**
-     * Subscribes to the endpoint list if that is due. After the events, which may have established or ended a
+     * Subscribes to the endpoint list if that is due. It follows the events, which may have established or ended a
      * subscription.
      */
     SUBSCRIBE_TO_ENDPOINTS,
     /**
-     * Ends requests that are about to miss their deadline. Before dispatch, so that no attempt is sent whose response
-     * would come too late.
+     * Ends requests that are about to miss their deadline. It precedes dispatch, so that no attempt is sent whose
+     * response would come too late.
      */
     EXPIRE_REQUESTS,
     /**
-     * Detects endpoints that are slow to respond to attempts in flight, which lowers their admitted fraction. After the
-     * events, which may contain their responses.
+     * Detects endpoints that are slow to respond to attempts in flight, which lowers their admitted fraction. It
+     * follows the events, which may contain their responses.
      */
     DETECT_SLOW_ENDPOINTS,
-    /** Sheds late requests, then sends attempts, shard by shard. After all steps that free tokens or end requests. */
+    /**
+     * Sheds late requests, then sends attempts, shard by shard. It follows all steps that free slots of concurrency
+     * windows or end requests.
+     */
     SHED_AND_DISPATCH,
-    /** Evicts unused state. After dispatch, so that no state is evicted and created again in one call. */
+    /** Evicts unused state. It follows dispatch, so that no state is evicted and created again in one call. */
     EVICT_UNUSED,
-    /** Sets the timer. Last, as the time of the next call depends on the requests now held and in flight. */
+    /**
+     * Sets the timer. This step is last, as the time of the next call depends on the requests now held and in flight.
+     */
     SET_TIMER;
 
     /** The order used in production. */
--- a/policy/src/main/java/garnetreel/policy/DecisionTimer.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionTimer.java
@@ -7,14 +7,18 @@
 
 /** Sets the single timer that triggers a scheduler call when no other event arrives. */
 final class DecisionTimer {
-    /** Name of the timer, as seen by the embedding program. */
+    /** Name of the timer. It is part of the actions that the embedding program and recorded traces contain. */
     private static final String TIMER_NAME = "look";
     /**
-     * Poll interval while a request is held, microseconds: free tokens, rate limits and quiet periods change with time.
+     * Maximum time between scheduler calls while a request is held, in microseconds: free slots, rate limits and quiet
+     * periods change with time.
      */
-    private static final long POLL_INTERVAL_HELD = 5_000;
-    /** Poll interval while attempts are in flight, microseconds: needed to detect unresponsive endpoints. */
-    private static final long POLL_INTERVAL_IN_FLIGHT = 50_000;
+    private static final long CHECK_INTERVAL_HELD_MICROS = 5_000;
+    /**
+     * Maximum time between scheduler calls while attempts are in flight, in microseconds: needed to detect unresponsive
+     * endpoints.
+     */
+    private static final long CHECK_INTERVAL_IN_FLIGHT_MICROS = 50_000;
     /** Value of {@link #dueAt} while no timer is set. */
     private static final long NOT_SET = Long.MAX_VALUE;
 
@@ -39,9 +43,11 @@
             LoadShedder shedder,
             ActionCollector actions,
             long now) {
-        long next = subscription.isPending() ? Math.max(subscription.nextCallAt(), now + POLL_INTERVAL_HELD) : NOT_SET;
+        long next = subscription.isPending()
+                ? Math.max(subscription.nextCallAt(), now + CHECK_INTERVAL_HELD_MICROS)
+                : NOT_SET;
         for (PendingRequest request : requests.all()) {
-            next = Math.min(next, now + (request.held ? POLL_INTERVAL_HELD : POLL_INTERVAL_IN_FLIGHT));
+            next = Math.min(next, now + (request.held ? CHECK_INTERVAL_HELD_MICROS : CHECK_INTERVAL_IN_FLIGHT_MICROS));
             if (request.awaitsResponse()) {
                 next = Math.min(next, Math.max(now, shedder.responseDueAt(request.deadline)));
             }
--- a/policy/src/main/java/garnetreel/policy/EndpointUpdates.java
+++ b/policy/src/main/java/garnetreel/policy/EndpointUpdates.java
@@ -13,14 +13,14 @@
     private final DecisionModules modules;
     private final RequestAdmission admission;
     /** Shards of endpoints that the list reported as restarted since the last readmission. */
-    private final List<Shard> restarted = new ArrayList<>();
+    private final List<Shard> shardsToReadmit = new ArrayList<>();
 
     EndpointUpdates(DecisionModules modules, RequestAdmission admission) {
         this.modules = modules;
         this.admission = admission;
     }
 
-    void endpointUpdate(EndpointUpdate update, long now) {
+    void applyUpdate(EndpointUpdate update, long now) {
         switch (update.kind()) {
             case UNAVAILABLE -> {
                 modules.subscription.failed(now);
@@ -28,7 +28,7 @@
                 return;
             }
             case CACHED -> {
-                boolean trusted = !update.entries().isEmpty() && modules.lease.isTracked();
+                boolean trusted = !update.entries().isEmpty() && modules.lease.hasConfirmation();
                 modules.subscription.cachedListRead(trusted, now);
             }
             case SNAPSHOT, DELTA -> modules.subscription.listReceived();
@@ -38,22 +38,22 @@
         }
         for (EndpointEntry entry : update.entries()) {
             Endpoint endpoint = modules.endpoints.apply(entry);
-            if (endpoint.restarted(entry.startedAt())) {
-                restarted.add(modules.shards.get(endpoint.shard(), modules.startedAt, now));
+            if (endpoint.applyListedStart(entry.startedAt())) {
+                shardsToReadmit.add(modules.shards.get(endpoint.shard(), modules.startedAt, now));
             }
         }
     }
 
     /** Repeats admission for requests held before an endpoint restarted, as it cannot take all of them at once. */
     void readmitForRestarts(long now) {
-        for (Shard shard : restarted) {
+        for (Shard shard : shardsToReadmit) {
             admission.readmit(shard, now);
         }
-        restarted.clear();
+        shardsToReadmit.clear();
     }
 
     void subscribeIfDue(long now) {
-        if (modules.subscription.callNow(now)) {
+        if (modules.subscription.takeDueCall(now)) {
             modules.actions.add(new SubscribeEndpoints(true));
         }
     }
--- a/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
+++ b/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
@@ -90,13 +90,17 @@
         }
     }
 
+    /**
+     * Passes an event to the module concerned. {@code GossipReceived} and {@code HealthCheckCompleted} are ignored,
+     * because the modules use only what this gateway observes on its own attempts.
+     */
     private void handle(SchedulerEvent event) {
         if (event instanceof RequestReceived received) {
             admission.requestReceived(received, now);
         } else if (event instanceof AttemptCompleted completed) {
             outcomes.attemptCompleted(completed, now);
         } else if (event instanceof EndpointUpdate update) {
-            endpointUpdates.endpointUpdate(update, now);
+            endpointUpdates.applyUpdate(update, now);
         } else if (event instanceof EndpointListConfirmed confirmed) {
             modules.lease.confirmed(confirmed.asOf());
         } else if (event instanceof DiscoveryObserved observed) {
--- a/policy/src/main/java/garnetreel/policy/Housekeeping.java
+++ b/policy/src/main/java/garnetreel/policy/Housekeeping.java
@@ -2,8 +2,8 @@
 
 /** Evicts state that has not been used for a while, so that tables do not grow over the lifetime of a scheduler. */
 final class Housekeeping {
-    /** Minimum time between two passes, microseconds: each pass traverses all tables. */
-    private static final long PERIOD = 1_000_000;
+    /** Minimum time between two passes, in microseconds: each pass traverses all tables. */
+    private static final long PERIOD_MICROS = 1_000_000;
 
     private final DecisionModules modules;
     private long lastPassAt;
@@ -17,14 +17,14 @@
     }
 
     void evictUnused(long now) {
-        if (now - lastPassAt < PERIOD) {
+        if (now - lastPassAt < PERIOD_MICROS) {
             return;
         }
         lastPassAt = now;
-        modules.keySequencer.forgetIdleKeys(now);
-        modules.fairQueue.forgetUnused(now);
-        modules.endpoints.forgetUnused();
-        modules.shards.forgetUnused(now);
-        modules.retryBudget.forgetOldRequests(now);
+        modules.keySequencer.evictIdleKeys(now);
+        modules.fairQueue.evictUnused(now);
+        modules.endpoints.evictUnused();
+        modules.shards.evictUnused(now);
+        modules.retryBudget.evictOldRequests(now);
     }
 }
--- a/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
+++ b/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
@@ -29,7 +29,7 @@
         endAttempt(request, attempt);
         updateExecutionState(request, event.outcome(), now);
         if (modules.settings.reportsOtherGateways() && event.unitsFromOtherGateways() > 0) {
-            request.flow.buckets().drawForOtherGateways(event.unitsFromOtherGateways(), now);
+            request.flow.buckets().chargeForOtherGateways(event.unitsFromOtherGateways(), now);
         }
         updateLease(attempt, event.outcome());
         updateHealth(request, attempt, event, now);
@@ -50,13 +50,14 @@
     }
 
     /**
-     * Records an outcome that proves that nothing was executed; pauses the request's key if work may still be running.
+     * Records an outcome that proves that nothing was executed; starts the quiet period of the request's key if work
+     * may still be running.
      */
     private void updateExecutionState(PendingRequest request, Outcome outcome, long now) {
         if (outcome.provesNotExecuted()) {
             request.guard.provenNotExecuted();
         } else if (request.keyQueue != null && outcome != Outcome.OK && outcome != Outcome.ERROR) {
-            modules.keySequencer.pause(request.keyQueue, request, now);
+            modules.keySequencer.startQuietPeriod(request.keyQueue, request, now);
         }
     }
 
@@ -68,7 +69,10 @@
         }
     }
 
-    /** Updates the health of the endpoint. Of its responses only successful ones count as latency samples. */
+    /**
+     * Updates the health of the endpoint. The latency of a response with an error is not recorded; a rejection and a
+     * failed connection are recorded as late responses, and a timeout by {@link #recordTimeout}.
+     */
     private void updateHealth(PendingRequest request, Attempt attempt, AttemptCompleted event, long now) {
         Endpoint endpoint = attempt.endpoint;
         switch (event.outcome()) {
@@ -102,22 +106,26 @@
         endpoint.health().recordFailure(attempt.sentAt(), now);
     }
 
-    /** Records the latency, unless a later attempt was answered: then this one was lost, not delayed in the queue. */
+    /**
+     * Records the latency, unless an attempt sent later was answered (see {@code ConcurrencyLimiter.isOvertaken}): the
+     * missing response is then taken as lost, since one delayed by the endpoint's queue would delay later responses
+     * too.
+     */
     private static void recordTimeout(Attempt attempt, long elapsed, long now) {
         if (!attempt.endpoint.limiter().isOvertaken(attempt.sentAt())) {
-            attempt.endpoint.health().recordLatency(attempt.sentAt(), attempt.inObjectives(elapsed), now);
+            attempt.endpoint.health().recordLatency(attempt.sentAt(), attempt.toObjectiveMultiple(elapsed), now);
         }
     }
 
     private void recordSuccess(PendingRequest request, Attempt attempt, long elapsed, long now) {
         Endpoint endpoint = attempt.endpoint;
-        boolean wasFull = endpoint.limiter().isNearlyFull(now);
+        boolean wasNearlyFull = endpoint.limiter().isNearlyFull(now);
         request.shard.served.add(request.units, now);
         endpoint.limiter().answered(attempt.sentAt());
         double relativeLatency = modules.latencyScale.relative(elapsed, request.units);
-        endpoint.health().recordLatency(attempt.sentAt(), attempt.inObjectives(elapsed), now);
+        endpoint.health().recordLatency(attempt.sentAt(), attempt.toObjectiveMultiple(elapsed), now);
         endpoint.health().recover(relativeLatency, now);
-        endpoint.limiter().adapt(attempt.sentAt(), relativeLatency, wasFull, now);
+        endpoint.limiter().adapt(attempt.sentAt(), relativeLatency, wasNearlyFull, now);
     }
 
     private boolean isRetried(PendingRequest request, Outcome outcome, long now) {
@@ -139,7 +147,7 @@
         for (Endpoint endpoint : modules.endpoints.withAttemptsInFlight()) {
             for (InFlightAttempt attempt : endpoint.limiter().inFlight()) {
                 if (!endpoint.limiter().isOvertaken(attempt.sentAt())) {
-                    double latency = attempt.inObjectives(now - attempt.sentAt());
+                    double latency = attempt.toObjectiveMultiple(now - attempt.sentAt());
                     endpoint.health().observeInFlight(attempt.sentAt(), latency, now);
                     break;
                 }
--- a/policy/src/main/java/garnetreel/policy/PendingRequest.java
+++ b/policy/src/main/java/garnetreel/policy/PendingRequest.java
@@ -29,8 +29,8 @@
 
     long latestUsefulStart;
     BudgetBooking booking = BudgetBooking.NONE;
-    /** Whether its units were already drawn from the volume's rate limit, as a retry does not draw them again. */
-    boolean drawnFromRateLimit;
+    /** Whether its units were already charged to the volume's rate limit, as a retry is not charged again. */
+    boolean chargedToRateLimit;
     /** Queue of the requests with the same key; null unless the request class is ordered and the request has a key. */
     KeyQueue<PendingRequest> keyQueue;
 
--- a/policy/src/main/java/garnetreel/policy/PendingRequests.java
+++ b/policy/src/main/java/garnetreel/policy/PendingRequests.java
@@ -25,7 +25,8 @@
         return requests.get(id);
     }
 
-    long nextSequence() {
+    /** Returns the next sequence number, which orders requests by arrival, and advances it. */
+    long takeSequenceNumber() {
         return nextSequence++;
     }
 
@@ -73,12 +74,12 @@
         }
     }
 
-    /** Units of a flow's held requests that have not yet been drawn from its rate limit. */
-    double undrawnUnits(VolumeFlow flow) {
+    /** Units of a flow's held requests that have not yet been charged to its rate limit. */
+    double unchargedUnits(VolumeFlow flow) {
         double units = 0;
         for (PendingRequest request : requests.values()) {
-            boolean undrawn = request.held && request.flow == flow && !request.drawnFromRateLimit;
-            units += undrawn ? request.units : 0;
+            boolean uncharged = request.held && request.flow == flow && !request.chargedToRateLimit;
+            units += uncharged ? request.units : 0;
         }
         return units;
     }
--- a/policy/src/main/java/garnetreel/policy/RequestAdmission.java
+++ b/policy/src/main/java/garnetreel/policy/RequestAdmission.java
@@ -10,15 +10,21 @@
 
 /** Books and queues received requests, and at once rejects or fails those that are not admitted. */
 final class RequestAdmission {
-    /** Result of the admission of a request. */
+    /**
+     * Result of the admission of a request. All results but {@link #ADMITTED} end the request in the same way; the
+     * names state the reason.
+     */
     private enum Admission {
         ADMITTED,
         /** A client retry past its latest useful start: it has little value and would delay requests still in time. */
         LATE_RETRY,
         /** The volume's rate limit does not cover the request in time. */
         RATE_LIMITED,
-        /** The endpoint lacks capacity for the request, or no endpoint of the shard has a valid lease. */
-        SHED
+        /**
+         * The endpoint lacks capacity for the request, or the shard has endpoints and none of them may be sent
+         * requests.
+         */
+        NO_CAPACITY
     }
 
     private final DecisionModules modules;
@@ -56,7 +62,7 @@
         VolumeFlow flow = flow(event, now);
         Shard shard = modules.shards.get(event.shard(), modules.startedAt, now);
         IdempotencyGuard guard = new IdempotencyGuard(requestClass, modules.loadShedder.responseMargin());
-        return new PendingRequest(event, requestClass, flow, shard, guard, modules.requests.nextSequence());
+        return new PendingRequest(event, requestClass, flow, shard, guard, modules.requests.takeSequenceNumber());
     }
 
     private VolumeFlow flow(RequestReceived event, long now) {
@@ -83,22 +89,27 @@
         if (isBeyondRateLimit(request, now)) {
             return Admission.RATE_LIMITED;
         }
-        return isAdmitted(request, now) ? Admission.ADMITTED : Admission.SHED;
+        return isAdmitted(request, now) ? Admission.ADMITTED : Admission.NO_CAPACITY;
     }
 
     private boolean isBeyondRateLimit(PendingRequest request, long now) {
         VolumeBuckets buckets = request.flow.buckets();
         return buckets.isRateLimited()
-                && !buckets.coversInTime(modules.requests.undrawnUnits(request.flow), request.latestUsefulStart, now);
+                && !buckets.coversInTime(modules.requests.unchargedUnits(request.flow), request.latestUsefulStart, now);
     }
 
+    /**
+     * Whether the endpoint has capacity for a request. Each call counts the request's demand and, if it is admitted,
+     * its units, so a request that {@link #readmit} checks again is counted twice.
+     */
     private boolean isAdmitted(PendingRequest request, long now) {
         Shard shard = request.shard;
         Endpoint endpoint = modules.endpoints.select(shard.number, now);
         shard.demand.add(request.booking, request.units, now);
         if (endpoint == null) {
-            // A shard without endpoints may get one in time; one whose endpoint leases have all expired rarely does.
-            return !modules.endpoints.lacksLease(shard.number, now);
+            // A shard without endpoints may get one in time, so its requests are held. If the list and all leases have
+            // expired, they are rarely renewed in time.
+            return !modules.endpoints.hasOnlyUnusableEndpoints(shard.number, now);
         }
         return modules.admissionController.admits(
                 request.booking,
--- a/policy/src/main/java/garnetreel/policy/RequestCloser.java
+++ b/policy/src/main/java/garnetreel/policy/RequestCloser.java
@@ -3,7 +3,10 @@
 import garnetreel.policy.action.FailRequest;
 import garnetreel.policy.action.RejectRequest;
 
-/** Sends final responses and closes requests. */
+/**
+ * Sends final responses and closes requests. The scheduler gives up a request that it can't serve in time: it is
+ * rejected if the client can safely retry it, and failed otherwise. To shed requests is to give up held ones.
+ */
 final class RequestCloser {
     private final DecisionModules modules;
 
@@ -11,7 +14,11 @@
         this.modules = modules;
     }
 
-    /** Sends a final response without result: a rejection if the client can safely retry, a failure otherwise. */
+    /**
+     * Sends a final response without result: a rejection if the client can safely retry, a failure otherwise. A
+     * rejection asks for the longest delay that clients honour, as a retry during the same overload would be too late
+     * for its latency objective.
+     */
     void rejectOrFail(PendingRequest request, long now) {
         if (request.closed) {
             return;
@@ -44,12 +51,14 @@
     }
 
     /**
-     * Sheds requests held past their latest useful start, or all of a shard if no lease allows a send to its endpoints.
+     * Sheds requests held past their latest useful start, or all of a shard if it has endpoints that are up, but none
+     * of them may be sent requests.
      */
     void shed(Shard shard, long now) {
-        boolean noUsableEndpoint = !shard.queue.isEmpty() && modules.endpoints.lacksLease(shard.number, now);
+        boolean onlyUnusableEndpoints =
+                !shard.queue.isEmpty() && modules.endpoints.hasOnlyUnusableEndpoints(shard.number, now);
         for (PendingRequest request : shard.queue.snapshot()) {
-            if (modules.loadShedder.sheds(request.latestUsefulStart, noUsableEndpoint, now)) {
+            if (modules.loadShedder.sheds(request.latestUsefulStart, onlyUnusableEndpoints, now)) {
                 rejectOrFail(request, now);
             }
         }
--- a/policy/src/main/java/garnetreel/policy/SettingsLookup.java
+++ b/policy/src/main/java/garnetreel/policy/SettingsLookup.java
@@ -11,7 +11,7 @@
 
 /**
  * Looks up the request class and plan of a request. A class missing from the settings never allows a second execution,
- * a missing plan has no reserved or provisioned rate.
+ * and a missing plan has no reserved or provisioned rate.
  */
 final class SettingsLookup {
     private final Map<String, RequestClass> classes = new HashMap<>();
--- a/policy/src/main/java/garnetreel/policy/ShardTable.java
+++ b/policy/src/main/java/garnetreel/policy/ShardTable.java
@@ -23,7 +23,9 @@
     /**
      * Returns the shard with this number, and creates it if needed.
      *
-     * @param number shard number; negative for a new object, which goes to the shard with most free tokens
+     * @param number shard number; negative for a new object, which goes to the shard with the usable endpoint that has
+     *     the most free slots, less the requests held for the shard; if no endpoint is usable, the shard has this
+     *     negative number
      * @param startedAt when this gateway started
      */
     Shard get(int number, long startedAt, long now) {
@@ -62,7 +64,10 @@
         }
     }
 
-    /** Shards with held requests, by number; a copy that can be iterated over while requests are released. */
+    /**
+     * Returns the shards with held requests, by number, as a copy that can be iterated over while requests are
+     * released.
+     */
     List<Shard> withHeldRequests() {
         return List.copyOf(withHeldRequests.values());
     }
@@ -71,7 +76,7 @@
      * Evicts shards without endpoint and without recent requests, as clients may send numbers of shards that do not
      * exist.
      */
-    void forgetUnused(long now) {
+    void evictUnused(long now) {
         long retention = Retention.of(shards.size());
         shards.values()
                 .removeIf(shard -> shard.queue.isEmpty()
--- a/policy/src/main/java/garnetreel/policy/action/CheckHealth.java
+++ b/policy/src/main/java/garnetreel/policy/action/CheckHealth.java
@@ -1,8 +1,8 @@
 package garnetreel.policy.action;
 
 /**
- * Sends a health check.
+ * Sends a health check. The fair-queue scheduler does not use this action.
  *
- * @param endpoint address of the endpoint to check
+ * @param endpoint name of the endpoint to check
  */
 public record CheckHealth(String endpoint) implements SchedulerAction {}
--- a/policy/src/main/java/garnetreel/policy/action/CloseIdleConnections.java
+++ b/policy/src/main/java/garnetreel/policy/action/CloseIdleConnections.java
@@ -1,8 +1,8 @@
 package garnetreel.policy.action;
 
 /**
- * Closes idle connections to an endpoint.
+ * Closes idle connections to an endpoint. The fair-queue scheduler does not use this action.
  *
- * @param endpoint address of the endpoint
+ * @param endpoint name of the endpoint
  */
 public record CloseIdleConnections(String endpoint) implements SchedulerAction {}
--- a/policy/src/main/java/garnetreel/policy/action/SendAttempt.java
+++ b/policy/src/main/java/garnetreel/policy/action/SendAttempt.java
@@ -4,7 +4,7 @@
  * Sends a request to an endpoint.
  *
  * @param id the request
- * @param endpoint address of the endpoint
+ * @param endpoint name of the endpoint
  * @param timeout time to wait for the response; 0 to wait until the client's deadline
  * @param startWithin limit for the time to establish a connection, after which the attempt must not be started; 0 for
  *     no limit
--- a/policy/src/main/java/garnetreel/policy/admission/AdmissionController.java
+++ b/policy/src/main/java/garnetreel/policy/admission/AdmissionController.java
@@ -6,30 +6,35 @@
 
 /**
  * Randomly admits a fraction of the demand for an endpoint that cannot serve all of it. Each gateway admits that
- * fraction of its own demand, so the total stays within it whatever the number of gateways and the load of each. Under
- * overload, requests beyond reserve and quota are shed first, then those on the quota, and those on the reserve last.
+ * fraction of its own demand, so all gateways together admit that fraction of the total demand, whatever their number
+ * and the load of each. Under overload, requests beyond the reserved and the provisioned rate are rejected first, then
+ * those within the provisioned rate, and those within the reserved rate last.
  */
 public final class AdmissionController {
-    /** Each of the three bookings has an equal share of the admitted fraction as its priority budget. */
+    /**
+     * Number of bookings. With an admitted fraction f, a request whose booking has rank r is admitted with probability
+     * 3f - r: requests beyond both rates are cut as soon as f is below 1 and get nothing at 2/3; those within the
+     * provisioned rate are cut from 2/3 to 1/3, and those within the reserved rate below 1/3.
+     */
     private static final int PRIORITY_LEVELS = BudgetBooking.RANKS;
 
     private final SplittableRandom random;
     private final double maxUnits;
-    private final long accountingWindow;
+    private final long overloadWindow;
     private final long timerResolution;
 
     /** Creates a controller that uses the scheduler's random number generator. */
     public AdmissionController(SchedulerSettings settings, SplittableRandom random) {
         this.random = random;
         maxUnits = settings.maxUnits();
-        accountingWindow = settings.rules().overloadWindow();
+        overloadWindow = settings.rules().overloadWindow();
         timerResolution = settings.timerResolution();
     }
 
     /**
      * Decides whether a request is admitted; an admitted request is recorded in the demand estimate.
      *
-     * @param booking the budget that the request is booked on
+     * @param booking the bucket that the request was charged to
      * @param units size of the request
      * @param demand estimated demand for the shard, this request included
      * @param admittedFraction fraction of the demand that the endpoint's health allows
@@ -47,9 +52,10 @@
             long now) {
         double servableFraction = demand.servableFraction(warmUpRate * observedFraction(startedAt, now), booking);
         double probability = Math.min(PRIORITY_LEVELS * admittedFraction - booking.rank(), servableFraction);
-        // Draws a random number only if the probability is below 1: the sequence of draws affects later decisions.
+        // Draws a random number only if the probability is below 1. All modules share one generator, so a needless draw
+        // would change later decisions, such as the backoff of the subscription.
         boolean admitted = (probability >= 1 || random.nextDouble() < probability)
-                && !demand.isSurging(warmUpRate, maxUnits, accountingWindow, now);
+                && !demand.isSurging(warmUpRate, maxUnits, overloadWindow, now);
         if (admitted) {
             demand.recordAdmitted(units);
         }
@@ -60,6 +66,6 @@
      * Fraction of the demand that the estimate covers: a gateway that has just started has not yet observed all of it.
      */
     private double observedFraction(long startedAt, long now) {
-        return 1 - Math.exp((startedAt - now - timerResolution) / DemandEstimate.TIME_CONSTANT);
+        return 1 - Math.exp((startedAt - now - timerResolution) / DemandEstimate.TIME_CONSTANT_MICROS);
     }
 }
--- a/policy/src/main/java/garnetreel/policy/admission/DemandEstimate.java
+++ b/policy/src/main/java/garnetreel/policy/admission/DemandEstimate.java
@@ -6,8 +6,11 @@
 /** Demand of this gateway's clients for one shard, per booking, and the units admitted; both decay exponentially. */
 public final class DemandEstimate {
     /** Time constant of the demand, in microseconds: short, as demand changes within seconds. */
-    static final double TIME_CONSTANT = 6e6;
-    /** Upper bound of the units admitted within the accounting window, as a multiple of the warm-up rate. */
+    static final double TIME_CONSTANT_MICROS = 6e6;
+    /**
+     * Upper bound of the units admitted within the overload window, as a multiple of the units that the warm-up rate
+     * allows in it; one largest request is allowed in addition.
+     */
     private static final double SURGE_MULTIPLE = 1.3;
 
     /** Units per second, indexed by the rank of the booking. */
@@ -19,11 +22,11 @@
 
     /** Adds a request to the demand. */
     public void add(BudgetBooking booking, double units, long now) {
-        double decay = Math.exp((demandAt - now) / TIME_CONSTANT);
+        double decay = Math.exp((demandAt - now) / TIME_CONSTANT_MICROS);
         for (int rank = 0; rank < demand.length; rank++) {
             demand[rank] *= decay;
         }
-        demand[booking.rank()] += units * Microseconds.PER_SECOND / TIME_CONSTANT;
+        demand[booking.rank()] += units * Microseconds.PER_SECOND / TIME_CONSTANT_MICROS;
         demandAt = now;
     }
 
@@ -49,7 +52,7 @@
      *
      * @param rate units per second
      * @param largestRequest units allowed in excess of the rate: the size of the largest request
-     * @param window accounting window, in microseconds
+     * @param window overload window, in microseconds
      */
     boolean isSurging(double rate, double largestRequest, long window, long now) {
         admittedUnits *= Math.exp((admittedAt - now) / Math.max(1.0, window));
--- a/policy/src/main/java/garnetreel/policy/admission/LoadShedder.java
+++ b/policy/src/main/java/garnetreel/policy/admission/LoadShedder.java
@@ -42,9 +42,9 @@
      * Decides whether a held request is shed.
      *
      * @param latestUsefulStart time at which the request must have started to be useful
-     * @param lacksLease whether the shard has endpoints, but no lease permits sending to any of them
+     * @param onlyUnusableEndpoints whether the shard has endpoints that are up, but none of them may be sent requests
      */
-    public boolean sheds(long latestUsefulStart, boolean lacksLease, long now) {
-        return now >= latestUsefulStart || lacksLease;
+    public boolean sheds(long latestUsefulStart, boolean onlyUnusableEndpoints, long now) {
+        return now >= latestUsefulStart || onlyUnusableEndpoints;
     }
 }
--- a/policy/src/main/java/garnetreel/policy/concurrency/ConcurrencyLimiter.java
+++ b/policy/src/main/java/garnetreel/policy/concurrency/ConcurrencyLimiter.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Limits the attempts in flight at one endpoint: additive increase on quick responses while the window is full,
- * multiplicative decrease on slow ones. A gateway cannot observe an endpoint's utilization, so it uses the latency of
+ * Limits the attempts in flight at one endpoint: additive increase on short latencies while the window is nearly full,
+ * multiplicative decrease on long ones. A gateway cannot observe an endpoint's utilization, so it uses the latency of
  * the responses to its own attempts.
  */
 public final class ConcurrencyLimiter {
@@ -18,15 +18,18 @@
     /** Maximum number of attempts in flight, including lost ones, as each still holds a connection. */
     private static final int MAX_IN_FLIGHT = 8;
     /** A response that takes longer than this fraction of the tightest latency objective shrinks the window. */
-    private static final double SLOW_RESPONSE = 0.5;
+    private static final double SLOW_LATENCY_FRACTION = 0.5;
     /** A response that takes less than this fraction of the tightest latency objective may grow the window. */
-    private static final double QUICK_RESPONSE = 0.3;
+    private static final double GROWTH_LATENCY_FRACTION = 0.3;
     /** Factor of a decrease: a slow response shrinks the window by a fifth. */
     private static final double DECREASE_FACTOR = 0.8;
-    /** Increment, in attempts: four quick responses grow the window by one. */
+    /**
+     * Increment, in attempts: four responses with a latency below {@link #GROWTH_LATENCY_FRACTION} grow the window by
+     * one.
+     */
     private static final double INCREASE_STEP = 0.25;
     /** The window is nearly full if fewer slots than this are free. */
-    private static final double FULL_BELOW = 2;
+    private static final double NEARLY_FULL_BELOW = 2;
 
     private final List<InFlightAttempt> inFlight = new ArrayList<>();
     private double window = INITIAL_WINDOW;
@@ -61,7 +64,8 @@
     public double freeSlots(long now) {
         int occupied = 0;
         for (InFlightAttempt attempt : inFlight) {
-            occupied += !isOvertaken(attempt.sentAt()) || attempt.inObjectives(now - attempt.sentAt()) < 1 ? 1 : 0;
+            occupied +=
+                    !isOvertaken(attempt.sentAt()) || attempt.toObjectiveMultiple(now - attempt.sentAt()) < 1 ? 1 : 0;
         }
         return Math.min(window - occupied, MAX_IN_FLIGHT - inFlight.size());
     }
@@ -76,7 +80,7 @@
 
     /** Whether the window is full or nearly full. */
     public boolean isNearlyFull(long now) {
-        return freeSlots(now) < FULL_BELOW;
+        return freeSlots(now) < NEARLY_FULL_BELOW;
     }
 
     /** Records that an attempt sent at the given time was answered. */
@@ -90,14 +94,15 @@
      * @param sentAt send time of the attempt; one sent before the last decrease does not decrease the window again
      * @param relativeLatency latency scaled to a request of typical size, as a fraction of the tightest latency
      *     objective
-     * @param wasFull whether the window was full when the response arrived
+     * @param wasNearlyFull whether the window was nearly full when the response arrived; the answered attempt no longer
+     *     counts
      * @param now current time
      */
-    public void adapt(long sentAt, double relativeLatency, boolean wasFull, long now) {
-        if (relativeLatency > SLOW_RESPONSE && sentAt >= decreasedAt) {
+    public void adapt(long sentAt, double relativeLatency, boolean wasNearlyFull, long now) {
+        if (relativeLatency > SLOW_LATENCY_FRACTION && sentAt >= decreasedAt) {
             window = Math.max(MIN_WINDOW, window * DECREASE_FACTOR);
             decreasedAt = now;
-        } else if (relativeLatency < QUICK_RESPONSE && wasFull) {
+        } else if (relativeLatency < GROWTH_LATENCY_FRACTION && wasNearlyFull) {
             window = Math.min(MAX_WINDOW, window + INCREASE_STEP);
         }
     }
--- a/policy/src/main/java/garnetreel/policy/concurrency/InFlightAttempt.java
+++ b/policy/src/main/java/garnetreel/policy/concurrency/InFlightAttempt.java
@@ -6,5 +6,5 @@
     long sentAt();
 
     /** Converts a duration to a multiple of the request's latency objective. */
-    double inObjectives(long time);
+    double toObjectiveMultiple(long duration);
 }
--- a/policy/src/main/java/garnetreel/policy/config/RequestClass.java
+++ b/policy/src/main/java/garnetreel/policy/config/RequestClass.java
@@ -1,13 +1,16 @@
 package garnetreel.policy.config;
 
 /**
- * Service objectives and retry rules that a set of requests has in common.
+ * Service objectives and retry rules that a set of requests has in common. The value of a response is the relative
+ * weight that the service gives to it. The fair-queue scheduler neither computes values nor reads
+ * {@code latencyObjectiveStretch}, {@code lateCredit}, {@code streaming}, {@code priorityWeight} and {@code writes}.
  *
  * @param name name of the class
  * @param latencyObjective response time up to which a response has its full value
  * @param latencyObjectiveStretch multiple of a request's own service time by which its objective is extended; 0 for
  *     none
- * @param deadline total time that a client waits, including its retries
+ * @param deadline maximum time from the receipt of a request to its deadline: the total time that a client waits,
+ *     including its retries
  * @param idempotency whether a retry is allowed once an attempt may have been executed
  * @param deduplicationScope endpoints that recognize duplicates of each other's requests
  * @param lateCredit fraction of its value that a response past the objective has
--- a/policy/src/main/java/garnetreel/policy/config/SafetyRules.java
+++ b/policy/src/main/java/garnetreel/policy/config/SafetyRules.java
@@ -1,7 +1,9 @@
 package garnetreel.policy.config;
 
 /**
- * Limits that the scheduler must never violate. A value of 0 or less disables a rule.
+ * Limits that the scheduler must never violate. A value of 0 or less of {@code pollInterval}, {@code retryWindow},
+ * {@code overloadWindow} or {@code keyQuietPeriod} disables its rule. The fair-queue scheduler does not read
+ * {@code responseGrace} and {@code drainGrace}.
  *
  * @param responseGrace time past the deadline within which a final response still counts as sent in time
  * @param pollInterval maximum time between polls of the endpoint list by a gateway without subscription
@@ -14,7 +16,8 @@
  * @param overloadMultiple multiple of its current capacity that a warming-up endpoint can take within the overload
  *     window
  * @param overloadWindow sliding window over which the units sent to a warming-up endpoint are counted
- * @param keyQuietPeriod pause for all requests with a key after an outcome that may leave work on it running
+ * @param keyQuietPeriod time during which no other request with the same key is sent after an outcome that may leave
+ *     work on it running
  */
 public record SafetyRules(
         long responseGrace,
--- a/policy/src/main/java/garnetreel/policy/config/SchedulerSettings.java
+++ b/policy/src/main/java/garnetreel/policy/config/SchedulerSettings.java
@@ -3,7 +3,9 @@
 import java.util.List;
 
 /**
- * Settings of a scheduler.
+ * Settings of a scheduler. The fair-queue scheduler does not read {@code gatewayIndex}, {@code quotaWeight},
+ * {@code idleWeight}, {@code meteringPeriod}, {@code hedging}, {@code cancellation}, {@code healthChecks},
+ * {@code marksRetries} and {@code connectTimeout}.
  *
  * @param gatewayIndex index of this gateway
  * @param gateways number of gateways of the service, including this one
@@ -27,7 +29,8 @@
  * @param marksRetries whether clients mark their retries
  * @param maxRetryAfter longest Retry-After that clients honour
  * @param connectTimeout time after which a connection attempt counts as failed
- * @param timerResolution minimum time between timer-driven calls of the scheduler
+ * @param timerResolution granularity of timers: a timer may expire this much late, and the scheduler sets none for a
+ *     shorter time
  */
 public record SchedulerSettings(
         int gatewayIndex,
--- a/policy/src/main/java/garnetreel/policy/endpoint/Endpoint.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/Endpoint.java
@@ -24,7 +24,7 @@
         this.address = address;
     }
 
-    /** Address, which identifies the endpoint in actions. */
+    /** Name of the endpoint in the endpoint list, which identifies it in events and actions. */
     public String address() {
         return address;
     }
@@ -75,10 +75,10 @@
     }
 
     /**
-     * Applies a listed start time. Returns true if it is later than the known one: the endpoint has restarted and warms
-     * up again.
+     * Applies a listed start time. Returns true if it is later than the known one: the endpoint has started or
+     * restarted, and warms up.
      */
-    public boolean restarted(long listedStart) {
+    public boolean applyListedStart(long listedStart) {
         if (listedStart <= startedAt) {
             return false;
         }
@@ -90,12 +90,13 @@
 
     /**
      * Records a response. The first one from an endpoint that was unreachable may indicate a restart; the endpoint then
-     * warms up although the list does not mention the restart.
+     * warms up although the list does not mention the restart. Unlike a listed restart, a presumed one leaves the
+     * admitted fraction as it is.
      */
     public Recovery responded(boolean quick, long now) {
         Recovery recovery = health.responded(quick, now);
         if (recovery == Recovery.RESTARTED) {
-            startedAt = Math.max(startedAt, health.lastUnreachable());
+            startedAt = Math.max(startedAt, health.lastConnectFailureAt());
             limiter.resetWindow();
         }
         return recovery;
--- a/policy/src/main/java/garnetreel/policy/endpoint/EndpointTable.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/EndpointTable.java
@@ -8,7 +8,8 @@
 
 /**
  * Indexes all endpoints by address and by shard, and those with attempts in flight, so that the work per event does not
- * grow with the number of endpoints. The maps are ordered by address, as decisions must not depend on hash codes.
+ * grow with the number of endpoints. The maps are ordered by address or by shard number, as decisions must not depend
+ * on hash codes.
  */
 public final class EndpointTable {
     private final Map<String, Endpoint> endpoints = new TreeMap<>();
@@ -16,7 +17,10 @@
     private final Map<String, Endpoint> withInFlight = new TreeMap<>();
     private final EndpointLease lease;
 
-    /** Creates an empty table that checks the given lease before it selects an endpoint. */
+    /**
+     * Creates an empty table that selects only endpoints that may be used according to the given validity of the list
+     * and the leases.
+     */
     public EndpointTable(EndpointLease lease) {
         this.lease = lease;
     }
@@ -91,7 +95,7 @@
     }
 
     /** Whether a shard has endpoints that are up, but none of them may be sent requests. */
-    public boolean lacksLease(int shard, long now) {
+    public boolean hasOnlyUnusableEndpoints(int shard, long now) {
         boolean anyUp = false;
         for (Endpoint endpoint : shardEndpoints(shard)) {
             anyUp |= endpoint.isUp();
@@ -114,10 +118,10 @@
     }
 
     /**
-     * Removes endpoints that are down and have no attempt in flight: some deployments continually replace endpoints
+     * Evicts endpoints that are down and have no attempt in flight: some deployments continually replace endpoints
      * under new names.
      */
-    public void forgetUnused() {
+    public void evictUnused() {
         endpoints.values().removeIf(endpoint -> {
             boolean unused = !endpoint.isUp() && endpoint.limiter().isIdle();
             if (unused) {
--- a/policy/src/main/java/garnetreel/policy/event/AttemptCompleted.java
+++ b/policy/src/main/java/garnetreel/policy/event/AttemptCompleted.java
@@ -3,18 +3,20 @@
 import java.util.Map;
 
 /**
- * An attempt ended. Each {@link garnetreel.policy.action.SendAttempt} is followed by exactly one of these.
+ * An attempt ended. Each {@link garnetreel.policy.action.SendAttempt} is followed by exactly one of these. The
+ * fair-queue scheduler does not read {@code usage} and {@code load}.
  *
  * @param id the request
  * @param attempt index of the attempt among those of the request
- * @param endpoint address of the endpoint
+ * @param endpoint name of the endpoint
  * @param outcome result of the attempt
  * @param elapsed time since it was sent
- * @param requestCompleted true if the client already got its final response; false if the scheduler has to retry or send one
+ * @param requestCompleted true if the client already got its final response or has disconnected; false if the scheduler
+ *     has to retry or send one
  * @param unitsFromOtherGateways units that the endpoint served for the volume through other gateways since its last
  *     response to this gateway
- * @param usage 1 + the volume's total usage in a completed metering period in percent of the plan's provisioned rate; 0
- *     if unknown
+ * @param usage 0 if unknown, else the volume's total usage in a completed metering period, in percent of the plan's
+ *     provisioned rate, plus 1, so that no usage differs from unknown usage
  * @param load metrics of the endpoint's load report by name; empty if it sent none
  */
 public record AttemptCompleted(
--- a/policy/src/main/java/garnetreel/policy/event/DiscoveryAddressChanged.java
+++ b/policy/src/main/java/garnetreel/policy/event/DiscoveryAddressChanged.java
@@ -1,4 +1,7 @@
 package garnetreel.policy.event;
 
-/** The address of the discovery service, which provides the endpoint list, changed. */
+/**
+ * A new configuration was applied, by which the address of the discovery service, which provides the endpoint list, may
+ * have changed.
+ */
 public record DiscoveryAddressChanged() implements SchedulerEvent {}
--- a/policy/src/main/java/garnetreel/policy/event/EndpointEntry.java
+++ b/policy/src/main/java/garnetreel/policy/event/EndpointEntry.java
@@ -1,7 +1,7 @@
 package garnetreel.policy.event;
 
 /**
- * One entry of an endpoint list.
+ * One entry of an endpoint list. The fair-queue scheduler does not read {@code weight}.
  *
  * @param address name of the endpoint; actions refer to the endpoint by it
  * @param zone failure domain of the endpoint
--- a/policy/src/main/java/garnetreel/policy/event/EndpointState.java
+++ b/policy/src/main/java/garnetreel/policy/event/EndpointState.java
@@ -4,7 +4,7 @@
 public enum EndpointState {
     /** Accepts requests. */
     UP,
-    /** Shuts down gracefully and accepts no new requests. */
+    /** Shuts down gracefully and should get no new requests; for a short time it may still accept some. */
     DRAINING,
     /** No longer part of the fleet. */
     REMOVED
--- a/policy/src/main/java/garnetreel/policy/event/GossipReceived.java
+++ b/policy/src/main/java/garnetreel/policy/event/GossipReceived.java
@@ -1,7 +1,7 @@
 package garnetreel.policy.event;
 
 /**
- * A message from another gateway.
+ * A message from another gateway. The fair-queue scheduler ignores this event.
  *
  * @param from index of the sending gateway
  * @param data content of the message
--- a/policy/src/main/java/garnetreel/policy/event/HealthCheckCompleted.java
+++ b/policy/src/main/java/garnetreel/policy/event/HealthCheckCompleted.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /**
- * A health check of an endpoint completed.
+ * A health check of an endpoint completed. The fair-queue scheduler ignores this event.
  *
- * @param endpoint address of the endpoint
+ * @param endpoint name of the endpoint
  * @param outcome result of the check
  * @param elapsed time since it was sent
  * @param load metrics of the endpoint's load report by name; empty if it sent none
--- a/policy/src/main/java/garnetreel/policy/event/Outcome.java
+++ b/policy/src/main/java/garnetreel/policy/event/Outcome.java
@@ -6,11 +6,14 @@
     OK,
     /** The endpoint responded with an error. */
     ERROR,
-    /** Rejected by the endpoint because its queue is full; nothing was executed. */
+    /** Rejected by the endpoint, because its queue is full or it is draining; nothing was executed. */
     OVERLOADED,
     /** No response in time. */
     TIMEOUT,
-    /** No connection could be established; nothing was executed. */
+    /**
+     * No connection could be established, or the attempt ended before its request was sent completely; nothing was
+     * executed.
+     */
     CONNECT_FAILED,
     /** The connection was lost during the attempt. */
     RESET,
--- a/policy/src/main/java/garnetreel/policy/event/RequestReceived.java
+++ b/policy/src/main/java/garnetreel/policy/event/RequestReceived.java
@@ -1,7 +1,8 @@
 package garnetreel.policy.event;
 
 /**
- * This gateway received a request, which must get exactly one final response before its deadline.
+ * This gateway received a request, which must get exactly one final response before its deadline. The fair-queue
+ * scheduler does not read {@code retry}.
  *
  * @param id number of the request, unique among those of this gateway
  * @param className name of its request class
--- a/policy/src/main/java/garnetreel/policy/event/ResponseStreamStarted.java
+++ b/policy/src/main/java/garnetreel/policy/event/ResponseStreamStarted.java
@@ -5,6 +5,6 @@
  *
  * @param id the request
  * @param attempt index of the attempt among those of the request
- * @param endpoint address of the responding endpoint
+ * @param endpoint name of the responding endpoint
  */
 public record ResponseStreamStarted(long id, int attempt, String endpoint) implements SchedulerEvent {}
--- a/policy/src/main/java/garnetreel/policy/fairqueue/FairQueue.java
+++ b/policy/src/main/java/garnetreel/policy/fairqueue/FairQueue.java
@@ -9,13 +9,14 @@
 import java.util.function.BiPredicate;
 
 /**
- * All flows, the system virtual time, and the selection of the next request to send. Implements MQFQ-Sticky: volumes
- * are flows, endpoints are devices, and a flow is charged a request's units divided by the weight of its plan.
+ * All flows, the system virtual time, and the selection of the next request to send. Implements MQFQ-Sticky, the
+ * scheduler of "Opportunistic GPU Acceleration for Serverless Functions" (see docs/design.md): volumes are flows,
+ * endpoints are devices, and a flow is charged a request's units divided by the weight of its plan.
  */
 public final class FairQueue {
     /**
-     * Throttle threshold T of MQFQ-Sticky: units over weight by which a flow may be ahead of the system virtual time. A
-     * few mean requests, so that consecutive requests of a flow are sent together.
+     * Throttle threshold T of MQFQ-Sticky: units over weight by which a flow may be ahead of the system virtual time.
+     * The threshold corresponds to a few requests, so that consecutive requests of a flow are sent together.
      */
     private static final double THROTTLE_THRESHOLD = 10;
     /** Weight of a plan that does not define one. */
@@ -58,9 +59,9 @@
     }
 
     /**
-     * Selects the next request: of the unthrottled flows, that with the longest queue, ties broken by the fewest
-     * attempts in flight; if all eligible flows are throttled, that with the lowest virtual time. Within a flow, the
-     * oldest request that may be sent.
+     * Selects the next request. First selects a flow among those with a request that may be sent: of the unthrottled
+     * ones, the flow with the longest queue and, in a tie, the fewest attempts in flight; if all are throttled, the
+     * flow with the lowest virtual time. Then selects the oldest request of this flow that may be sent.
      *
      * @param queue requests held for the shard
      * @param endpoint endpoint with a free slot
@@ -103,8 +104,8 @@
         return eligible;
     }
 
-    /** Removes flows that have been unused for the retention period. */
-    public void forgetUnused(long now) {
+    /** Evicts flows that have been unused for the retention period. */
+    public void evictUnused(long now) {
         long retention = Retention.of(flows.size());
         flows.values().removeIf(flow -> flow.isUnused(now, retention));
     }
--- a/policy/src/main/java/garnetreel/policy/fairqueue/VolumeFlow.java
+++ b/policy/src/main/java/garnetreel/policy/fairqueue/VolumeFlow.java
@@ -7,7 +7,7 @@
     /** Time for which an emptied flow stays active, as a multiple of the mean arrival gap (alpha of MQFQ-Sticky). */
     private static final double ACTIVE_GAP_MULTIPLE = 2;
     /** Time for which an emptied flow stays active while its mean arrival gap is unknown, in microseconds. */
-    private static final long INITIAL_ACTIVE_TIME = 1_000_000;
+    private static final long INITIAL_ACTIVE_TIME_MICROS = 1_000_000;
     /** Weight of the newest arrival gap in the moving average. */
     private static final double NEWEST_GAP_WEIGHT = 0.2;
     /** Weight of the previous average. */
@@ -69,7 +69,7 @@
     public void requestReleased(long now) {
         held--;
         if (held == 0) {
-            double activeTime = meanArrivalGap < 0 ? INITIAL_ACTIVE_TIME : ACTIVE_GAP_MULTIPLE * meanArrivalGap;
+            double activeTime = meanArrivalGap < 0 ? INITIAL_ACTIVE_TIME_MICROS : ACTIVE_GAP_MULTIPLE * meanArrivalGap;
             activeUntil = now + (long) activeTime;
         }
     }
--- a/policy/src/main/java/garnetreel/policy/health/EndpointHealth.java
+++ b/policy/src/main/java/garnetreel/policy/health/EndpointHealth.java
@@ -5,30 +5,33 @@
  * admitted to it as a result, and the time since which it has been unreachable.
  */
 public final class EndpointHealth {
-    /** Factor of a cut at a mean latency of one latency objective; it is inversely proportional to that mean. */
-    private static final double ADMITTED_AT_OBJECTIVE = 0.3;
+    /**
+     * A cut, which lowers the admitted fraction after late responses, multiplies it by this factor divided by the mean
+     * latency as a multiple of the latency objective.
+     */
+    private static final double CUT_FACTOR_AT_OBJECTIVE = 0.3;
     /** Minimum factor of a single cut, so that some responses still indicate the endpoint's state. */
-    private static final double MIN_ADMITTED_BY_LATENCY = 0.05;
+    private static final double MIN_CUT_FACTOR = 0.05;
     /** Minimum admitted fraction after any number of cuts. */
     private static final double MIN_ADMITTED = 0.01;
     /** Time constant of the mean latency, in microseconds: the mean covers roughly the last second. */
-    private static final double LATENCY_TIME_CONSTANT = 0.8e6;
+    private static final double LATENCY_TIME_CONSTANT_MICROS = 0.8e6;
     /** Latency that a rejected attempt or a failed connection counts as, as a multiple of the latency objective. */
-    private static final double FAILURE_LATENCY = 3;
+    private static final double FAILURE_LATENCY_MULTIPLE = 3;
     /** A response that takes less than this fraction of the tightest latency objective raises the admitted fraction. */
-    private static final double RECOVERY_RESPONSE = 0.5;
-    /** Factor by which a quick response raises the admitted fraction. */
+    private static final double RECOVERY_LATENCY_FRACTION = 0.5;
+    /** Factor by which a response with such a latency raises the admitted fraction. */
     private static final double RECOVERY_FACTOR = 1.5;
     /**
      * The admitted fraction also grows by a factor of e in this time, in microseconds: where few requests are admitted,
      * few responses arrive to raise it.
      */
-    private static final double RECOVERY_TIME_CONSTANT = 4e6;
+    private static final double RECOVERY_TIME_CONSTANT_MICROS = 4e6;
     /**
      * An endpoint that was unreachable for longer than this is taken to have restarted, in microseconds; after a
      * shorter time only a connection was lost.
      */
-    private static final long RESTART_AFTER_UNREACHABLE = 1_000_000;
+    private static final long RESTART_AFTER_UNREACHABLE_MICROS = 1_000_000;
 
     private double admittedFraction = 1;
     private long admittedFractionAt;
@@ -47,12 +50,12 @@
     /** Time since which the endpoint has been unreachable; 0 if it is reachable. */
     private long unreachableSince;
 
-    private long lastUnreachable;
+    private long lastConnectFailureAt;
 
     /** Fraction of the demand that is admitted to the endpoint; it recovers over time. */
     public double admittedFraction(long now) {
         admittedFraction =
-                Math.min(1, admittedFraction * Math.exp((now - admittedFractionAt) / RECOVERY_TIME_CONSTANT));
+                Math.min(1, admittedFraction * Math.exp((now - admittedFractionAt) / RECOVERY_TIME_CONSTANT_MICROS));
         admittedFractionAt = now;
         return admittedFraction;
     }
@@ -73,7 +76,7 @@
 
     /** Records a rejected attempt or a failed connection as a late response. */
     public void recordFailure(long sentAt, long now) {
-        recordLatency(sentAt, FAILURE_LATENCY, now);
+        recordLatency(sentAt, FAILURE_LATENCY_MULTIPLE, now);
     }
 
     /** Cuts the admitted fraction for an attempt in flight that is past its objective, before its outcome is known. */
@@ -82,7 +85,7 @@
     }
 
     private double decay(long now) {
-        return Math.exp((latencyAt - now) / LATENCY_TIME_CONSTANT);
+        return Math.exp((latencyAt - now) / LATENCY_TIME_CONSTANT_MICROS);
     }
 
     /** Mean latency including one more response. */
@@ -92,7 +95,7 @@
 
     private void cutIfLate(long sentAt, double latencyInObjectives, double mean, long now) {
         if (latencyInObjectives > 1 && mean > 1) {
-            cut(sentAt, Math.max(MIN_ADMITTED_BY_LATENCY, ADMITTED_AT_OBJECTIVE / mean), now);
+            cut(sentAt, Math.max(MIN_CUT_FACTOR, CUT_FACTOR_AT_OBJECTIVE / mean), now);
         }
     }
 
@@ -108,16 +111,19 @@
         admittedFraction = Math.max(MIN_ADMITTED, Math.min(admittedFraction(now), fractionBeforeCut * factor));
     }
 
-    /** Raises the admitted fraction after a quick response; the latency is a fraction of the tightest objective. */
+    /**
+     * Raises the admitted fraction after a response whose latency, as a fraction of the tightest objective, is below
+     * {@link #RECOVERY_LATENCY_FRACTION}.
+     */
     public void recover(double relativeLatency, long now) {
-        if (relativeLatency < RECOVERY_RESPONSE) {
+        if (relativeLatency < RECOVERY_LATENCY_FRACTION) {
             admittedFraction = Math.min(1, admittedFraction(now) * RECOVERY_FACTOR);
         }
     }
 
     /**
-     * Resets the admitted fraction after a restart, as earlier observations no longer apply; slow start limits the load
-     * instead.
+     * Resets the admitted fraction after a restart, as it results from observations of the previous process; slow start
+     * limits the load instead. The mean latency and the state of the last cut are kept; the mean fades within seconds.
      */
     public void restarted() {
         admittedFraction = 1;
@@ -129,7 +135,7 @@
         if (first) {
             unreachableSince = now;
         }
-        lastUnreachable = now;
+        lastConnectFailureAt = now;
         return first;
     }
 
@@ -139,8 +145,8 @@
     }
 
     /** Time of the latest failed connection. */
-    public long lastUnreachable() {
-        return lastUnreachable;
+    public long lastConnectFailureAt() {
+        return lastConnectFailureAt;
     }
 
     /**
@@ -153,16 +159,16 @@
         if (!isUnreachable()) {
             return Recovery.NONE;
         }
-        boolean restarted = quick && now - unreachableSince > RESTART_AFTER_UNREACHABLE;
+        boolean restarted = quick && now - unreachableSince > RESTART_AFTER_UNREACHABLE_MICROS;
         unreachableSince = 0;
         return restarted ? Recovery.RESTARTED : Recovery.RECONNECTED;
     }
 
     /**
-     * Invariant: the admitted fraction is within its bounds, and the latest connection failure is no earlier than the
+     * Invariant: the admitted fraction is within its bounds, and the latest failed connection is no earlier than the
      * first.
      */
     public boolean isConsistent() {
-        return admittedFraction >= MIN_ADMITTED && admittedFraction <= 1 && unreachableSince <= lastUnreachable;
+        return admittedFraction >= MIN_ADMITTED && admittedFraction <= 1 && unreachableSince <= lastConnectFailureAt;
     }
 }
--- a/policy/src/main/java/garnetreel/policy/health/LatencyScale.java
+++ b/policy/src/main/java/garnetreel/policy/health/LatencyScale.java
@@ -6,12 +6,15 @@
 /** Expresses latencies relative to the tightest latency objective of all request classes. */
 public final class LatencyScale {
     /** Objective used if no class defines one, in microseconds. */
-    private static final long DEFAULT_OBJECTIVE = 500_000;
+    private static final long DEFAULT_OBJECTIVE_MICROS = 500_000;
     /** Minimum mean request size, in units; prevents division by zero if the settings define none. */
     private static final double MIN_MEAN_UNITS = 0.1;
     /** A request up to this multiple of the mean size is of typical size. */
     private static final double TYPICAL_SIZE_MULTIPLE = 2;
-    /** A response is quick if it takes less than the objective divided by this, as from a process without a queue. */
+    /**
+     * A response is quick if it takes less than the tightest objective divided by this, whatever the size of the
+     * request, as from a process without a queue.
+     */
     private static final int QUICK_DIVISOR = 2;
 
     private final long tightestObjective;
@@ -23,7 +26,7 @@
                 .mapToLong(RequestClass::latencyObjective)
                 .filter(objective -> objective > 0)
                 .min()
-                .orElse(DEFAULT_OBJECTIVE);
+                .orElse(DEFAULT_OBJECTIVE_MICROS);
         typicalUnits = TYPICAL_SIZE_MULTIPLE * Math.max(MIN_MEAN_UNITS, settings.meanUnits());
     }
 
--- a/policy/src/main/java/garnetreel/policy/health/Recovery.java
+++ b/policy/src/main/java/garnetreel/policy/health/Recovery.java
@@ -4,8 +4,8 @@
 public enum Recovery {
     /** The endpoint was reachable before. */
     NONE,
-    /** The endpoint was unreachable, but its process did not restart. */
+    /** The endpoint was unreachable, but its process presumably did not restart. */
     RECONNECTED,
-    /** The endpoint was unreachable because its process restarted. */
+    /** The endpoint was unreachable, presumably because its process restarted. */
     RESTARTED
 }
--- a/policy/src/main/java/garnetreel/policy/ordering/KeyQueue.java
+++ b/policy/src/main/java/garnetreel/policy/ordering/KeyQueue.java
@@ -11,9 +11,9 @@
 public final class KeyQueue<R> {
     private final ArrayDeque<R> requests = new ArrayDeque<>();
     /** Request whose outcome started the quiet period. */
-    private R pausedBy;
+    private R quietPeriodCause;
 
-    private long pausedUntil;
+    private long quietUntil;
 
     KeyQueue() {}
 
@@ -21,13 +21,13 @@
         requests.add(request);
     }
 
-    void pauseUntil(long time, R request) {
-        pausedBy = request;
-        pausedUntil = time;
+    void startQuietPeriod(long time, R request) {
+        quietPeriodCause = request;
+        quietUntil = time;
     }
 
     boolean isIdle(long now) {
-        return requests.isEmpty() && now >= pausedUntil;
+        return requests.isEmpty() && now >= quietUntil;
     }
 
     /**
@@ -35,7 +35,7 @@
      * another request.
      */
     public boolean mayStart(R request, long now) {
-        return requests.peekFirst() == request && (now >= pausedUntil || pausedBy == request);
+        return requests.peekFirst() == request && (now >= quietUntil || quietPeriodCause == request);
     }
 
     /** Removes a finished request. */
--- a/policy/src/main/java/garnetreel/policy/ordering/KeySequencer.java
+++ b/policy/src/main/java/garnetreel/policy/ordering/KeySequencer.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 
 /**
- * Executes the requests of ordered classes in the order of arrival, with one queue per key.
+ * Orders the requests of ordered classes by arrival, with one queue per key. In the quiet period of a key, only the
+ * request whose outcome started it may be sent.
  *
  * @param <R> type of the requests
  */
@@ -13,8 +14,8 @@
     private final long quietPeriod;
 
     /**
-     * Creates a sequencer that pauses a key for the quiet period, in microseconds, after an outcome that may leave work
-     * running.
+     * Creates a sequencer in which a key has a quiet period of the given length, in microseconds, after an outcome that
+     * may leave work running.
      */
     public KeySequencer(long quietPeriod) {
         this.quietPeriod = quietPeriod;
@@ -28,15 +29,15 @@
     }
 
     /**
-     * Pauses a key after an attempt ended whose work may still be running; the request itself may be retried during the
-     * pause.
+     * Starts the quiet period of a key, after an attempt ended whose work may still be running; the request itself may
+     * be retried during that period.
      */
-    public void pause(KeyQueue<R> queue, R request, long now) {
-        queue.pauseUntil(now + quietPeriod, request);
+    public void startQuietPeriod(KeyQueue<R> queue, R request, long now) {
+        queue.startQuietPeriod(now + quietPeriod, request);
     }
 
-    /** Removes keys that have no requests and whose quiet period has ended. */
-    public void forgetIdleKeys(long now) {
+    /** Evicts keys that have no requests and whose quiet period has ended. */
+    public void evictIdleKeys(long now) {
         queues.values().removeIf(queue -> queue.isIdle(now));
     }
 
--- a/policy/src/main/java/garnetreel/policy/ordering/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/ordering/package-info.java
@@ -1,2 +1,2 @@
-/** Execution of the requests of a key in the order of arrival. */
+/** Order of the requests of a key. */
 package garnetreel.policy.ordering;
--- a/policy/src/main/java/garnetreel/policy/ratelimit/BudgetBooking.java
+++ b/policy/src/main/java/garnetreel/policy/ratelimit/BudgetBooking.java
@@ -1,11 +1,14 @@
 package garnetreel.policy.ratelimit;
 
-/** Budget that a request is booked on, in descending order of priority: the reserve is served before the quota. */
+/**
+ * Token bucket to which a received request was charged, in descending order of priority. To book a request is to choose
+ * that bucket and charge it.
+ */
 public enum BudgetBooking {
     /** Within the volume's reserved rate. */
-    RESERVE,
+    RESERVED,
     /** Within the volume's provisioned rate. */
-    QUOTA,
+    PROVISIONED,
     /** Beyond both rates; no bucket was charged. */
     NONE;
 
--- a/policy/src/main/java/garnetreel/policy/ratelimit/TokenBucket.java
+++ b/policy/src/main/java/garnetreel/policy/ratelimit/TokenBucket.java
@@ -3,8 +3,9 @@
 import garnetreel.policy.timing.Microseconds;
 
 /**
- * Token bucket that holds units and refills at a constant rate up to its capacity. Its level may fall to minus its
- * capacity.
+ * Token bucket that holds units and refills at a constant rate up to its capacity. A request is charged as a whole,
+ * also if the level covers only a part of it, so the level may be negative. It falls to minus the capacity at most,
+ * which bounds the time until it is positive again; further debt is dropped.
  */
 public final class TokenBucket {
     private final double refillRate;
@@ -40,9 +41,10 @@
     }
 
     /**
-     * Removes units; a negative number returns them. Does not refill the bucket, so callers call {@link #level} first.
+     * Charges units to the bucket; a negative number returns them. Does not refill the bucket, so callers call
+     * {@link #level} first.
      */
-    public void draw(double units) {
+    public void charge(double units) {
         level = Math.max(-capacity, Math.min(capacity, level - units));
     }
 
--- a/policy/src/main/java/garnetreel/policy/ratelimit/VolumeBuckets.java
+++ b/policy/src/main/java/garnetreel/policy/ratelimit/VolumeBuckets.java
@@ -4,7 +4,11 @@
 import garnetreel.policy.config.SchedulerSettings;
 import garnetreel.policy.timing.Microseconds;
 
-/** Token buckets of one volume at this gateway: its share of the plan's reserve, quota and rate limit. */
+/**
+ * Token buckets of one volume at this gateway. The rate limit is this gateway's share of that of the plan. The reserved
+ * and the provisioned rate are its share as well, unless endpoints report the usage through other gateways; the buckets
+ * then have the whole rates and are charged for that usage too.
+ */
 public final class VolumeBuckets {
     /**
      * Fraction of the refill before a request's latest useful start that is counted on; the rest is left for requests
@@ -12,8 +16,8 @@
      */
     private static final double COUNTED_REFILL_FRACTION = 0.5;
 
-    private final TokenBucket reserve;
-    private final TokenBucket quota;
+    private final TokenBucket reserved;
+    private final TokenBucket provisioned;
     /** Null if the plan has no rate limit. */
     private final TokenBucket rateLimit;
 
@@ -28,12 +32,15 @@
      */
     public VolumeBuckets(Plan plan, SchedulerSettings settings, int gateways, long startedAt, long now) {
         double ownShare = 1.0 / Math.max(1, gateways > 0 ? gateways : settings.gateways());
-        double visibleShare = settings.reportsOtherGateways() ? 1 : ownShare;
+        // Share of the volume's usage that is charged to these buckets: all of it if endpoints report the rest.
+        double trackedShare = settings.reportsOtherGateways() ? 1 : ownShare;
         double largestRequest = settings.maxUnits();
-        double reserveRate = plan.reservedRate() * visibleShare;
-        double quotaRate = plan.provisionedRate() * visibleShare;
-        reserve = new TokenBucket(reserveRate, reserveRate + largestRequest, reserveRate + largestRequest, now);
-        quota = new TokenBucket(quotaRate, quotaRate + largestRequest, quotaRate + largestRequest, now);
+        // Both buckets hold the units of one second and one largest request, so that a full bucket covers any request.
+        double reservedRate = plan.reservedRate() * trackedShare;
+        double provisionedRate = plan.provisionedRate() * trackedShare;
+        reserved = new TokenBucket(reservedRate, reservedRate + largestRequest, reservedRate + largestRequest, now);
+        provisioned = new TokenBucket(
+                provisionedRate, provisionedRate + largestRequest, provisionedRate + largestRequest, now);
         rateLimit = plan.rateLimit() <= 0 ? null : rateLimit(plan, ownShare, startedAt, now);
     }
 
@@ -49,40 +56,42 @@
                 now);
     }
 
-    /** Books a received request on the first bucket that covers half of its units, and returns the booking. */
+    /**
+     * Charges a received request to the first bucket that holds at least half of its units, and returns the booking.
+     */
     public BudgetBooking book(double units, long now) {
-        if (draw(reserve, units, now)) {
-            return BudgetBooking.RESERVE;
+        if (charge(reserved, units, now)) {
+            return BudgetBooking.RESERVED;
         }
-        return draw(quota, units, now) ? BudgetBooking.QUOTA : BudgetBooking.NONE;
+        return charge(provisioned, units, now) ? BudgetBooking.PROVISIONED : BudgetBooking.NONE;
     }
 
-    private static boolean draw(TokenBucket bucket, double units, long now) {
+    private static boolean charge(TokenBucket bucket, double units, long now) {
         if (bucket.level(now) < units / 2) {
             return false;
         }
-        bucket.draw(units);
+        bucket.charge(units);
         return true;
     }
 
-    /** Returns the units of a request that was given up to the bucket it was booked on. */
+    /** Returns the units of a request that the scheduler gave up to the bucket that they were charged to. */
     public void cancelBooking(BudgetBooking booking, double units) {
-        if (booking == BudgetBooking.RESERVE) {
-            reserve.draw(-units);
-        } else if (booking == BudgetBooking.QUOTA) {
-            quota.draw(-units);
+        if (booking == BudgetBooking.RESERVED) {
+            reserved.charge(-units);
+        } else if (booking == BudgetBooking.PROVISIONED) {
+            provisioned.charge(-units);
         }
     }
 
     /**
-     * Charges the volume's usage through other gateways to the reserve, and the excess over the reserve's level to the
-     * quota as well.
+     * Charges the volume's usage through other gateways to the reserved rate, and the excess over the level of its
+     * bucket to the provisioned rate as well.
      */
-    public void drawForOtherGateways(long units, long now) {
-        double beyondReserve = Math.max(0, units - Math.max(0, reserve.level(now)));
-        reserve.draw(units);
-        quota.level(now);
-        quota.draw(beyondReserve);
+    public void chargeForOtherGateways(long units, long now) {
+        double beyondReserved = Math.max(0, units - Math.max(0, reserved.level(now)));
+        reserved.charge(units);
+        provisioned.level(now);
+        provisioned.charge(beyondReserved);
     }
 
     /** Whether the volume has a rate limit. */
@@ -96,31 +105,31 @@
     }
 
     /** Charges the units of a first attempt to the rate limit. */
-    public void drawAttempt(double units) {
+    public void chargeAttempt(double units) {
         if (rateLimit != null) {
-            rateLimit.draw(units);
+            rateLimit.charge(units);
         }
     }
 
     /**
-     * Whether the rate limit will cover the waiting units before the latest useful start.
+     * Whether the rate limit will cover the uncharged units before the latest useful start.
      *
-     * @param waitingUnits units of the volume's requests that have not yet been charged to the rate limit
+     * @param unchargedUnits units of the volume's requests that have not yet been charged to the rate limit
      * @param latestUsefulStart time at which the newest of them must start
      * @param now current time
      */
-    public boolean coversInTime(double waitingUnits, long latestUsefulStart, long now) {
+    public boolean coversInTime(double unchargedUnits, long latestUsefulStart, long now) {
         if (rateLimit == null) {
             return true;
         }
         double refill = rateLimit.refillRate()
                 * Math.max(0, latestUsefulStart - now)
                 / (Microseconds.PER_SECOND / COUNTED_REFILL_FRACTION);
-        return !(rateLimit.level(now) + refill < waitingUnits);
+        return !(rateLimit.level(now) + refill < unchargedUnits);
     }
 
     /** Invariant: every bucket is consistent. */
     public boolean isConsistent() {
-        return reserve.isConsistent() && quota.isConsistent() && (rateLimit == null || rateLimit.isConsistent());
+        return reserved.isConsistent() && provisioned.isConsistent() && (rateLimit == null || rateLimit.isConsistent());
     }
 }
--- a/policy/src/main/java/garnetreel/policy/ratelimit/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/ratelimit/package-info.java
@@ -1,2 +1,2 @@
-/** Usage limits of volumes: reserve, quota and rate limit, each a token bucket. */
+/** Usage limits of volumes: reserved rate, provisioned rate and rate limit, each a token bucket. */
 package garnetreel.policy.ratelimit;
--- a/policy/src/main/java/garnetreel/policy/retry/IdempotencyGuard.java
+++ b/policy/src/main/java/garnetreel/policy/retry/IdempotencyGuard.java
@@ -13,10 +13,13 @@
     private final long decisionMargin;
 
     private int possiblyExecuted;
-    /** Send time of the first attempt that may have been executed. */
-    private long firstExecutedAt;
+    /**
+     * Send time of the first attempt that may have been executed. It is kept as a cautious estimate while another
+     * attempt may have been executed, even if that first one is proven not to have been.
+     */
+    private long firstPossibleExecutionAt;
 
-    private Endpoint firstExecutedBy;
+    private Endpoint firstPossibleExecutor;
 
     /** Creates the guard of a request that has not been sent yet. */
     public IdempotencyGuard(RequestClass requestClass, long decisionMargin) {
@@ -27,8 +30,8 @@
     /** Records that an attempt is sent; from now on it may be executed. */
     public void attemptSent(Endpoint endpoint, long now) {
         if (possiblyExecuted == 0) {
-            firstExecutedAt = now;
-            firstExecutedBy = endpoint;
+            firstPossibleExecutionAt = now;
+            firstPossibleExecutor = endpoint;
         }
         possiblyExecuted++;
     }
@@ -59,13 +62,15 @@
      * or the endpoint deduplicates it.
      */
     public boolean allowsEndpoint(Endpoint endpoint) {
-        if (!mayHaveExecuted() || requestClass.idempotency() == Idempotency.IDEMPOTENT || firstExecutedBy == endpoint) {
+        if (!mayHaveExecuted()
+                || requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || firstPossibleExecutor == endpoint) {
             return true;
         }
         return switch (requestClass.deduplicationScope()) {
             case ALL -> true;
-            case ZONE -> firstExecutedBy.zone().equals(endpoint.zone());
-            case SHARD -> firstExecutedBy.shard() == endpoint.shard();
+            case ZONE -> firstPossibleExecutor.zone().equals(endpoint.zone());
+            case SHARD -> firstPossibleExecutor.shard() == endpoint.shard();
         };
     }
 
@@ -78,10 +83,16 @@
 
     /** End of the deduplication window, less the time that may pass between the decision and the send. */
     private long deduplicatedUntil() {
-        return firstExecutedAt + requestClass.deduplicationWindow() - decisionMargin - ProcessPause.MARGIN;
+        return firstPossibleExecutionAt
+                + requestClass.deduplicationWindow()
+                - decisionMargin
+                - ProcessPause.MARGIN_MICROS;
     }
 
-    /** Whether the client may safely retry, so that the request can be rejected rather than failed. */
+    /**
+     * Whether the client may safely retry, so that the request can be rejected rather than failed. The deduplication
+     * window is not taken into account, unlike in {@link #allowsRetry}.
+     */
     public boolean clientMayRetry() {
         return !mayHaveExecuted()
                 || requestClass.idempotency() == Idempotency.IDEMPOTENT
@@ -93,6 +104,6 @@
      * Invariant: no more attempts were proven not executed than were sent, and the endpoint of the first one is known.
      */
     public boolean isConsistent() {
-        return possiblyExecuted >= 0 && (possiblyExecuted == 0 || firstExecutedBy != null);
+        return possiblyExecuted >= 0 && (possiblyExecuted == 0 || firstPossibleExecutor != null);
     }
 }
--- a/policy/src/main/java/garnetreel/policy/retry/RetryBudget.java
+++ b/policy/src/main/java/garnetreel/policy/retry/RetryBudget.java
@@ -6,8 +6,9 @@
 /** Limits retries to a fixed number plus a fraction of the requests received within the retry window. */
 public final class RetryBudget {
     /**
-     * The window for retries is longer than configured by this factor, and that for received requests is shorter by it,
-     * as attempts sent at different times may arrive at the same time.
+     * Retries are counted in a window longer than the configured one by this factor, and received requests in one
+     * shorter by it: attempts may be delayed by different times, so that more retries arrive at the endpoints within a
+     * window than were sent within one.
      */
     private static final double WINDOW_MARGIN = 1.05;
 
@@ -46,12 +47,12 @@
         while (!retries.isEmpty() && retries.peekFirst() < now - rules.retryWindow() * WINDOW_MARGIN) {
             retries.pollFirst();
         }
-        forgetOldRequests(now);
+        evictOldRequests(now);
         return retries.size() + 1 <= rules.freeRetries() + rules.retryRatio() * received.size();
     }
 
-    /** Removes requests that are older than the window. */
-    public void forgetOldRequests(long now) {
+    /** Evicts requests that are older than the window. */
+    public void evictOldRequests(long now) {
         while (!received.isEmpty() && received.peekFirst() < now - rules.retryWindow() / WINDOW_MARGIN) {
             received.pollFirst();
         }
--- a/policy/src/main/java/garnetreel/policy/retry/RetryDecision.java
+++ b/policy/src/main/java/garnetreel/policy/retry/RetryDecision.java
@@ -4,7 +4,7 @@
 public enum RetryDecision {
     /** Retry at any endpoint of the shard. */
     RETRY,
-    /** Retry at a different endpoint of the shard only. */
+    /** Retry only if another endpoint of the shard would be selected now. */
     RETRY_ELSEWHERE,
     /** Give up the request. */
     GIVE_UP
--- a/policy/src/main/java/garnetreel/policy/retry/RetryPolicy.java
+++ b/policy/src/main/java/garnetreel/policy/retry/RetryPolicy.java
@@ -28,6 +28,11 @@
         return outcome == Outcome.OVERLOADED ? RetryDecision.RETRY_ELSEWHERE : RetryDecision.RETRY;
     }
 
+    /**
+     * Whether an outcome leaves a retry worthwhile. Attempts are sent with the client's deadline as their timeout, so
+     * no time is left after a timeout. A request whose attempt this gateway cancelled is not retried either; the
+     * fair-queue scheduler itself cancels none.
+     */
     private static boolean isRetryable(Outcome outcome) {
         return outcome != Outcome.TIMEOUT && outcome != Outcome.CANCELLED;
     }
--- a/policy/src/main/java/garnetreel/policy/slowstart/ServedRate.java
+++ b/policy/src/main/java/garnetreel/policy/slowstart/ServedRate.java
@@ -11,9 +11,9 @@
      * Period, in microseconds, after which the older half of the measurement is dropped, both in units and in time:
      * long, as slow start scales with the usual rate.
      */
-    private static final long MAX_AGE = 60_000_000;
+    private static final long MAX_AGE_MICROS = 60_000_000;
     /** Minimum period of the mean, in microseconds: a first response must not result in a high rate. */
-    private static final long MIN_PERIOD = 4_000_000;
+    private static final long MIN_PERIOD_MICROS = 4_000_000;
 
     private double units;
     private long since;
@@ -32,11 +32,11 @@
     /** Mean rate in units per second. */
     public double perSecond(long now) {
         halveIfOld(now);
-        return units * Microseconds.PER_SECOND / Math.max(MIN_PERIOD, now - since);
+        return units * Microseconds.PER_SECOND / Math.max(MIN_PERIOD_MICROS, now - since);
     }
 
     private void halveIfOld(long now) {
-        if (now - since > MAX_AGE) {
+        if (now - since > MAX_AGE_MICROS) {
             units /= 2;
             since = (since + now) / 2;
         }
--- a/policy/src/main/java/garnetreel/policy/slowstart/SlowStart.java
+++ b/policy/src/main/java/garnetreel/policy/slowstart/SlowStart.java
@@ -7,8 +7,9 @@
 /**
  * Limits the rate of requests to endpoints that have recently started. The total rate at which a shard serves all
  * gateways is at most the capacity of its endpoint, so if each gateway keeps to a fraction of its own former rate,
- * their total stays within that fraction of the capacity. A gateway without a former rate uses an equal share of a rate
- * that is always safe.
+ * their total stays within that fraction of the capacity. The allowed fraction is the present capacity of the endpoint
+ * times {@code overloadMultiple} of the rules and {@link #OWN_RATE_MULTIPLE}. A gateway without a former rate uses an
+ * equal share of a rate that is always safe.
  */
 public final class SlowStart {
     /**
@@ -21,7 +22,7 @@
 
     private final SafetyRules rules;
     private final double initialFraction;
-    /** Units within the accounting window that all gateways together may always send. */
+    /** Units within the overload window that all gateways together may always send. */
     private final double safeUnits;
 
     private final int gateways;
@@ -46,14 +47,14 @@
         if (!isWarmingUp(startedAt, now)) {
             return Double.POSITIVE_INFINITY;
         }
-        double capacity = capacityFraction(now - startedAt);
+        double fraction = capacityFraction(now - startedAt);
         double safeRate =
-                safeUnits * Microseconds.PER_SECOND / rules.overloadWindow() / gateways * capacity / initialFraction;
-        return Math.max(safeRate, OWN_RATE_MULTIPLE * rules.overloadMultiple() * capacity * served.perSecond(now));
+                safeUnits * Microseconds.PER_SECOND / rules.overloadWindow() / gateways * fraction / initialFraction;
+        return Math.max(safeRate, OWN_RATE_MULTIPLE * rules.overloadMultiple() * fraction * served.perSecond(now));
     }
 
     /**
-     * Whether an endpoint is warming up. Warm-up is extended by one accounting window, so that no later window overlaps
+     * Whether an endpoint is warming up. Warm-up is extended by one overload window, so that no later window overlaps
      * with it.
      */
     private boolean isWarmingUp(long startedAt, long now) {
@@ -63,8 +64,7 @@
     }
 
     /**
-     * Capacity, as a fraction of the full capacity, at the beginning of the accounting window that ends at the given
-     * age.
+     * Capacity, as a fraction of the full capacity, at the beginning of the overload window that ends at the given age.
      */
     private double capacityFraction(long age) {
         double warmUpProgress = Math.max(0, age - rules.overloadWindow()) / Math.max(1.0, rules.warmUpDuration());
--- a/policy/src/test/java/garnetreel/policy/admission/AdmissionControllerTest.java
+++ b/policy/src/test/java/garnetreel/policy/admission/AdmissionControllerTest.java
@@ -40,33 +40,33 @@
 
     @Test
     void shedsRequestsBeyondQuotaFirstThenQuota() {
-        assertEquals(1_000, admitted(BudgetBooking.RESERVE, 0.5, UNLIMITED));
-        int quota = admitted(BudgetBooking.QUOTA, 0.5, UNLIMITED);
-        assertTrue(quota > 430 && quota < 570, quota + " of 1,000 admitted at a probability of 0.5");
+        assertEquals(1_000, admitted(BudgetBooking.RESERVED, 0.5, UNLIMITED));
+        int provisioned = admitted(BudgetBooking.PROVISIONED, 0.5, UNLIMITED);
+        assertTrue(provisioned > 430 && provisioned < 570, provisioned + " of 1,000 admitted at a probability of 0.5");
         assertEquals(0, admitted(BudgetBooking.NONE, 0.5, UNLIMITED));
-        assertEquals(0, admitted(BudgetBooking.QUOTA, 0.3, UNLIMITED));
+        assertEquals(0, admitted(BudgetBooking.PROVISIONED, 0.3, UNLIMITED));
     }
 
     @Test
     void shedsReserveLast() {
-        int reserve = admitted(BudgetBooking.RESERVE, 0.1, UNLIMITED);
-        assertTrue(reserve > 240 && reserve < 360, reserve + " of 1,000 admitted at a probability of 0.3");
+        int reserved = admitted(BudgetBooking.RESERVED, 0.1, UNLIMITED);
+        assertTrue(reserved > 240 && reserved < 360, reserved + " of 1,000 admitted at a probability of 0.3");
     }
 
     @Test
     void limitsAdmissionWithinWindowToWarmUpRate() {
         // 1.3 times 10 per second for 2 s, one request of the maximum size of 8 units, and the request that exceeds the
         // sum.
-        int admitted = admitted(BudgetBooking.RESERVE, 1, 10);
+        int admitted = admitted(BudgetBooking.RESERVED, 1, 10);
         assertTrue(admitted <= 35, admitted + " admitted");
     }
 
     @Test
     void servesHigherPriorityDemandFirst() {
-        demand.add(BudgetBooking.RESERVE, 60, NOW);
-        demand.add(BudgetBooking.QUOTA, 60, NOW);
-        assertEquals(1.5, demand.servableFraction(15, BudgetBooking.RESERVE), 1e-9);
-        assertEquals(0.5, demand.servableFraction(15, BudgetBooking.QUOTA), 1e-9);
+        demand.add(BudgetBooking.RESERVED, 60, NOW);
+        demand.add(BudgetBooking.PROVISIONED, 60, NOW);
+        assertEquals(1.5, demand.servableFraction(15, BudgetBooking.RESERVED), 1e-9);
+        assertEquals(0.5, demand.servableFraction(15, BudgetBooking.PROVISIONED), 1e-9);
     }
 
     @Test
--- a/policy/src/test/java/garnetreel/policy/concurrency/ConcurrencyLimiterTest.java
+++ b/policy/src/test/java/garnetreel/policy/concurrency/ConcurrencyLimiterTest.java
@@ -14,8 +14,8 @@
 
     private record SentAttempt(long sentAt) implements InFlightAttempt {
         @Override
-        public double inObjectives(long time) {
-            return (double) time / OBJECTIVE;
+        public double toObjectiveMultiple(long duration) {
+            return (double) duration / OBJECTIVE;
         }
     }
 
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointLeaseTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointLeaseTest.java
@@ -10,7 +10,7 @@
     private static final long SECOND = 1_000_000;
     private static final long LIST_CONFIRMED_AT = 100 * SECOND;
     private static final long LIST_EXPIRES_AT =
-            LIST_CONFIRMED_AT + EndpointLease.MAX_NOTIFICATION_DELAY - ProcessPause.MARGIN;
+            LIST_CONFIRMED_AT + EndpointLease.MAX_NOTIFICATION_DELAY_MICROS - ProcessPause.MARGIN_MICROS;
 
     private final EndpointLease lease = new EndpointLease();
 
@@ -36,7 +36,10 @@
         lease.confirmed(LIST_CONFIRMED_AT);
         long renewedAt = LIST_CONFIRMED_AT + 5 * SECOND;
         assertEquals(
-                renewedAt + EndpointLease.MAX_NOTIFICATION_DELAY - EndpointLease.MAX_DRAIN_DELAY - ProcessPause.MARGIN,
+                renewedAt
+                        + EndpointLease.MAX_NOTIFICATION_DELAY_MICROS
+                        - EndpointLease.MAX_DRAIN_DELAY_MICROS
+                        - ProcessPause.MARGIN_MICROS,
                 lease.sendBefore(renewedAt));
         assertEquals(
                 LIST_EXPIRES_AT,
@@ -48,7 +51,10 @@
     void discoveryAddressChangeLimitsValidityToFourSeconds() {
         lease.confirmed(LIST_CONFIRMED_AT);
         lease.discoveryAddressChanged(LIST_CONFIRMED_AT + SECOND);
-        long end = LIST_CONFIRMED_AT + SECOND + EndpointLease.MAX_DELAY_AFTER_ADDRESS_CHANGE - ProcessPause.MARGIN;
+        long end = LIST_CONFIRMED_AT
+                + SECOND
+                + EndpointLease.MAX_DELAY_AFTER_ADDRESS_CHANGE_MICROS
+                - ProcessPause.MARGIN_MICROS;
         assertEquals(end, sendBeforeWithoutLease());
         lease.discoveryAddressChanged(LIST_CONFIRMED_AT + 3 * SECOND);
         assertEquals(
@@ -58,7 +64,7 @@
         lease.confirmed(LIST_CONFIRMED_AT + 4 * SECOND);
         assertEquals(LIST_EXPIRES_AT + 4 * SECOND, sendBeforeWithoutLease());
         lease.discoveryAddressChanged(LIST_CONFIRMED_AT + 5 * SECOND);
-        assertEquals(LIST_CONFIRMED_AT + 9 * SECOND - ProcessPause.MARGIN, sendBeforeWithoutLease());
+        assertEquals(LIST_CONFIRMED_AT + 9 * SECOND - ProcessPause.MARGIN_MICROS, sendBeforeWithoutLease());
     }
 
     @Test
@@ -71,7 +77,7 @@
         lease.discoveryObserved(false);
         lease.discoveryAddressChanged(LIST_CONFIRMED_AT + SECOND);
         assertEquals(
-                LIST_CONFIRMED_AT + 5 * SECOND - ProcessPause.MARGIN,
+                LIST_CONFIRMED_AT + 5 * SECOND - ProcessPause.MARGIN_MICROS,
                 sendBeforeWithoutLease(),
                 "discovery at another address may be up");
     }
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointListSubscriptionTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointListSubscriptionTest.java
@@ -19,10 +19,10 @@
     @Test
     void callsImmediatelyAndThenAwaitsResponse() {
         subscription.start(NOW);
-        assertTrue(subscription.callNow(NOW));
-        assertFalse(subscription.callNow(NOW));
-        assertFalse(subscription.callNow(NOW + 10 * SECOND - 1));
-        assertTrue(subscription.callNow(NOW + 10 * SECOND));
+        assertTrue(subscription.takeDueCall(NOW));
+        assertFalse(subscription.takeDueCall(NOW));
+        assertFalse(subscription.takeDueCall(NOW + 10 * SECOND - 1));
+        assertTrue(subscription.takeDueCall(NOW + 10 * SECOND));
     }
 
     @Test
@@ -30,7 +30,7 @@
         subscription.start(NOW);
         subscription.listReceived();
         assertFalse(subscription.isPending());
-        assertFalse(subscription.callNow(NOW + 60 * SECOND));
+        assertFalse(subscription.takeDueCall(NOW + 60 * SECOND));
     }
 
     @Test
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointTableTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointTableTest.java
@@ -20,7 +20,7 @@
 
     private record SentAttempt(long sentAt) implements InFlightAttempt {
         @Override
-        public double inObjectives(long time) {
+        public double toObjectiveMultiple(long duration) {
             return 0;
         }
     }
@@ -55,7 +55,7 @@
         listEndpoint("a", 1, EndpointState.DRAINING);
         assertNull(table.select(1, NOW));
         assertTrue(table.hasShard(1));
-        assertFalse(table.lacksLease(1, NOW), "a draining endpoint does not count as lacking a lease");
+        assertFalse(table.hasOnlyUnusableEndpoints(1, NOW), "a draining endpoint does not count as lacking a lease");
     }
 
     @Test
@@ -64,7 +64,7 @@
         lease.confirmed(NOW);
         assertEquals(first, table.select(1, NOW));
         assertNull(table.select(1, NOW + 6 * SECOND));
-        assertTrue(table.lacksLease(1, NOW + 6 * SECOND));
+        assertTrue(table.hasOnlyUnusableEndpoints(1, NOW + 6 * SECOND));
         first.renewLease(NOW + 5 * SECOND);
         assertEquals(first, table.select(1, NOW + 6 * SECOND));
         first.revokeLease();
@@ -87,11 +87,11 @@
         SentAttempt attempt = new SentAttempt(NOW);
         table.attemptSent(endpoint, attempt);
         table.markAllDown();
-        table.forgetUnused();
+        table.evictUnused();
         assertEquals(1, table.all().size());
         assertEquals(1, table.withAttemptsInFlight().size());
         table.attemptEnded(endpoint, attempt);
-        table.forgetUnused();
+        table.evictUnused();
         assertTrue(table.all().isEmpty());
         assertFalse(table.hasShard(1));
         assertTrue(table.isConsistent());
@@ -100,9 +100,9 @@
     @Test
     void onlyLaterStartTimeIsRestart() {
         Endpoint endpoint = listEndpoint("a", 1, EndpointState.UP);
-        assertTrue(endpoint.restarted(NOW));
-        assertFalse(endpoint.restarted(NOW));
-        assertFalse(endpoint.restarted(NOW - 1));
+        assertTrue(endpoint.applyListedStart(NOW));
+        assertFalse(endpoint.applyListedStart(NOW));
+        assertFalse(endpoint.applyListedStart(NOW - 1));
         assertEquals(NOW, endpoint.startedAt());
         assertEquals(1, endpoint.limiter().freeSlots(NOW));
     }
--- a/policy/src/test/java/garnetreel/policy/fairqueue/FairQueueTest.java
+++ b/policy/src/test/java/garnetreel/policy/fairqueue/FairQueueTest.java
@@ -113,12 +113,12 @@
     @Test
     void removesFlowUnusedForOneMinute() {
         hold(first);
-        fairQueue.forgetUnused(NOW + 61 * SECOND);
+        fairQueue.evictUnused(NOW + 61 * SECOND);
         assertEquals(1, fairQueue.size(), "the other was never used");
         first.requestReleased(NOW);
-        fairQueue.forgetUnused(NOW + 60 * SECOND);
+        fairQueue.evictUnused(NOW + 60 * SECOND);
         assertEquals(1, fairQueue.size());
-        fairQueue.forgetUnused(NOW + 60 * SECOND + 1);
+        fairQueue.evictUnused(NOW + 60 * SECOND + 1);
         assertNull(fairQueue.flow(1));
     }
 
--- a/policy/src/test/java/garnetreel/policy/health/EndpointHealthTest.java
+++ b/policy/src/test/java/garnetreel/policy/health/EndpointHealthTest.java
@@ -73,7 +73,7 @@
         assertFalse(health.connectFailed(NOW + SECOND));
         assertTrue(health.isUnreachable());
         assertEquals(Recovery.RESTARTED, health.responded(true, NOW + SECOND + 1));
-        assertEquals(NOW + SECOND, health.lastUnreachable());
+        assertEquals(NOW + SECOND, health.lastConnectFailureAt());
         assertFalse(health.isUnreachable());
         assertEquals(Recovery.NONE, health.responded(true, NOW + SECOND + 2));
     }
--- a/policy/src/test/java/garnetreel/policy/ordering/KeySequencerTest.java
+++ b/policy/src/test/java/garnetreel/policy/ordering/KeySequencerTest.java
@@ -26,7 +26,7 @@
 
     @Test
     void quietPeriodBlocksAllButTheRequestThatStartedIt() {
-        sequencer.pause(queue, "first", 1_000);
+        sequencer.startQuietPeriod(queue, "first", 1_000);
         assertTrue(queue.mayStart("first", 1_000));
         sequencer.enqueue(KEY, "second");
         queue.remove("first");
@@ -36,11 +36,11 @@
 
     @Test
     void removesKeyOnceEmptyAndPastQuietPeriod() {
-        sequencer.pause(queue, "first", 1_000);
+        sequencer.startQuietPeriod(queue, "first", 1_000);
         queue.remove("first");
-        sequencer.forgetIdleKeys(1_000 + QUIET_PERIOD - 1);
+        sequencer.evictIdleKeys(1_000 + QUIET_PERIOD - 1);
         assertEquals(1, sequencer.size());
-        sequencer.forgetIdleKeys(1_000 + QUIET_PERIOD);
+        sequencer.evictIdleKeys(1_000 + QUIET_PERIOD);
         assertEquals(0, sequencer.size());
     }
 
--- a/policy/src/test/java/garnetreel/policy/ratelimit/TokenBucketTest.java
+++ b/policy/src/test/java/garnetreel/policy/ratelimit/TokenBucketTest.java
@@ -18,7 +18,7 @@
 
     @Test
     void refillsAtRateUpToCapacity() {
-        bucket.draw(30);
+        bucket.charge(30);
         assertEquals(15, bucket.level(SECOND / 2));
         assertEquals(40, bucket.level(10 * SECOND));
         assertTrue(bucket.isConsistent());
@@ -26,9 +26,9 @@
 
     @Test
     void levelIsBoundedByMinusCapacity() {
-        bucket.draw(1_000);
+        bucket.charge(1_000);
         assertEquals(-40, bucket.level(0));
-        bucket.draw(-1_000);
+        bucket.charge(-1_000);
         assertEquals(40, bucket.level(0));
         assertTrue(bucket.isConsistent());
     }
--- a/policy/src/test/java/garnetreel/policy/ratelimit/VolumeBucketsTest.java
+++ b/policy/src/test/java/garnetreel/policy/ratelimit/VolumeBucketsTest.java
@@ -8,11 +8,11 @@
 import garnetreel.policy.config.Plan;
 import org.junit.jupiter.api.Test;
 
-/** Tests bookings on reserve and quota, and the rate limit, for a volume at one of two gateways. */
+/** Tests bookings on the reserved and the provisioned rate, and the rate limit, for a volume at one of two gateways. */
 class VolumeBucketsTest {
     private static final long SECOND = 1_000_000;
     private static final long START = 100 * SECOND;
-    /** Reserve of 10 and quota of 20 units per second, no rate limit; the largest request has 8 units. */
+    /** Reserved rate of 10 and provisioned rate of 20 units/s, no rate limit; the largest request has 8 units. */
     private static final Plan UNLIMITED_PLAN = TestSettings.settings().plans().get(0);
     /** Rate limit of 10 units per second, burst of 40 units. */
     private static final Plan RATE_LIMITED_PLAN =
@@ -25,30 +25,30 @@
     @Test
     void booksReserveBeforeQuota() {
         VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
-        assertEquals(BudgetBooking.RESERVE, buckets.book(13, START));
-        assertEquals(BudgetBooking.QUOTA, buckets.book(18, START));
+        assertEquals(BudgetBooking.RESERVED, buckets.book(13, START));
+        assertEquals(BudgetBooking.PROVISIONED, buckets.book(18, START));
         assertEquals(BudgetBooking.NONE, buckets.book(1, START));
         assertTrue(buckets.isConsistent());
     }
 
     @Test
     void booksIfBucketCoversHalfTheRequest() {
-        assertEquals(BudgetBooking.RESERVE, buckets(UNLIMITED_PLAN, START).book(26, START));
-        assertEquals(BudgetBooking.QUOTA, buckets(UNLIMITED_PLAN, START).book(27, START));
+        assertEquals(BudgetBooking.RESERVED, buckets(UNLIMITED_PLAN, START).book(26, START));
+        assertEquals(BudgetBooking.PROVISIONED, buckets(UNLIMITED_PLAN, START).book(27, START));
     }
 
     @Test
     void cancelledBookingReturnsUnits() {
         VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
         buckets.cancelBooking(buckets.book(13, START), 13);
-        assertEquals(BudgetBooking.RESERVE, buckets.book(13, START));
+        assertEquals(BudgetBooking.RESERVED, buckets.book(13, START));
     }
 
     @Test
     void usageThroughOtherGatewaysChargesReserveFirst() {
         VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
-        buckets.drawForOtherGateways(13, START);
-        assertEquals(BudgetBooking.QUOTA, buckets.book(18, START));
+        buckets.chargeForOtherGateways(13, START);
+        assertEquals(BudgetBooking.PROVISIONED, buckets.book(18, START));
     }
 
     @Test
@@ -57,7 +57,7 @@
         assertTrue(buckets.isRateLimited());
         assertFalse(buckets.allowsAttempt(1, START));
         assertTrue(buckets.allowsAttempt(5, START + SECOND));
-        buckets.drawAttempt(5);
+        buckets.chargeAttempt(5);
         assertFalse(buckets.allowsAttempt(1, START + SECOND));
     }
 
--- a/policy/src/test/java/garnetreel/policy/retry/IdempotencyGuardTest.java
+++ b/policy/src/test/java/garnetreel/policy/retry/IdempotencyGuardTest.java
@@ -66,7 +66,7 @@
     @Test
     void keyedRequestMayBeRetriedWithinDeduplicationWindowLessMargins() {
         IdempotencyGuard guard = sent(keyed(DeduplicationScope.ALL));
-        long end = NOW + SECOND - MARGIN - ProcessPause.MARGIN;
+        long end = NOW + SECOND - MARGIN - ProcessPause.MARGIN_MICROS;
         assertEquals(end, guard.mustStartBefore());
         assertTrue(guard.allowsRetry(end - 1));
         assertFalse(guard.allowsRetry(end));
