--- a/core/src/main/java/garnetreel/core/platform/ConnectionsByAge.java
+++ b/core/src/main/java/garnetreel/core/platform/ConnectionsByAge.java
@@ -5,8 +5,10 @@
 import java.util.Map;
 
 /**
- * Connections in one state, in the order in which they entered it, and the time that they may stay in it. Because the
- * limit is the same for all, the oldest connection is the next to expire.
+ * Connections in one state, in the order in which they entered it, and the time that they may stay in it after their
+ * last transition. Because the limit is the same for all, the first connection is the next to expire. This is
+ * approximate for a connection to which a health check was assigned while it was being established: its time counts
+ * from the write of the request, so those behind it may expire late.
  */
 final class ConnectionsByAge {
     private final long maxAgeMicros;
@@ -38,12 +40,12 @@
     /** The oldest connection if it has expired, else null. */
     UpstreamConnection expired(long now) {
         UpstreamConnection oldest = oldest();
-        return oldest != null && now - oldest.stateSince() >= maxAgeMicros ? oldest : null;
+        return oldest != null && now - oldest.lastTransitionAt() >= maxAgeMicros ? oldest : null;
     }
 
     /** The time at which the oldest connection expires; {@link Long#MAX_VALUE} if there is none. */
     long nextDeadline() {
         UpstreamConnection oldest = oldest();
-        return oldest == null ? Long.MAX_VALUE : oldest.stateSince() + maxAgeMicros;
+        return oldest == null ? Long.MAX_VALUE : oldest.lastTransitionAt() + maxAgeMicros;
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/DecimalText.java
+++ b/core/src/main/java/garnetreel/core/platform/DecimalText.java
@@ -6,7 +6,10 @@
     private static final int MICROS_PER_MILLI = 1_000;
     private static final int MILLIS_PER_SECOND = 1_000;
     private static final int MICROS_PER_SECOND = 1_000_000;
-    /** Decimals of a number of seconds down to one microsecond; further ones are truncated. */
+    /**
+     * Decimals of a number of seconds down to one microsecond; further ones are truncated, and a number with more than
+     * {@link #MAX_LONG_DIGITS} decimals is malformed.
+     */
     private static final int MICRO_DIGITS = 6;
     /** Nine digits of seconds are about 31 years, whose microseconds fit into a long. */
     private static final int MAX_SECONDS_DIGITS = 9;
--- a/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
@@ -14,10 +14,10 @@
     private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
 
     /**
-     * Maximum time to wait for the first data of a response, microseconds. Discovery handles calls one after the other
-     * and rejects a call that has waited for 1 to 2 s with status 503. A caller that gives up earlier wastes its place
-     * in the queue and calls again, so that an overloaded discovery makes no progress: with 1.3 s, nineteen gateways
-     * made 239 futile calls where 21 were enough.
+     * Maximum time to wait for the first data of a response, in microseconds. Discovery handles calls one after the
+     * other; it rejects a call with status 503 after 1 to 2 s in its queue. A caller that gives up earlier wastes its
+     * place in the queue and calls again, so that an overloaded discovery makes no progress: with a time of 1.3 s, a
+     * trial with nineteen gateways had 239 futile calls, compared with 21 that were enough.
      */
     private static final long RESPONSE_TIMEOUT_MICROS = 2_600_000;
 
@@ -34,7 +34,7 @@
     private final JsonFrameSplitter splitter = new JsonFrameSplitter(MAX_OBJECT_BYTES);
     private boolean connected;
     private boolean streaming;
-    private boolean listReceived;
+    private boolean updateReceived;
     private long lastActivityAt;
     private long connectedAt;
 
@@ -46,7 +46,7 @@
         this.lastActivityAt = now;
     }
 
-    void connected(long now) {
+    void markConnected(long now) {
         connected = true;
         connectedAt = now;
         lastActivityAt = now;
@@ -61,13 +61,13 @@
         return connectedAt;
     }
 
-    /** Whether a list or an update was received on this call. */
-    boolean isListReceived() {
-        return listReceived;
+    /** Whether a complete list or changes to it were received on this call. */
+    boolean isUpdateReceived() {
+        return updateReceived;
     }
 
-    void listReceived() {
-        listReceived = true;
+    void markUpdateReceived() {
+        updateReceived = true;
     }
 
     /**
--- a/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
@@ -22,9 +22,10 @@
 import java.util.function.Consumer;
 
 /**
- * Client of the discovery service, from which the gateway gets its list of endpoints. The scheduler decides when to
- * watch, to poll and to retry; this class executes these decisions. It starts calls without the scheduler only when the
- * address of discovery changes.
+ * Client of the discovery service, from which the gateway gets its list of endpoints. A watch is the HTTP call that
+ * carries a subscription: its response is the stream of updates. A poll is a call that requests the complete list once.
+ * The scheduler decides when to watch, to poll and to retry; this class executes these decisions, and starts calls
+ * without the scheduler only when the address of discovery changes. The fair-queue scheduler never polls.
  *
  * <p>The platform considers a gateway notified of a change 6 s after discovery had the change and could be reached.
  * Therefore the first response has to arrive within 6 s after a watch stops receiving data, or after discovery becomes
@@ -33,16 +34,17 @@
  */
 final class DiscoveryClient implements ConnectionHandler {
     /**
-     * Time without data after which a watch has failed, microseconds; jitter is added to it. Discovery sends data on a
-     * watch every 2 s.
+     * Time without data after which a watch has failed, in microseconds; jitter is added to it. Discovery sends data on
+     * a watch every 2 s.
      */
     private static final long SILENCE_TIMEOUT_MICROS = 2_700_000;
 
     private static final long SILENCE_JITTER_MICROS = 400_000;
 
     /**
-     * A call that is rejected within this time after connecting was not queued, microseconds: discovery is running, but
-     * too many calls are waiting.
+     * A call that is rejected within this time after connecting, in microseconds, was not queued: discovery is running,
+     * but too many calls are waiting. A rejection after a longer time is not reported to the scheduler as a sign that
+     * discovery is running.
      */
     private static final long IMMEDIATE_REJECTION_MICROS = 500_000;
 
@@ -77,7 +79,7 @@
     }
 
     /**
-     * Starts a turn of the event loop.
+     * Starts a turn, that is one call of {@link PlatformGateway#handle}.
      *
      * @param earliestReceivedAt earliest time at which data that is handled in this turn may have been received
      * @param turnActions the list to which the actions of this turn are added
@@ -93,7 +95,7 @@
         listReceiver.restore(cached, now);
     }
 
-    /** Starts a watch unless one is in flight, or ends it. */
+    /** Starts a watch if {@code subscribe} is true and none is in flight; ends the watch if it is false. */
     void setSubscribed(boolean subscribe) {
         watchRequested = subscribe;
         if (!subscribe) {
@@ -124,8 +126,7 @@
         address = newAddress;
         listReceiver.requireSnapshot();
         // Calls to the old address are aborted, since it could respond later than the new one. The new calls start
-        // without
-        // a backoff, which applied to the old address.
+        // without a backoff, because the backoff applied to the old address.
         abort(watch);
         watch = null;
         setSubscribed(watchRequested);
@@ -158,7 +159,7 @@
     @Override
     public void connected(long connection) {
         DiscoveryCall call = callOn(connection);
-        call.connected(now);
+        call.markConnected(now);
         String target = call.watch ? listReceiver.watchTarget() : HttpHeaders.ENDPOINT_LIST_PATH;
         ByteBuffer request = HttpWriter.request("GET", target, HttpHeaders.HOST).body(EMPTY_BODY, false);
         actions.add(new NetAction.Write(connection, request));
@@ -184,7 +185,7 @@
     }
 
     private void closedWithoutResponse(DiscoveryCall call) {
-        if (call.isListReceived()) {
+        if (call.isUpdateReceived()) {
             events.accept(new DiscoveryObserved(false));
             handleFailure(call, "connection closed after the endpoint list was received");
         } else {
@@ -234,8 +235,8 @@
     private void applyUpdates(DiscoveryCall call, List<byte[]> objects) throws JsonException, ProtocolException {
         for (byte[] object : objects) {
             listReceiver.apply(ListUpdate.read(Json.parse(object, 0, object.length, "list")), now);
-            if (!call.isListReceived()) {
-                call.listReceived();
+            if (!call.isUpdateReceived()) {
+                call.markUpdateReceived();
                 String text = "discovery: endpoint list has " + pool.endpointCount() + " endpoints, version "
                         + listReceiver.version();
                 actions.add(new NetAction.Log(Level.INFO, text));
@@ -245,7 +246,7 @@
 
     /** Records that the list is current, which any data shows that arrives on a call that has delivered the list. */
     private void confirmListIsCurrent(DiscoveryCall call) {
-        if (call.isListReceived()) {
+        if (call.isUpdateReceived()) {
             listReceiver.confirm(dataReceivedAt);
         }
     }
@@ -286,7 +287,7 @@
             return;
         }
         abort(call);
-        if (call.isConnected() && !call.isListReceived()) {
+        if (call.isConnected() && !call.isUpdateReceived()) {
             events.accept(new DiscoveryObserved(true));
         }
         handleFailure(call, "call timed out");
--- a/core/src/main/java/garnetreel/core/platform/EndpointIncarnations.java
+++ b/core/src/main/java/garnetreel/core/platform/EndpointIncarnations.java
@@ -8,9 +8,10 @@
 import java.util.Map;
 
 /**
- * Estimates when the endpoints' processes started, on this process's monotonic clock. An incarnation is one run of an
- * endpoint's process. The endpoint list states start times in wall-clock time, which may have been stepped by an hour
- * since, on one machine or on all. Therefore the start of an incarnation is estimated once, when it is first reported:
+ * Estimates when the endpoints' processes started, on this process's clock, which counts microseconds since the epoch
+ * and never goes back, even if the wall clock is stepped. An incarnation is one run of an endpoint's process. The
+ * endpoint list states start times in wall-clock time, which may have been stepped by an hour since, on one machine or
+ * on all. Therefore the start of an incarnation is estimated once, when it is first reported:
  *
  * <ul>
  * <li>A start in the future counts as now, since it is safer to treat an endpoint as less warmed up than it is.
@@ -19,7 +20,7 @@
  * </ul>
  */
 final class EndpointIncarnations {
-    /** Maximum delay with which discovery reports a start, microseconds. */
+    /** Maximum delay with which discovery reports a start, in microseconds. */
     private static final long MAX_REPORT_DELAY_MICROS = 2_000_000;
     /** Maximum number of endpoints remembered, including removed ones; several times the largest fleet. */
     private static final int MAX_REMEMBERED = 16_384;
@@ -28,7 +29,7 @@
      * The start of one incarnation.
      *
      * @param reportedStart the start as the endpoint list states it; identifies the incarnation
-     * @param estimatedStart the start on this process's clock, microseconds
+     * @param estimatedStart the start on this process's clock, in microseconds
      */
     private record Start(long reportedStart, long estimatedStart) {}
 
@@ -38,7 +39,7 @@
     /**
      * Replaces the start times of an update by estimates on this process's clock.
      *
-     * @param now current time on this process's clock, microseconds
+     * @param now current time on this process's clock, in microseconds
      * @param listCurrentAt time at which the previous list was last known to be current; negative if there was none
      */
     ListUpdate resolve(ListUpdate update, long now, long listCurrentAt) {
--- a/core/src/main/java/garnetreel/core/platform/EndpointListReceiver.java
+++ b/core/src/main/java/garnetreel/core/platform/EndpointListReceiver.java
@@ -27,6 +27,8 @@
 
     /**
      * Starts with the cached list. It may be outdated, so the first update from discovery has to be a complete list.
+     * Until then it is all that the gateway has, so it is reported to the scheduler as current at the start, which
+     * limits the time for which it is trusted.
      */
     void restore(ListUpdate cached, long now) {
         snapshotRequired = true;
@@ -71,7 +73,7 @@
             throw new ProtocolException("version went back from " + version + " to " + update.version());
         }
         if (snapshotRequired && !update.complete()) {
-            throw new ProtocolException("changes without a complete list before them");
+            throw new ProtocolException("expected a complete endpoint list, got changes");
         }
         snapshotRequired = false;
         version = update.version();
--- a/core/src/main/java/garnetreel/core/platform/GatewayCounters.java
+++ b/core/src/main/java/garnetreel/core/platform/GatewayCounters.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * Counts the outcomes of requests, attempts and connections, and the invariant violations detected at run time. Logged
- * at shutdown and whenever a new configuration is read. The fault soak parses the line on invariants and operators read
- * the other one, so the printed labels are an interface: a constant may be renamed, its label must not change.
+ * Counts the outcomes of requests, attempts and connections, and the invariant violations detected at run time. The
+ * counters are logged at shutdown and whenever a new configuration is read. The fault-injection test parses the line on
+ * invariants, and operators read the other one, so the printed labels are an interface: a constant may be renamed, its
+ * label must not change. Some labels therefore use older words than the constants.
  */
 final class GatewayCounters {
     /** The counted outcomes of requests, attempts and connections. */
@@ -41,11 +42,20 @@
 
     /** Conditions that must always hold. Code that detects a violation counts it and, where it can, prevents it. */
     enum Invariant {
-        /** An attempt starts only while its client waits for the response. */
+        /**
+         * An attempt starts only while its client waits for the response. Counts attempts that {@link SendGuard}
+         * prevented.
+         */
         SENT_WITHOUT_WAITING_CLIENT("sent_for_nobody"),
-        /** An attempt starts only on an endpoint that is listed as up at the address of its connection. */
+        /**
+         * An attempt starts only on an endpoint that is listed as up at the address of its connection. Counts attempts
+         * that {@link SendGuard} prevented.
+         */
         SENT_TO_UNLISTED_ENDPOINT("sent_to_unlisted"),
-        /** The gateway closes a connection only if no response is pending on it. */
+        /**
+         * The gateway closes a connection only if no response is pending on it, unless the client does not read its
+         * responses.
+         */
         CLOSED_BEFORE_RESPONSE("closed_owing_an_answer"),
         /** A request gets at most one final response. */
         DUPLICATE_RESPONSE("answered_twice"),
@@ -99,7 +109,8 @@
         for (Map.Entry<Event, Long> event : events.entrySet()) {
             line.append(' ').append(event.getKey().label).append('=').append(event.getValue());
         }
-        // Keeps the space after the colon even if there are no counters.
+        // The line starts with "totals: ", with the space, even if there are no counters, so that readers can match one
+        // prefix.
         return events.isEmpty() ? "totals: " : line.toString();
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/HealthChecks.java
+++ b/core/src/main/java/garnetreel/core/platform/HealthChecks.java
@@ -11,7 +11,10 @@
  * Health checks of endpoints: their request, their timeout, the evaluation of their results and the checks in flight.
  */
 final class HealthChecks {
-    /** A check that has no complete response within this time fails, microseconds. */
+    /**
+     * A check that has no complete response within this time of the write of its request fails, in microseconds.
+     * Connecting has its own time limit.
+     */
     private static final long TIMEOUT_MICROS = 1_000_000;
 
     private static final int STATUS_OK = 200;
--- a/core/src/main/java/garnetreel/core/platform/HttpClientConnection.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpClientConnection.java
@@ -40,7 +40,10 @@
     private final ArrayDeque<ReceivedBytes> pendingInput = new ArrayDeque<>(1);
     private State state = State.AWAITING_REQUEST;
     private long stateSince;
-    /** When the first bytes of the partial request were received; they may have waited for another request since. */
+    /**
+     * When the first bytes of the partial request were received; they may have waited for another request since. Over
+     * the input limit, when its latest bytes were received.
+     */
     private long partialRequestSince;
 
     private int pendingInputBytes;
@@ -136,10 +139,10 @@
     }
 
     /** Counts the buffered requests and discards their content; from now on requests are only counted. */
-    void enterOverInputLimit(long now) {
+    void enterOverInputLimit(long receivedAt) {
         overInputLimit = true;
         for (ReceivedBytes input : pendingInput) {
-            countRequests(input.data(), now);
+            countRequests(input.data(), receivedAt);
         }
         discardInput();
     }
--- a/core/src/main/java/garnetreel/core/platform/HttpClientConnectionTable.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpClientConnectionTable.java
@@ -16,15 +16,15 @@
      */
     private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
     /** Idle timeout in microseconds while there are more connections than half of their limit. */
-    private static final long MIN_IDLE_TIMEOUT_MICROS = 2_000_000;
-    /** Idle timeout in microseconds while there are fewer connections. */
-    private static final long MAX_IDLE_TIMEOUT_MICROS = 60_000_000;
+    private static final long IDLE_TIMEOUT_UNDER_LOAD_MICROS = 2_000_000;
+    /** Idle timeout in microseconds otherwise. */
+    private static final long IDLE_TIMEOUT_MICROS = 60_000_000;
     /** Time limit for writing a response, in microseconds; a client that has not read it by then is disconnected. */
     private static final long WRITE_TIMEOUT_MICROS = 5_000_000;
     /**
      * How long a new connection is protected from eviction, in microseconds. Its request may still be in the socket
-     * buffer, because a connection accepted in one event loop iteration is read in the next. Meanwhile the limit of the
-     * listener bounds the number of connections.
+     * buffer, because a connection accepted in one iteration of the event loop is read in the next. Meanwhile the limit
+     * of the listener bounds the number of connections.
      */
     private static final long EVICTION_GRACE_MICROS = 20_000;
     /** While draining: time limit for the first byte on a new connection, in microseconds. */
@@ -107,7 +107,8 @@
 
     /**
      * The connection to close next when there are too many: preferably one on which nothing was received, else an idle
-     * one, else one with a partial request. Null if each has a pending response or is still within the grace time.
+     * one, else one with a partial request. Null if only connections with pending responses are left, or if none is
+     * idle and a new connection can be evicted after its grace time.
      */
     HttpClientConnection evictionCandidate(long now) {
         HttpClientConnection awaiting = oldest(State.AWAITING_REQUEST);
@@ -143,7 +144,7 @@
         return switch (state) {
             case AWAITING_REQUEST -> draining ? DRAINING_FIRST_BYTE_TIMEOUT_MICROS : REQUEST_TIMEOUT_MICROS;
             case READING_REQUEST -> draining ? DRAINING_REQUEST_TIMEOUT_MICROS : REQUEST_TIMEOUT_MICROS;
-            case IDLE -> byId.size() > maxConnections / 2 ? MIN_IDLE_TIMEOUT_MICROS : MAX_IDLE_TIMEOUT_MICROS;
+            case IDLE -> byId.size() > maxConnections / 2 ? IDLE_TIMEOUT_UNDER_LOAD_MICROS : IDLE_TIMEOUT_MICROS;
             case WRITING_RESPONSE, CLOSING -> WRITE_TIMEOUT_MICROS;
             case PROCESSING -> NO_TIMEOUT;
         };
--- a/core/src/main/java/garnetreel/core/platform/HttpClientConnections.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpClientConnections.java
@@ -17,15 +17,19 @@
 /**
  * The HTTP connections of clients. Each has at most one request in progress. Bytes of pipelined requests are buffered
  * up to a limit; beyond it requests are only counted and then rejected in order, since every received request must get
- * a response. A connection is always read, because a close by the client would otherwise go unnoticed. Malformed input
- * is answered with an error, after which the connection is closed.
+ * a response, except those behind the last one on a connection that is closed after it. A connection is always read,
+ * because a close by the client would otherwise go unnoticed. Malformed input is answered with an error, after which
+ * the connection is closed.
  */
 final class HttpClientConnections implements ConnectionHandler {
     /** Limit on the buffered input of one connection: hundreds of small pipelined requests, or a few of the largest. */
     private static final int MAX_PENDING_INPUT_BYTES = 256 << 10;
 
     private static final State[] STATES = State.values();
-    /** States with unsent response bytes, in the order in which connections are closed over the memory limit. */
+    /**
+     * States with unsent response bytes, in the order in which their connections are closed when the limit on unsent
+     * bytes is exceeded.
+     */
     private static final State[] WRITING_STATES = {State.WRITING_RESPONSE, State.CLOSING};
 
     /** Receives the requests, and is notified of clients that disconnect while one is in progress. */
@@ -61,7 +65,7 @@
     }
 
     /**
-     * Starts a turn (one call of {@link PlatformGateway#handle}).
+     * Starts a turn, that is one call of {@link PlatformGateway#handle}.
      *
      * @param inputReceivedAt the time at which the input of this turn counts as received
      * @param turnActions receives the actions of this turn
@@ -239,7 +243,10 @@
         limitUnsentBytes();
     }
 
-    /** While the unsent response bytes exceed the limit, closes the connection that has been writing for longest. */
+    /**
+     * While the unsent response bytes exceed the limit, closes the connection that has been writing for longest; those
+     * that are closed after their response come last.
+     */
     private void limitUnsentBytes() {
         for (State state : WRITING_STATES) {
             HttpClientConnection oldest = connections.oldest(state);
--- a/core/src/main/java/garnetreel/core/platform/HttpHeaders.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpHeaders.java
@@ -6,7 +6,10 @@
     static final String CORRELATION_ID = "X-Correlation-Id";
     /** The client's service plan. */
     static final String PLAN = "Tier";
-    /** Key of the data that a request accesses; requests with the same key are executed in order. */
+    /**
+     * Key of the data that a request accesses; requests with the same key are executed in order if their request class
+     * is ordered.
+     */
     static final String REQUEST_KEY = "Piece";
     /** Time until the client's deadline, in seconds. */
     static final String TIME_LEFT = "X-Time-Left";
--- a/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
@@ -26,8 +26,8 @@
 
 /**
  * Tracks each request from the receipt of its last byte to its final response and the end of its last attempt. Each
- * request gets exactly one response. The scheduler decides on it; only an invalid request, one over a limit or one
- * received at shutdown is answered without passing it to the scheduler.
+ * request gets exactly one response, unless its client disconnects before. The scheduler decides on it; only an invalid
+ * request, one over a limit or one received at shutdown is answered without passing it to the scheduler.
  */
 final class HttpRequestRegistry {
     /**
@@ -110,7 +110,8 @@
     // ---------------------------------------------------------------- received requests
 
     /**
-     * Admits a client's request and passes it to the scheduler, or answers it at once if it is invalid or over a limit.
+     * Validates and registers a client's request and passes it to the scheduler, or answers it at once if it is invalid
+     * or over a limit.
      *
      * @param receivedAt when the last byte of the request was received; the client's time limit counts from then, even
      *     while the request waits behind another one on its connection
@@ -144,7 +145,10 @@
         byDeadline.add(request);
     }
 
-    /** Rejects a request that has not been passed to the scheduler. */
+    /**
+     * Rejects a request that has not been passed to the scheduler. It asks for the longest delay that clients honour,
+     * like a rejection by the scheduler.
+     */
     void reject(long connectionId, GatewayCounters.Event reason) {
         counters.count(reason);
         clients.respond(connectionId, responses.rejected(maxRetryAfter), HttpResponses.NO_BODY);
@@ -166,7 +170,7 @@
     void send(SendAttempt action) {
         ActiveRequest request = byId.get(action.id());
         if (request == null || request.completed) {
-            logSchedulerDefect("decided to send request " + action.id() + ", which is already completed");
+            logSchedulerDefect("decided to send request " + action.id() + ", which is unknown or already completed");
             return;
         }
         long deadline = earlierDeadline(request.deadline, action.timeout());
--- a/core/src/main/java/garnetreel/core/platform/HttpResponses.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpResponses.java
@@ -24,7 +24,8 @@
     }
 
     /**
-     * The response to a request that was rejected without having been executed.
+     * The response to a rejected request, which the client can safely retry: it was not executed, or a repeat is
+     * harmless.
      *
      * @param retryAfter microseconds after which the client may retry; 0 if not known
      */
--- a/core/src/main/java/garnetreel/core/platform/InFlightAttempts.java
+++ b/core/src/main/java/garnetreel/core/platform/InFlightAttempts.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** The attempts that have been assigned a connection, whether they have started or not, ordered by deadline. */
+/**
+ * The attempts that have been assigned a connection, whether they have started or not, ordered by deadline. Attempts
+ * that still have to be completed because they got no connection are pending, but not among them.
+ */
 final class InFlightAttempts {
     private final Map<UpstreamAttempt, UpstreamConnection> connections = new HashMap<>();
     private final TreeSet<UpstreamAttempt> byDeadline =
--- a/core/src/main/java/garnetreel/core/platform/JsonFrameSplitter.java
+++ b/core/src/main/java/garnetreel/core/platform/JsonFrameSplitter.java
@@ -30,10 +30,10 @@
     /** Consumes the next piece of the stream. Returns the objects that it completes. */
     List<byte[]> next(byte[] piece) throws ProtocolException {
         List<byte[]> complete = new ArrayList<>(1);
-        for (byte octet : piece) {
-            if (depth == 0 && octet != '{') {
-                requireWhitespace(octet);
-            } else if (append(octet)) {
+        for (byte b : piece) {
+            if (depth == 0 && b != '{') {
+                requireWhitespace(b);
+            } else if (append(b)) {
                 complete.add(object.toByteArray());
                 object.reset();
             }
@@ -41,29 +41,29 @@
         return complete;
     }
 
-    private static void requireWhitespace(byte octet) throws ProtocolException {
-        if (octet != '\n' && octet != '\r' && octet != ' ' && octet != '\t') {
-            String text = new String(new byte[] {octet}, StandardCharsets.ISO_8859_1);
+    private static void requireWhitespace(byte b) throws ProtocolException {
+        if (b != '\n' && b != '\r' && b != ' ' && b != '\t') {
+            String text = new String(new byte[] {b}, StandardCharsets.ISO_8859_1);
             throw new ProtocolException("expected the start of a JSON object, got: " + text);
         }
     }
 
     /** Appends a byte to the current object. Returns true if the byte completes the object. */
-    private boolean append(byte octet) throws ProtocolException {
+    private boolean append(byte b) throws ProtocolException {
         if (object.size() == maxObjectBytes) {
             throw new ProtocolException("a JSON object of more than " + maxObjectBytes + " bytes");
         }
-        object.write(octet);
+        object.write(b);
         if (escaped) {
             escaped = false;
         } else if (inString) {
-            escaped = octet == '\\';
-            inString = octet != '"';
-        } else if (octet == '"') {
+            escaped = b == '\\';
+            inString = b != '"';
+        } else if (b == '"') {
             inString = true;
-        } else if (octet == '{') {
+        } else if (b == '{') {
             depth++;
-        } else if (octet == '}') {
+        } else if (b == '}') {
             depth--;
             return depth == 0;
         }
--- a/core/src/main/java/garnetreel/core/platform/ListUpdate.java
+++ b/core/src/main/java/garnetreel/core/platform/ListUpdate.java
@@ -21,8 +21,8 @@
     /**
      * One endpoint.
      *
-     * @param address the address to which this gateway connects
-     * @param endpoint the endpoint as passed to the scheduler
+     * @param address the network address to which this gateway connects
+     * @param endpoint the endpoint as passed to the scheduler; its {@code address} is its name
      */
     record Entry(String address, EndpointEntry endpoint) {}
 
--- a/core/src/main/java/garnetreel/core/platform/LoadReport.java
+++ b/core/src/main/java/garnetreel/core/platform/LoadReport.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * Parses the load report of an upstream. A malformed report is ignored, because the response that carries it is still
+ * Parses the load report of an endpoint. A malformed report is ignored, because the response that carries it is still
  * valid.
  */
 final class LoadReport {
-    /** Name of the document in error messages of the JSON parser. */
+    /** Name of the document, which the JSON parser requires for its error messages; they are discarded here. */
     private static final String DOCUMENT_NAME = "load";
     /** A report with more fields counts as malformed, which limits the memory that one response can occupy. */
     private static final int MAX_FIELDS = 32;
--- a/core/src/main/java/garnetreel/core/platform/MalformedResponseLog.java
+++ b/core/src/main/java/garnetreel/core/platform/MalformedResponseLog.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * Logs malformed responses at a limited rate. A defect of the gateway's parser that rejects valid responses would not
- * be visible anywhere else.
+ * Logs malformed responses at a limited rate. The reason shows a defect of the gateway's parser that rejects valid
+ * responses; the counter of malformed responses alone would not show it.
  */
 final class MalformedResponseLog {
-    /** Minimum time between two messages, microseconds, so that one faulty endpoint can't flood the log. */
+    /** Minimum time between two messages, in microseconds, so that one faulty endpoint can't flood the log. */
     private static final long MIN_INTERVAL_MICROS = 5_000_000;
 
     private long count;
     /**
-     * Time of the last message. Starts at half of the minimum value, so that subtracting it from any time can't
+     * Time of the last message. It starts at half of the minimum value, so that subtracting it from any time can't
      * overflow.
      */
     private long loggedAt = Long.MIN_VALUE / 2;
--- a/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
@@ -26,8 +26,8 @@
 import java.util.List;
 
 /**
- * The gateway on the HTTP platform: speaks HTTP/1.1 with clients, upstream endpoints and service discovery. The
- * scheduler decides what is sent, rejected or failed; this class executes its decisions.
+ * The gateway on the HTTP platform: speaks HTTP/1.1 with clients, endpoints and service discovery. The scheduler
+ * decides what is sent, rejected or failed; this class executes its decisions.
  */
 public final class PlatformGateway implements StateMachine, SchedulerDriver.ActionHandler {
     /** Name of the listening socket for client connections. */
@@ -43,7 +43,10 @@
     /** Command: finish the active requests, then stop. */
     public record Shutdown() implements NetEvent.Command {}
 
-    /** Command: apply a new configuration. Only the discovery address takes effect without a restart. */
+    /**
+     * Command: apply a new configuration. Only the discovery address takes effect without a restart. A warning is
+     * logged if scheduler settings changed; all other changes are ignored.
+     */
     public record Reconfigure(PlatformSettings settings) implements NetEvent.Command {}
 
     private final PlatformSettings settings;
@@ -55,7 +58,7 @@
     private final UpstreamConnectionPool upstreams;
     private final DiscoveryClient discovery;
     private final HttpRequestRegistry requests;
-    private final ConnectionDispatcher connectionEvents;
+    private final ConnectionDispatcher connectionDispatcher;
     /** Events to pass to the scheduler at the end of this turn or in the next one. */
     private List<SchedulerEvent> schedulerEvents = new ArrayList<>();
 
@@ -79,7 +82,7 @@
         discovery = new DiscoveryClient(settings, connectionIds, upstreams, event -> schedulerEvents.add(event));
         requests = new HttpRequestRegistry(
                 settings, bounds, upstreams, clients, counters, event -> schedulerEvents.add(event));
-        connectionEvents = new ConnectionDispatcher(clients, upstreams, discovery);
+        connectionDispatcher = new ConnectionDispatcher(clients, upstreams, discovery);
     }
 
     private final class ClientListener implements HttpClientConnections.Listener {
@@ -154,12 +157,13 @@
         if (event instanceof NetEvent.Accepted accepted) {
             clients.accepted(accepted.connectionId());
         } else if (event instanceof NetEvent.ListenFailed failed) {
+            // The gateway continues without a listener and does not try again.
             actions.add(new NetAction.Log(
                     Level.WARN, "can't listen on " + settings.listenAddress() + ": " + failed.reason()));
         } else if (event instanceof NetEvent.CommandReceived received) {
             handleCommand(received.command(), actions);
         } else {
-            connectionEvents.dispatch(event);
+            connectionDispatcher.dispatch(event);
         }
     }
 
@@ -302,7 +306,7 @@
      * @param clients client connections
      * @param requests active requests
      * @param upstreamConnections connections to endpoints, including idle ones
-     * @param attempts attempts in flight
+     * @param attempts attempts that have not completed, including those without a connection
      */
     record OpenResources(int clients, int requests, int upstreamConnections, int attempts) {}
 }
--- a/core/src/main/java/garnetreel/core/platform/PlatformSettings.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformSettings.java
@@ -16,7 +16,7 @@
  * @param limits resource limits of the process
  * @param cachedEndpoints the endpoint list that this gateway last received; it may be long out of date
  * @param scheduling scheduler settings
- * @param upstreamIdleTimeout time after which endpoints close an idle connection, microseconds; 0 if not configured
+ * @param upstreamIdleTimeout time after which endpoints close an idle connection, in microseconds; 0 if not configured
  * @param retryAfterAllowed whether rejections may carry a {@code Retry-After} header
  */
 public record PlatformSettings(
@@ -32,12 +32,13 @@
     private static final int HEX_RADIX = 16;
 
     /**
-     * Resource limits that apply to all processes of one gateway together.
+     * Resource limits, which the platform applies to all processes of a gateway together; this gateway runs as one
+     * process.
      *
      * @param memoryMb memory, MiB
-     * @param sockets number of file descriptors
+     * @param fileDescriptors number of file descriptors, which the setting {@code sockets} states
      */
-    public record Limits(int memoryMb, int sockets) {}
+    public record Limits(int memoryMb, int fileDescriptors) {}
 
     /**
      * Reads the configuration file.
@@ -53,7 +54,7 @@
                 address(json, "listen"),
                 address(json, "discovery"),
                 seed(json.text("seed", "0")),
-                new Limits(atLeast(limits, "memory_mb", 1), atLeast(limits, "sockets", ResourceBounds.MIN_SOCKETS)),
+                new Limits(atLeast(limits, "memory_mb", 1), atLeast(limits, "sockets", ResourceBounds.MIN_DESCRIPTORS)),
                 json.has("known") ? ListUpdate.read(json.child("known")) : new ListUpdate(0, true, List.of()),
                 SettingsReader.read(settings),
                 settings.child("limits").micros("idle-close", 0),
--- a/core/src/main/java/garnetreel/core/platform/RequestDecoder.java
+++ b/core/src/main/java/garnetreel/core/platform/RequestDecoder.java
@@ -38,7 +38,7 @@
     record DecodedRequest(String correlationId, RequestReceived event) {}
 
     /**
-     * Decodes a request and assigns it a number.
+     * Decodes a request and assigns it an id.
      *
      * @param receivedAt when the last byte was received, from which the client's time limit counts
      * @param idsInUse the correlation ids of the active requests, in lower case
@@ -102,7 +102,10 @@
         return text;
     }
 
-    /** Parses 64 bits and clears the sign bit: in scheduler events, a negative number means that there is no value. */
+    /**
+     * Parses 64 bits and clears the sign bit: in scheduler events, a negative number means that there is no value. Two
+     * volumes or keys that differ only in that bit count as one, which affects only their scheduling.
+     */
     private static long parseNonNegative(String hex) {
         return Long.parseUnsignedLong(hex, HEX_RADIX) & Long.MAX_VALUE;
     }
--- a/core/src/main/java/garnetreel/core/platform/ResourceBounds.java
+++ b/core/src/main/java/garnetreel/core/platform/ResourceBounds.java
@@ -1,24 +1,25 @@
 package garnetreel.core.platform;
 
 /**
- * Divides the descriptors and the memory of a gateway's process among clients, upstreams and requests. When a limit is
- * reached:
+ * Divides the descriptors and the memory of a gateway's process among connections from clients, connections to
+ * endpoints (upstream connections) and requests. When a limit is reached:
  *
  * <ul>
- * <li>Client connections: one on which nothing was received is closed; if there is none, an idle one; otherwise the new
- * one.
+ * <li>Client connections: one on which nothing was received is closed, preferably; else an idle one; else one with a
+ * partial request.
  * <li>Upstream connections: an idle one is closed; if there is none, the attempt is not started.
  * <li>Requests: the new request is rejected.
  * </ul>
  *
  * @param maxClients connections from clients
- * @param maxUpstreamConnections connections to upstreams, established or being established
+ * @param maxUpstreamConnections connections to endpoints, established or being established
  * @param maxRequests active requests, including those whose client has disconnected while an attempt is in flight
- * @param maxBufferedBytes bytes that may be buffered of each of three kinds: request bodies, responses being received,
- *     and responses not yet read by clients. Above the limit, the request is rejected, the response counts as
- *     malformed, or the client that has been reading for longest is disconnected
+ * @param maxBufferedBytes bytes that may be buffered of each of four kinds: client input that waits to be parsed,
+ *     request bodies, responses being received, and responses not yet read by clients. Above the limit, further
+ *     requests on the connection are counted and rejected, the request is rejected, the response counts as malformed,
+ *     or the client whose response has been waiting longest to be read is disconnected
  * @param maxResponseBytes bytes of one response; a larger one counts as malformed. The platform's documentation states
- *     64 KiB; its upstreams send 400 bytes
+ *     64 KiB, but endpoints have been observed to send 400 KB
  */
 record ResourceBounds(
         int maxClients, int maxUpstreamConnections, int maxRequests, int maxBufferedBytes, int maxResponseBytes) {
@@ -26,30 +27,36 @@
      * Descriptors reserved for everything else: about 20 files of the JVM, the selector, the listener, discovery,
      * connections that are being closed, and connections accepted before maxClients is enforced.
      */
-    private static final int RESERVED_SOCKETS = 72;
+    private static final int RESERVED_DESCRIPTORS = 72;
     /** Part of the reserve that covers client connections above maxClients and those that are being closed. */
     private static final int MAX_CLIENTS_OVER_LIMIT = 36;
-    /** Upstreams get 1/3 of the remaining descriptors, because fewer attempts than maxRequests are in flight. */
+    /**
+     * Connections to endpoints get 1/3 of the remaining descriptors and clients the rest, because fewer attempts than
+     * maxRequests are in flight: an idle client and a held request have none.
+     */
     private static final int UPSTREAM_DIVISOR = 3;
-    /** Requests per client connection: one in progress, and one whose client has disconnected. */
+    /**
+     * Active requests per allowed client connection: the one in progress, and one left by a former connection whose
+     * client has disconnected.
+     */
     private static final int REQUESTS_PER_CLIENT = 2;
-    /** Minimum number of connections for clients and for upstreams. */
+    /** Minimum number of connections for clients and for endpoints. */
     private static final int MIN_CONNECTIONS = 8;
     /** Minimum number of descriptors that allows the minimum number of connections on both sides. */
-    static final int MIN_SOCKETS = RESERVED_SOCKETS + 2 * MIN_CONNECTIONS;
+    static final int MIN_DESCRIPTORS = RESERVED_DESCRIPTORS + 2 * MIN_CONNECTIONS;
     /** Memory above this, MiB, does not raise the limits. */
     private static final int MAX_MEMORY_MB = 1024;
 
     private static final int MB_SHIFT = 20;
-    /** Each of the three kinds of buffered bytes may use 1/16 of the memory. */
+    /** Each of the four kinds of buffered bytes may use 1/16 of the memory. */
     private static final int BUFFER_DIVISOR = 16;
     /** One response may use 1/64 of the memory. */
     private static final int RESPONSE_DIVISOR = 64;
 
     /**
      * Maximum number of client sockets open at once, including those that the gateway has not been notified of yet and
-     * those that it is closing. Otherwise a burst of connections could take the descriptors of upstreams and discovery
-     * before the gateway gets a turn in which to evict connections.
+     * those that it is closing. Otherwise a burst of connections could take the descriptors of connections to endpoints
+     * and discovery before the gateway gets a turn in which to evict connections.
      */
     int maxAccepted() {
         return maxClients + MAX_CLIENTS_OVER_LIMIT;
@@ -57,9 +64,9 @@
 
     /** Computes the division from the limits of the process. */
     static ResourceBounds of(PlatformSettings.Limits limits) {
-        int availableSockets = limits.sockets() - RESERVED_SOCKETS;
-        int maxUpstreamConnections = Math.max(MIN_CONNECTIONS, availableSockets / UPSTREAM_DIVISOR);
-        int maxClients = Math.max(MIN_CONNECTIONS, availableSockets - maxUpstreamConnections);
+        int availableDescriptors = limits.fileDescriptors() - RESERVED_DESCRIPTORS;
+        int maxUpstreamConnections = Math.max(MIN_CONNECTIONS, availableDescriptors / UPSTREAM_DIVISOR);
+        int maxClients = Math.max(MIN_CONNECTIONS, availableDescriptors - maxUpstreamConnections);
         int memoryBytes = Math.min(limits.memoryMb(), MAX_MEMORY_MB) << MB_SHIFT;
         return new ResourceBounds(
                 maxClients,
--- a/core/src/main/java/garnetreel/core/platform/ResponseClassifier.java
+++ b/core/src/main/java/garnetreel/core/platform/ResponseClassifier.java
@@ -13,8 +13,9 @@
     private ResponseClassifier() {}
 
     /**
-     * Returns the outcome of an attempt from its response. A retry is safe only if the endpoint states that it did not
-     * execute the request. After any other unsuccessful response the request may have been executed.
+     * Returns the outcome of an attempt from its response. The outcome proves that nothing was executed only if the
+     * endpoint states so in a response with status 503 or 504; with any other status the statement is ignored. After
+     * any other unsuccessful response the request may have been executed.
      */
     static Outcome outcome(HttpResponse response) {
         if (response.status() == STATUS_OK && response.body().length > 0) {
--- a/core/src/main/java/garnetreel/core/platform/UpstreamAttempt.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamAttempt.java
@@ -18,6 +18,7 @@
     /** Name of the endpoint in the endpoint list. */
     final String endpoint;
 
+    /** When the scheduler decided to send the attempt; its request is written when its connection is open. */
     final long sentAt;
 
     /** When the attempt times out. */
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnection.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnection.java
@@ -15,7 +15,7 @@
     /** Name of the endpoint in the endpoint list. */
     final String endpoint;
 
-    /** Remote address. Kept in addition to the name, because the address of an endpoint may change. */
+    /** Remote address. It is kept in addition to the name, because the address of an endpoint may change. */
     final String address;
 
     private final HttpResponseParser parser;
@@ -24,7 +24,7 @@
     private boolean open;
     private int unsentBytes;
     private int bufferedBytes;
-    private long stateSince;
+    private long lastTransitionAt;
 
     /** @param maxResponseBytes maximum size of a response body; a larger one counts as malformed */
     UpstreamConnection(long id, String endpoint, String address, int maxResponseBytes, long now) {
@@ -32,12 +32,15 @@
         this.id = id;
         this.endpoint = endpoint;
         this.address = address;
-        this.stateSince = now;
+        this.lastTransitionAt = now;
     }
 
-    /** The latest of: the start of connecting, the last write of a request, and the time it last became idle. */
-    long stateSince() {
-        return stateSince;
+    /**
+     * The latest of: the start of connecting, the last write of a request, and the time at which it last became idle.
+     * The time limits of the connection count from then.
+     */
+    long lastTransitionAt() {
+        return lastTransitionAt;
     }
 
     boolean isOpen() {
@@ -49,7 +52,7 @@
     }
 
     void becameIdle(long now) {
-        stateSince = now;
+        lastTransitionAt = now;
     }
 
     boolean isAssigned() {
@@ -81,7 +84,7 @@
 
     /** Records that the write of a request of this size has started. */
     void requestWriteStarted(int bytes, long now) {
-        stateSince = now;
+        lastTransitionAt = now;
         unsentBytes = bytes;
     }
 
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
@@ -21,11 +21,15 @@
  *
  * <p>Only the pool knows whether an attempt has started: its bytes are encoded and written once its connection is open.
  * Until then it can be withdrawn, because its client disconnected, its request was answered, the endpoint drains or the
- * latest time at which it may start has passed. A withdrawn attempt never starts.
+ * latest time at which it may start has passed. A withdrawn attempt never starts, or its connection is aborted before
+ * its request was written completely.
  *
  * <p>The outcome decides whether a retry is allowed. An attempt that was not completely written to an open connection
- * was not executed. One that was completely written may have been executed, unless its response shows that it was not.
- * A connection is reused only after a complete response that is not followed by further bytes.
+ * was not executed, on the assumption that endpoints execute a request only after its last byte. Its outcome is
+ * {@link Outcome#CONNECT_FAILED} if the connection failed or the attempt timed out or was cancelled, and
+ * {@link Outcome#NOT_STARTED} in all other cases. One that was completely written may have been executed, unless its
+ * response shows that it was not. A connection is reused only after a complete response that is not followed by further
+ * bytes.
  */
 final class UpstreamConnectionPool implements ConnectionHandler {
     /** Receives the results of attempts and health checks. */
@@ -68,7 +72,10 @@
         this.connections = new UpstreamConnectionTable(settings, bounds, connectionIds, endpoints);
     }
 
-    /** Starts a turn of the event loop: sets the current time and the list to which actions are added. */
+    /**
+     * Starts a turn, that is one call of {@link PlatformGateway#handle}: sets the current time and the list to which
+     * actions are added.
+     */
     void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
@@ -97,7 +104,9 @@
 
     /**
      * Applies an update of the endpoint list. When an endpoint was removed or restarted, or its address or state
-     * changed, idle connections to it are closed and attempts that are waiting for a connection to it are withdrawn.
+     * changed, idle connections to it are closed, and connections that are being established to it are aborted. The
+     * attempts assigned to those end as not started. All of those connections are counted, whether an attempt is
+     * assigned or not.
      */
     void applyUpdate(ListUpdate update) {
         Set<String> changedEndpoints = endpoints.apply(update);
@@ -216,7 +225,7 @@
 
     /**
      * Handles a connection that could not be opened for lack of a local resource. Nothing was executed, and the failure
-     * must not count against the endpoint.
+     * must not count against the endpoint. It is counted whether an attempt is assigned or not.
      */
     private void connectFailedLocally(long id) {
         UpstreamConnection connection = connections.get(id);
@@ -294,7 +303,7 @@
             listener.attemptCompleted(attempt, outcome, response);
         } else if (connection.isHealthCheck()) {
             healthChecks.release(connection);
-            long elapsed = now - connection.stateSince();
+            long elapsed = now - connection.lastTransitionAt();
             listener.healthCheckCompleted(HealthChecks.result(connection.endpoint, outcome, elapsed, response));
         }
     }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnectionTable.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnectionTable.java
@@ -17,19 +17,19 @@
  */
 final class UpstreamConnectionTable {
     /**
-     * Minimum time between a response and the reuse of its connection, microseconds. An endpoint may send a duplicate
-     * right after a response, which would be taken for the response to the next request. Bytes that arrive within this
-     * time close the connection while no attempt depends on it.
+     * Minimum time between a response and the reuse of its connection, in microseconds. An endpoint may send a
+     * duplicate right after a response, which would be taken for the response to the next request. Bytes that arrive
+     * within this time close the connection while no attempt depends on it.
      */
     private static final long REUSE_DELAY_MICROS = 2_000;
 
     /**
-     * Fraction of the endpoints' idle timeout after which the gateway closes an idle connection, so that it never
+     * Fraction of the endpoints' idle timeout after which the gateway closes an idle connection, so that it rarely
      * writes a request to a connection that the endpoint is about to close.
      */
     private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
-    /** The endpoints' idle timeout if the settings do not state it, microseconds. */
+    /** The endpoints' idle timeout in microseconds, if the settings do not state it. */
     private static final long DEFAULT_IDLE_TIMEOUT_MICROS = 10_000_000;
 
     private final ConnectionIdAllocator connectionIds;
@@ -100,9 +100,10 @@
     }
 
     /**
-     * Returns a connection to an endpoint: the one that has been idle longest, if it may be reused; otherwise one that
-     * is being established and unassigned; otherwise a new one. Returns null if the endpoint is not listed, or if the
-     * connection limit is reached and no connection is idle.
+     * Returns a connection to an endpoint: the one that has been idle longest, if it may be reused, because it had the
+     * most time for a late duplicate of its last response to arrive; otherwise one that is being established and
+     * unassigned; otherwise a new one. Returns null if the endpoint is not listed, or if the connection limit is
+     * reached and no connection is idle.
      */
     UpstreamConnection acquire(String endpointName) {
         UpstreamEndpoint endpoint = endpoints.get(endpointName);
@@ -110,7 +111,7 @@
             return null;
         }
         UpstreamConnection longestIdle = idleConnections.oldestOf(endpointName);
-        if (longestIdle != null && now - longestIdle.stateSince() >= REUSE_DELAY_MICROS) {
+        if (longestIdle != null && now - longestIdle.lastTransitionAt() >= REUSE_DELAY_MICROS) {
             idleConnections.remove(longestIdle);
             return longestIdle;
         }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamEndpoint.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamEndpoint.java
@@ -6,7 +6,7 @@
  * One endpoint of the endpoint list. If any component changes, idle connections to the endpoint are closed.
  *
  * @param address the address to connect to
- * @param startedAt start time of the endpoint's process, microseconds
+ * @param startedAt start time of the endpoint's process, in microseconds
  * @param up whether it accepts new requests; false while it drains
  */
 record UpstreamEndpoint(String address, long startedAt, boolean up) {
--- a/core/src/test/java/garnetreel/core/platform/DiscoveryCallTest.java
+++ b/core/src/test/java/garnetreel/core/platform/DiscoveryCallTest.java
@@ -22,7 +22,7 @@
     @Test
     void eachPhaseHasItsOwnTimeout() throws ProtocolException {
         assertEquals(100 + 1_000_000, watch.deadline(), "connect timeout");
-        watch.connected(200);
+        watch.markConnected(200);
         assertTrue(watch.isConnected());
         assertEquals(200, watch.connectedAt());
         assertEquals(200 + 2_600_000, watch.deadline(), "timeout of the first response");
--- a/core/src/test/java/garnetreel/core/platform/EndpointListReceiverTest.java
+++ b/core/src/test/java/garnetreel/core/platform/EndpointListReceiverTest.java
@@ -79,7 +79,7 @@
     void changesAreAcceptedOnlyAfterACompleteList() throws ProtocolException {
         ListUpdate changes = changes(9, entry("s-2", EndpointState.UP, 0));
         ProtocolException thrown = assertThrows(ProtocolException.class, () -> receiver.apply(changes, NOW));
-        assertEquals("changes without a complete list before them", thrown.getMessage());
+        assertEquals("expected a complete endpoint list, got changes", thrown.getMessage());
         assertEquals(1, pool.endpointCount());
         receiver.apply(completeList(3, entry("s-1", EndpointState.UP, 0)), NOW);
         assertEquals(EndpointUpdateKind.SNAPSHOT, lastKind());
--- a/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTest.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTest.java
@@ -19,7 +19,7 @@
         assertFalse(connection.isRequestSent(), "the connection is not open");
         connection.opened();
         connection.requestWriteStarted(100, 9);
-        assertEquals(9, connection.stateSince());
+        assertEquals(9, connection.lastTransitionAt());
         connection.drained(99);
         assertTrue(connection.hasUnsentBytes());
         assertFalse(connection.isRequestSent());
--- a/core/src/test/java/garnetreel/core/platform/UpstreamTestData.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamTestData.java
@@ -11,9 +11,9 @@
 
 /** Endpoints, connections and responses for the tests of the upstream side. */
 final class UpstreamTestData {
-    /** Connect timeout in {@link #settings()}, microseconds. */
+    /** Connect timeout in {@link #settings()}, in microseconds. */
     static final long CONNECT_TIMEOUT = 250_000;
-    /** Idle timeout with {@link #settings()}, microseconds: 0.7 of the endpoints' idle timeout of 15 s. */
+    /** Idle timeout with {@link #settings()}, in microseconds: 0.7 of the endpoints' idle timeout of 15 s. */
     static final long IDLE_TIMEOUT = 10_500_000;
 
     private static final String CONFIG =
