--- a/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
@@ -91,7 +91,7 @@
 
     /** Returns the JSON objects completed by the last bytes read, while the response as a whole is incomplete. */
     List<byte[]> takeObjects() throws ProtocolException {
-        return splitter.next(parser.part());
+        return splitter.next(parser.takeReceivedBody());
     }
 
     /** Returns the JSON objects of the body of a complete response that were not returned before. */
@@ -101,7 +101,7 @@
 
     /** The response without a stated length that the end of the connection completes; null if there is none. */
     HttpResponse responseCompletedByClose() {
-        return parser.ended();
+        return parser.connectionEnded();
     }
 
     /** The time at which the call fails unless it makes progress before. */
--- a/core/src/main/java/garnetreel/core/platform/RequestDecoder.java
+++ b/core/src/main/java/garnetreel/core/platform/RequestDecoder.java
@@ -73,13 +73,13 @@
 
     private RequestReceived event(Fields fields, RequestClass requestClass, boolean write, long receivedAt)
             throws ProtocolException {
-        String plan = fields.only(HttpHeaders.PLAN);
+        String plan = fields.singleValue(HttpHeaders.PLAN);
         if (plan == null || !plans.contains(plan)) {
             throw new ProtocolException("no such plan");
         }
         String key = hexId(fields, HttpHeaders.REQUEST_KEY, false);
-        RequestMetadata metadata = RequestMetadata.read(fields.only(HttpHeaders.METADATA));
-        long timeLeft = Math.min(timeLeft(fields.only(HttpHeaders.TIME_LEFT)), requestClass.deadline());
+        RequestMetadata metadata = RequestMetadata.read(fields.singleValue(HttpHeaders.METADATA));
+        long timeLeft = Math.min(timeLeft(fields.singleValue(HttpHeaders.TIME_LEFT)), requestClass.deadline());
         return new RequestReceived(
                 ++lastRequestId,
                 requestClass.name(),
@@ -95,7 +95,7 @@
     }
 
     private static String hexId(Fields fields, String name, boolean required) throws ProtocolException {
-        String text = fields.only(name);
+        String text = fields.singleValue(name);
         if (text == null ? required : !RequestMetadata.isHexId(text)) {
             throw new ProtocolException(name + " is not 16 hexadecimal digits");
         }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamAttempt.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamAttempt.java
@@ -54,7 +54,7 @@
         long timeLeft = Math.max(MIN_TIME_LEFT_MICROS, deadline - now);
         HttpWriter writer = HttpWriter.request(message.method(), message.target(), HttpHeaders.HOST)
                 .field(HttpHeaders.TIME_LEFT, DecimalText.formatSeconds(timeLeft))
-                .passOn(message.fields(), HttpHeaders.TIME_LEFT);
+                .forwardFields(message.fields(), HttpHeaders.TIME_LEFT);
         return writer.body(message.body(), message.method().equals("PUT"));
     }
 }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnection.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnection.java
@@ -109,12 +109,12 @@
 
     /** The response without a stated length that the end of the connection completes; null if there is none. */
     HttpResponse responseCompletedByClose() {
-        return parser.ended();
+        return parser.connectionEnded();
     }
 
     /** Bytes of an incomplete response that the parser buffers at present. */
     int parserBufferedBytes() {
-        return parser.held();
+        return parser.bufferedBytes();
     }
 
     /** The value of {@link #parserBufferedBytes} that is included in the total over all connections. */
