--- a/cli/src/main/java/garnetreel/cli/CheckConfigCommand.java
+++ b/cli/src/main/java/garnetreel/cli/CheckConfigCommand.java
@@ -28,7 +28,7 @@
         Settings settings = file.read();
         spec.commandLine()
                 .getOut()
-                .println(file + ": fine: " + settings.heads() + " heads, "
+                .println(file + ": fine: " + settings.gateways() + " heads, "
                         + settings.volumes().size() + " volumes, "
                         + settings.classes().size() + " classes, "
                         + settings.plans().size() + " plans, "
--- a/cli/src/main/java/garnetreel/cli/MapServiceCommand.java
+++ b/cli/src/main/java/garnetreel/cli/MapServiceCommand.java
@@ -39,7 +39,7 @@
         String listen = settings.text("/map/listen", settings.mapServiceAddress());
         String directory = settings.text("/map/state", "");
         if (listen.isEmpty() || directory.isEmpty()) {
-            throw new SettingsException(List.of(settings.location("/map") + "lacks \"listen\" or \"state\""));
+            throw new SettingsException(List.of(settings.locate("/map") + "lacks \"listen\" or \"state\""));
         }
         ServiceProcess process = new ServiceProcess();
         EventLoop service = start(process, settings, listen, Path.of(directory));
@@ -61,8 +61,8 @@
         MapState state = MapState.recover(settings.initialMaps(), contents.snapshot(), contents.records());
         BackgroundJournalWriter writer = new BackgroundJournalWriter(new StateDirectory(directory), journal);
         process.closeWithProcess(writer, writer::close);
-        MapService service =
-                new MapService(settings.mapService(listen, settings.list(), process.clock.currentMicros()), state);
+        MapService service = new MapService(
+                settings.mapService(listen, settings.nodeListAddress(), process.clock.currentMicros()), state);
         return process.run("mapd", service, new JournalOnlyStore(writer));
     }
 }
--- a/cli/src/main/java/garnetreel/cli/ServeCommand.java
+++ b/cli/src/main/java/garnetreel/cli/ServeCommand.java
@@ -35,15 +35,19 @@
         Settings settings = file.read();
         String listen = settings.listenAddress(number);
         if (listen == null) {
-            throw new SettingsException(List.of(settings.location("") + "has no block head \"" + number + "\""));
+            throw new SettingsException(List.of(settings.locate("") + "has no block head \"" + number + "\""));
         }
-        if (settings.list().isEmpty()) {
+        if (settings.nodeListAddress().isEmpty()) {
             throw new SettingsException(
-                    List.of(settings.location("/service") + "lacks \"list\", the address of the node list"));
+                    List.of(settings.locate("/service") + "lacks \"list\", the address of the node list"));
         }
         ServiceProcess process = new ServiceProcess();
         GatewaySettings gatewaySettings = settings.gateway(
-                number, process.clock.currentMicros(), listen, settings.list(), settings.mapServiceAddress());
+                number,
+                process.clock.currentMicros(),
+                listen,
+                settings.nodeListAddress(),
+                settings.mapServiceAddress());
         String state = settings.stateDirectory(number);
         EventLoop gateway = process.startGateway(gatewaySettings, state.isEmpty() ? null : Path.of(state));
         String address = ServiceProcess.bound(gateway, Gateway.NBD);
--- a/cli/src/main/java/garnetreel/cli/config/SchedulingReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/SchedulingReader.java
@@ -60,7 +60,10 @@
     }
 
     long longestDeadline() {
-        return classes.values().stream().mapToLong(RequestClass::deadline).max().orElse(0);
+        return classes.values().stream()
+                .mapToLong(RequestClass::timeLimit)
+                .max()
+                .orElse(0);
     }
 
     /** Converts the key {@code effect}; the schema allows no other values. */
--- a/cli/src/main/java/garnetreel/cli/config/Settings.java
+++ b/cli/src/main/java/garnetreel/cli/config/Settings.java
@@ -57,7 +57,7 @@
     }
 
     /** Calls {@code action} for each block of a kind, with its label and its path. */
-    public void each(String kind, BiConsumer<String, String> action) {
+    public void forEachBlock(String kind, BiConsumer<String, String> action) {
         values.forEach(kind, action);
     }
 
@@ -92,14 +92,14 @@
     }
 
     /** The location of a path, as the prefix of an error message; for callers that check further blocks. */
-    public String location(String path) {
+    public String locate(String path) {
         return values.locate(path);
     }
 
     // ---------------------------------------------------------------- shared settings
 
     /** Number of gateway instances. */
-    public int heads() {
+    public int gateways() {
         return service.gateways();
     }
 
@@ -141,7 +141,7 @@
     }
 
     /** Address of the node list; empty when the file names none. */
-    public String list() {
+    public String nodeListAddress() {
         return values.text("/service/list", "");
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
+++ b/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
@@ -74,7 +74,7 @@
 
     private void check(boolean holds, String path, String problem) {
         if (!holds) {
-            problems.add(settings.location(path) + problem);
+            problems.add(settings.locate(path) + problem);
         }
     }
 
@@ -92,9 +92,9 @@
             e.getValue()
                     .path("heads")
                     .forEach(h -> check(
-                            h.asInt() < settings.heads(),
+                            h.asInt() < settings.gateways(),
                             path + "/heads",
-                            "names head " + h.asInt() + ", and there are " + settings.heads()));
+                            "names head " + h.asInt() + ", and there are " + settings.gateways()));
             e.getValue()
                     .path("sizes")
                     .forEach(s -> check(
@@ -134,7 +134,9 @@
         onNodes.forEach(
                 n -> check(nodes.containsKey(n), path + "/nodes", "names \"" + n + "\", and there is no such node"));
         heads.forEach(h -> check(
-                h < settings.heads(), path + "/heads", "names head " + h + ", and there are " + settings.heads()));
+                h < settings.gateways(),
+                path + "/heads",
+                "names head " + h + ", and there are " + settings.gateways()));
         onLoads.forEach(l -> check(
                 settings.root().path("load").has(l),
                 path + "/loads",
@@ -168,7 +170,7 @@
                 seed,
                 settings.micros("/day/length", "10s"),
                 settings.micros("/day/settle", "5s"),
-                settings.heads(),
+                settings.gateways(),
                 List.copyOf(nodes.values()),
                 settings.micros("/list/lag", "0s"),
                 place -> settings.gateway(
@@ -275,7 +277,7 @@
                     sizes,
                     index * stretch,
                     stretch,
-                    new Times(read.deadline(), write.deadline(), flush.deadline()),
+                    new Times(read.timeLimit(), write.timeLimit(), flush.timeLimit()),
                     new Times(read.latencyObjective(), write.latencyObjective(), flush.latencyObjective()),
                     load.path("retries").asInt(1),
                     settings.micros(path + "/leave_every", "0s"),
--- a/cli/src/test/java/garnetreel/cli/StoredStateTest.java
+++ b/cli/src/test/java/garnetreel/cli/StoredStateTest.java
@@ -219,8 +219,8 @@
         client.start(cached(NodeListClient.CACHE_NAME));
         return updates.stream()
                 .flatMap(n -> n.entries().stream())
-                .map(e -> e.address() + " " + e.zone() + " shard " + e.shard() + " " + e.state() + " " + e.weight()
-                        + " " + e.startedAt())
+                .map(e -> e.name() + " " + e.zone() + " shard " + e.shard() + " " + e.state() + " " + e.weight() + " "
+                        + e.startedAt())
                 .toList();
     }
 
--- a/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
@@ -31,7 +31,7 @@
 
     private final long silenceTimeoutMicros;
     private final HttpResponseParser parser = new HttpResponseParser(MAX_OBJECT_BYTES);
-    private final JsonFrameSplitter splitter = new JsonFrameSplitter(MAX_OBJECT_BYTES);
+    private final JsonObjectSplitter splitter = new JsonObjectSplitter(MAX_OBJECT_BYTES);
     private boolean connected;
     private boolean streaming;
     private boolean updateReceived;
--- a/core/src/main/java/garnetreel/core/platform/EndpointIncarnations.java
+++ b/core/src/main/java/garnetreel/core/platform/EndpointIncarnations.java
@@ -54,7 +54,7 @@
         if (endpoint.state() == EndpointState.REMOVED) {
             return endpoint;
         }
-        String name = endpoint.address();
+        String name = endpoint.name();
         long reportedStart = endpoint.startedAt();
         Start start = starts.remove(name);
         if (start == null || start.reportedStart() != reportedStart) {
--- a/core/src/main/java/garnetreel/core/platform/JsonFrameSplitter.java
+++ b/core/src/main/java/garnetreel/core/platform/JsonObjectSplitter.java
@@ -11,7 +11,7 @@
  * serve as delimiters, because an object may span several lines, a line may hold several objects, and an object may
  * arrive in several pieces. The splitter does not check that an object is valid JSON.
  */
-final class JsonFrameSplitter {
+final class JsonObjectSplitter {
     private static final int INITIAL_CAPACITY_BYTES = 64;
 
     private final int maxObjectBytes;
@@ -23,7 +23,7 @@
     private boolean escaped;
 
     /** @param maxObjectBytes maximum size of an object; a larger one is a protocol error */
-    JsonFrameSplitter(int maxObjectBytes) {
+    JsonObjectSplitter(int maxObjectBytes) {
         this.maxObjectBytes = maxObjectBytes;
     }
 
--- a/core/src/main/java/garnetreel/core/platform/RequestDecoder.java
+++ b/core/src/main/java/garnetreel/core/platform/RequestDecoder.java
@@ -79,7 +79,7 @@
         }
         String key = hexId(fields, HttpHeaders.REQUEST_KEY, false);
         RequestMetadata metadata = RequestMetadata.read(fields.singleValue(HttpHeaders.METADATA));
-        long timeLeft = Math.min(timeLeft(fields.singleValue(HttpHeaders.TIME_LEFT)), requestClass.deadline());
+        long timeLeft = Math.min(timeLeft(fields.singleValue(HttpHeaders.TIME_LEFT)), requestClass.timeLimit());
         return new RequestReceived(
                 ++lastRequestId,
                 requestClass.name(),
--- a/core/src/main/java/garnetreel/core/platform/UpstreamEndpoints.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamEndpoints.java
@@ -47,7 +47,7 @@
         Map<String, UpstreamEndpoint> stateAfter = new LinkedHashMap<>();
         for (ListUpdate.Entry entry : update.entries()) {
             boolean removed = entry.endpoint().state() == EndpointState.REMOVED;
-            stateAfter.put(entry.endpoint().address(), removed ? null : UpstreamEndpoint.of(entry));
+            stateAfter.put(entry.endpoint().name(), removed ? null : UpstreamEndpoint.of(entry));
         }
         if (update.complete()) {
             for (String name : byName.keySet()) {
--- a/core/src/main/java/garnetreel/core/request/RequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/request/RequestRegistry.java
@@ -116,7 +116,7 @@
             long tag,
             BlockBackend.Callback callback) {
         RequestClass requestClass = requestClass(volume, op);
-        long deadline = receivedAt + requestClass.deadline() - settings.replyMargin();
+        long deadline = receivedAt + requestClass.timeLimit() - settings.replyMargin();
         BlockOperation operation =
                 new BlockOperation(volume, op, offset, length, data, sync, tag, callback, requestClass, deadline);
         if (operations >= settings.bounds().gatewayRequests()) {
--- a/core/src/main/java/garnetreel/core/server/rsync/FileCatalogueStore.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileCatalogueStore.java
@@ -59,7 +59,7 @@
         lastSeq = catalogue.seq();
         nextSnapshotSeq = lastSeq + SNAPSHOT_INTERVAL;
         longestDeadline = settings.scheduling().classes().stream()
-                .mapToLong(c -> c.deadline())
+                .mapToLong(c -> c.timeLimit())
                 .max()
                 .orElse(0);
     }
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayDiscoveryTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayDiscoveryTest.java
@@ -175,7 +175,7 @@
                         .get(harness.notified(EndpointUpdate.class).size() - 1)
                         .entries()
                         .get(0)
-                        .address());
+                        .name());
     }
 
     @Test
@@ -210,7 +210,7 @@
     private static long startedAt(PlatformGatewayHarness harness, String endpoint) {
         return harness.notified(EndpointUpdate.class).stream()
                 .flatMap(update -> update.entries().stream())
-                .filter(e -> e.address().equals(endpoint))
+                .filter(e -> e.name().equals(endpoint))
                 .reduce((first, second) -> second)
                 .orElseThrow()
                 .startedAt();
--- a/mapservice/src/main/java/garnetreel/mapservice/NodeCommandClient.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/NodeCommandClient.java
@@ -102,16 +102,16 @@
         }
         if (update.kind() == EndpointUpdateKind.SNAPSHOT) {
             List<String> listed =
-                    update.entries().stream().map(EndpointEntry::address).toList();
+                    update.entries().stream().map(EndpointEntry::name).toList();
             List.copyOf(nodes.values()).stream()
-                    .filter(node -> !listed.contains(node.entry.address()))
+                    .filter(node -> !listed.contains(node.entry.name()))
                     .forEach(this::remove);
         }
         for (EndpointEntry entry : update.entries()) {
             if (entry.state() != EndpointState.REMOVED) {
                 addOrReplace(entry);
-            } else if (nodes.containsKey(entry.address())) {
-                remove(nodes.get(entry.address()));
+            } else if (nodes.containsKey(entry.name())) {
+                remove(nodes.get(entry.name()));
             }
         }
     }
@@ -119,7 +119,7 @@
     /** Adds a node, or replaces its entry and keeps its connection. */
     private void addOrReplace(EndpointEntry entry) {
         Node node = new Node(entry);
-        Node old = nodes.put(entry.address(), node);
+        Node old = nodes.put(entry.name(), node);
         if (old != null) {
             node.conn = old.conn;
             node.ready = old.ready;
@@ -129,7 +129,7 @@
     }
 
     private void remove(Node node) {
-        nodes.remove(node.entry.address());
+        nodes.remove(node.entry.name());
         if (node.conn != 0) {
             turn.add(new NetAction.Close(node.conn, true));
             disconnected(node);
@@ -205,7 +205,7 @@
                 handle(node, message);
             }
         } catch (ProtocolException e) {
-            turn.warn("node " + node.entry.address() + ": " + e.getMessage());
+            turn.warn("node " + node.entry.name() + ": " + e.getMessage());
             turn.add(new NetAction.Close(conn, true));
             disconnected(node);
         }
@@ -228,7 +228,7 @@
             if (node.conn == 0 && turn.now() >= node.reconnectAt) {
                 node.conn = connectionIds.next();
                 byConnection.put(node.conn, node);
-                turn.add(new NetAction.Connect(node.conn, node.entry.address()));
+                turn.add(new NetAction.Connect(node.conn, node.entry.name()));
             }
         }
         while (!inFlight.isEmpty() && inFlight.firstEntry().getValue().deadline() <= turn.now()) {
--- a/policy/src/main/java/garnetreel/policy/AttemptDispatcher.java
+++ b/policy/src/main/java/garnetreel/policy/AttemptDispatcher.java
@@ -61,7 +61,7 @@
             request.chargedToRateLimit = true;
         }
         long startBefore =
-                Math.min(modules.lease.sendBefore(endpoint.leaseRenewedAt()), request.guard.mustStartBefore());
+                Math.min(modules.listValidity.sendBefore(endpoint.leaseRenewedAt()), request.guard.mustStartBefore());
         request.guard.attemptSent(endpoint, now);
         request.flow.attemptSent(request.units);
         Attempt attempt = new Attempt(endpoint, now, request.requestClass.latencyObjective());
@@ -69,6 +69,6 @@
         request.attemptsInFlight++;
         modules.endpoints.attemptSent(endpoint, attempt);
         long startWithin = startBefore == Long.MAX_VALUE ? 0 : startBefore - now;
-        modules.actions.add(new SendAttempt(request.id, endpoint.address(), 0, startWithin));
+        modules.actions.add(new SendAttempt(request.id, endpoint.name(), 0, startWithin));
     }
 }
--- a/policy/src/main/java/garnetreel/policy/DecisionModules.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionModules.java
@@ -2,10 +2,10 @@
 
 import garnetreel.policy.admission.AdmissionController;
 import garnetreel.policy.admission.LoadShedder;
-import garnetreel.policy.admission.RejectedRequests;
+import garnetreel.policy.admission.UnservedRequests;
 import garnetreel.policy.config.SchedulerSettings;
-import garnetreel.policy.endpoint.EndpointLease;
 import garnetreel.policy.endpoint.EndpointListSubscription;
+import garnetreel.policy.endpoint.EndpointListValidity;
 import garnetreel.policy.endpoint.EndpointTable;
 import garnetreel.policy.fairqueue.FairQueue;
 import garnetreel.policy.health.LatencyScale;
@@ -19,14 +19,14 @@
 final class DecisionModules {
     final SchedulerSettings settings;
     final SettingsLookup settingsLookup;
-    final EndpointLease lease = new EndpointLease();
-    final EndpointTable endpoints = new EndpointTable(lease);
+    final EndpointListValidity listValidity = new EndpointListValidity();
+    final EndpointTable endpoints = new EndpointTable(listValidity);
     final EndpointListSubscription subscription;
     final ShardTable shards = new ShardTable(endpoints);
     final PendingRequests requests = new PendingRequests(shards);
     final FairQueue fairQueue = new FairQueue();
     final KeySequencer<PendingRequest> keySequencer;
-    final RejectedRequests rejectedRequests = new RejectedRequests();
+    final UnservedRequests unservedRequests = new UnservedRequests();
     final AdmissionController admissionController;
     final LoadShedder loadShedder;
     final SlowStart slowStart;
@@ -63,14 +63,14 @@
 
     /** Whether the invariants of all modules hold. Traverses the whole state, so it is meant for tests only. */
     boolean areConsistent() {
-        return lease.isConsistent()
+        return listValidity.isConsistent()
                 && endpoints.isConsistent()
                 && subscription.isConsistent()
                 && shards.isConsistent()
                 && requests.isConsistent()
                 && fairQueue.isConsistent()
                 && keySequencer.isConsistent()
-                && rejectedRequests.isConsistent()
+                && unservedRequests.isConsistent()
                 && slowStart.isConsistent()
                 && retryBudget.isConsistent()
                 && actions.isConsistent();
--- a/policy/src/main/java/garnetreel/policy/EndpointUpdates.java
+++ b/policy/src/main/java/garnetreel/policy/EndpointUpdates.java
@@ -28,7 +28,7 @@
                 return;
             }
             case CACHED -> {
-                boolean trusted = !update.entries().isEmpty() && modules.lease.hasConfirmation();
+                boolean trusted = !update.entries().isEmpty() && modules.listValidity.hasConfirmation();
                 modules.subscription.cachedListRead(trusted, now);
             }
             case SNAPSHOT, DELTA -> modules.subscription.listReceived();
--- a/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
+++ b/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
@@ -102,11 +102,11 @@
         } else if (event instanceof EndpointUpdate update) {
             endpointUpdates.applyUpdate(update, now);
         } else if (event instanceof EndpointListConfirmed confirmed) {
-            modules.lease.confirmed(confirmed.asOf());
+            modules.listValidity.confirmed(confirmed.asOf());
         } else if (event instanceof DiscoveryObserved observed) {
-            modules.lease.discoveryObserved(observed.available());
+            modules.listValidity.discoveryObserved(observed.available());
         } else if (event instanceof DiscoveryAddressChanged) {
-            modules.lease.discoveryAddressChanged(now);
+            modules.listValidity.discoveryAddressChanged(now);
         } else if (event instanceof RequestCancelled cancelled) {
             closer.requestCancelled(cancelled.id(), now);
         } else if (event instanceof ResponseStreamStarted stream) {
--- a/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
+++ b/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
@@ -94,14 +94,14 @@
 
     private void recordResponse(Endpoint endpoint, boolean quick, long now) {
         if (endpoint.responded(quick, now) != Recovery.NONE) {
-            modules.actions.log("endpoint " + endpoint.address() + ": reachable again");
+            modules.actions.log("endpoint " + endpoint.name() + ": reachable again");
         }
     }
 
     private void recordConnectFailure(Attempt attempt, long now) {
         Endpoint endpoint = attempt.endpoint;
         if (endpoint.health().connectFailed(now)) {
-            modules.actions.log("endpoint " + endpoint.address() + ": unreachable");
+            modules.actions.log("endpoint " + endpoint.name() + ": unreachable");
         }
         endpoint.health().recordFailure(attempt.sentAt(), now);
     }
--- a/policy/src/main/java/garnetreel/policy/RequestAdmission.java
+++ b/policy/src/main/java/garnetreel/policy/RequestAdmission.java
@@ -78,7 +78,7 @@
     /** Sets the latest useful start of a request, and returns whether it is a client retry received after that time. */
     private boolean isLateRetry(PendingRequest request, long now) {
         RequestClass requestClass = request.requestClass;
-        request.firstReceivedAt = modules.rejectedRequests.firstReceivedAt(
+        request.firstReceivedAt = modules.unservedRequests.firstReceivedAt(
                 request.flow, requestClass.name(), request.units, request.deadline, now);
         request.latestUsefulStart = modules.loadShedder.latestUsefulStart(
                 request.firstReceivedAt, requestClass.latencyObjective(), request.deadline);
--- a/policy/src/main/java/garnetreel/policy/RequestCloser.java
+++ b/policy/src/main/java/garnetreel/policy/RequestCloser.java
@@ -28,7 +28,7 @@
                         ? new RejectRequest(request.id, modules.settings.maxRetryAfter())
                         : new FailRequest(request.id));
         request.flow.buckets().cancelBooking(request.booking, request.units);
-        modules.rejectedRequests.add(
+        modules.unservedRequests.add(
                 request.flow, request.requestClass.name(), request.units, request.deadline, request.firstReceivedAt);
         modules.requests.close(request, now);
     }
--- a/policy/src/main/java/garnetreel/policy/admission/RejectedRequests.java
+++ b/policy/src/main/java/garnetreel/policy/admission/UnservedRequests.java
@@ -9,7 +9,7 @@
  * are marked as such or not: a retry has the same volume, class, size and, within a tolerance, deadline as the first
  * request.
  */
-public final class RejectedRequests {
+public final class UnservedRequests {
     /**
      * Deadlines of a request and its retry may differ by less than this, in microseconds, as clients recompute them.
      */
--- a/policy/src/main/java/garnetreel/policy/config/RequestClass.java
+++ b/policy/src/main/java/garnetreel/policy/config/RequestClass.java
@@ -9,7 +9,7 @@
  * @param latencyObjective response time up to which a response has its full value
  * @param latencyObjectiveStretch multiple of a request's own service time by which its objective is extended; 0 for
  *     none
- * @param deadline maximum time from the receipt of a request to its deadline: the total time that a client waits,
+ * @param timeLimit maximum time from the receipt of a request to its deadline: the total time that a client waits,
  *     including its retries
  * @param idempotency whether a retry is allowed once an attempt may have been executed
  * @param deduplicationScope endpoints that recognize duplicates of each other's requests
@@ -25,7 +25,7 @@
         String name,
         long latencyObjective,
         double latencyObjectiveStretch,
-        long deadline,
+        long timeLimit,
         Idempotency idempotency,
         DeduplicationScope deduplicationScope,
         double lateCredit,
--- a/policy/src/main/java/garnetreel/policy/config/SchedulerSettings.java
+++ b/policy/src/main/java/garnetreel/policy/config/SchedulerSettings.java
@@ -18,8 +18,8 @@
  *     {@code rules.overloadWindow}
  * @param meanUnits mean request size
  * @param maxUnits maximum request size
- * @param quotaWeight value of requests within the provisioned rate, relative to those within the reserved rate
- * @param idleWeight value of requests above the provisioned rate, relative to those within the reserved rate
+ * @param provisionedWeight value of requests within the provisioned rate, relative to those within the reserved rate
+ * @param excessWeight value of requests above the provisioned rate, relative to those within the reserved rate
  * @param reportsOtherGateways whether endpoints report {@code unitsFromOtherGateways} in their responses
  * @param meteringPeriod period over which usage is metered; 0 if it is not metered
  * @param maxAttempts maximum number of attempts per request
@@ -42,8 +42,8 @@
         double coldEndpointCapacity,
         double meanUnits,
         double maxUnits,
-        double quotaWeight,
-        double idleWeight,
+        double provisionedWeight,
+        double excessWeight,
         boolean reportsOtherGateways,
         long meteringPeriod,
         int maxAttempts,
--- a/policy/src/main/java/garnetreel/policy/endpoint/Endpoint.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/Endpoint.java
@@ -8,7 +8,7 @@
 
 /** One endpoint: its entry in the endpoint list, its lease, and what this gateway has learnt from its own attempts. */
 public final class Endpoint {
-    private final String address;
+    private final String name;
     private final ConcurrencyLimiter limiter = new ConcurrencyLimiter();
     private final EndpointHealth health = new EndpointHealth();
     private String zone = "";
@@ -17,16 +17,16 @@
     /** Start time of the endpoint's process, listed or inferred; 0 if it has been running for long. */
     private long startedAt;
 
-    private long leaseRenewedAt = EndpointLease.neverRenewed();
+    private long leaseRenewedAt = EndpointListValidity.neverRenewed();
 
     /** Creates an endpoint that is down until a list entry is applied. */
-    public Endpoint(String address) {
-        this.address = address;
+    public Endpoint(String name) {
+        this.name = name;
     }
 
     /** Name of the endpoint in the endpoint list, which identifies it in events and actions. */
-    public String address() {
-        return address;
+    public String name() {
+        return name;
     }
 
     /** Failure domain of the endpoint. */
@@ -109,7 +109,7 @@
 
     /** Revokes the lease: the endpoint rejected a request, so it may be draining. */
     public void revokeLease() {
-        leaseRenewedAt = EndpointLease.neverRenewed();
+        leaseRenewedAt = EndpointListValidity.neverRenewed();
     }
 
     /** Invariant: limiter and health are consistent. */
--- a/policy/src/main/java/garnetreel/policy/endpoint/EndpointLease.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/EndpointListValidity.java
@@ -20,7 +20,7 @@
  * <p>Until the first {@link EndpointListConfirmed} event it is unknown how current the list is, and every list is
  * treated as valid.
  */
-public final class EndpointLease {
+public final class EndpointListValidity {
     /**
      * Time after which a gateway is considered notified of a change that discovery has received, while discovery is
      * reachable, in microseconds. Fixed by the project's requirements.
--- a/policy/src/main/java/garnetreel/policy/endpoint/EndpointTable.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/EndpointTable.java
@@ -15,13 +15,13 @@
     private final Map<String, Endpoint> endpoints = new TreeMap<>();
     private final Map<Integer, Map<String, Endpoint>> byShard = new TreeMap<>();
     private final Map<String, Endpoint> withInFlight = new TreeMap<>();
-    private final EndpointLease lease;
+    private final EndpointListValidity lease;
 
     /**
      * Creates an empty table that selects only endpoints that may be used according to the given validity of the list
      * and the leases.
      */
-    public EndpointTable(EndpointLease lease) {
+    public EndpointTable(EndpointListValidity lease) {
         this.lease = lease;
     }
 
@@ -32,18 +32,18 @@
 
     /** Applies a list entry and returns its endpoint. */
     public Endpoint apply(EndpointEntry entry) {
-        Endpoint endpoint = endpoints.computeIfAbsent(entry.address(), Endpoint::new);
+        Endpoint endpoint = endpoints.computeIfAbsent(entry.name(), Endpoint::new);
         if (endpoint.shard() != entry.shard()) {
             removeFromShard(endpoint);
         }
         endpoint.apply(entry);
-        byShard.computeIfAbsent(entry.shard(), absent -> new TreeMap<>()).put(entry.address(), endpoint);
+        byShard.computeIfAbsent(entry.shard(), absent -> new TreeMap<>()).put(entry.name(), endpoint);
         return endpoint;
     }
 
     private void removeFromShard(Endpoint endpoint) {
         Map<String, Endpoint> shardEndpoints = byShard.get(endpoint.shard());
-        if (shardEndpoints != null && shardEndpoints.remove(endpoint.address(), endpoint) && shardEndpoints.isEmpty()) {
+        if (shardEndpoints != null && shardEndpoints.remove(endpoint.name(), endpoint) && shardEndpoints.isEmpty()) {
             byShard.remove(endpoint.shard());
         }
     }
@@ -106,14 +106,14 @@
     /** Records that an attempt was sent. */
     public void attemptSent(Endpoint endpoint, InFlightAttempt attempt) {
         endpoint.limiter().started(attempt);
-        withInFlight.put(endpoint.address(), endpoint);
+        withInFlight.put(endpoint.name(), endpoint);
     }
 
     /** Records that an attempt is no longer in flight. */
     public void attemptEnded(Endpoint endpoint, InFlightAttempt attempt) {
         endpoint.limiter().ended(attempt);
         if (endpoint.limiter().isIdle()) {
-            withInFlight.remove(endpoint.address());
+            withInFlight.remove(endpoint.name());
         }
     }
 
@@ -147,7 +147,7 @@
         Map<String, Endpoint> shardEndpoints = byShard.get(endpoint.shard());
         return endpoint.isConsistent()
                 && shardEndpoints != null
-                && shardEndpoints.get(endpoint.address()) == endpoint
-                && endpoint.limiter().isIdle() != withInFlight.containsKey(endpoint.address());
+                && shardEndpoints.get(endpoint.name()) == endpoint
+                && endpoint.limiter().isIdle() != withInFlight.containsKey(endpoint.name());
     }
 }
--- a/policy/src/test/java/garnetreel/policy/GoldenClients.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenClients.java
@@ -92,7 +92,7 @@
         String className = classNames.isEmpty() || simulation.chance(ANOMALY_PROBABILITY)
                 ? "no-such-class"
                 : classNames.get(simulation.random().nextInt(classNames.size()));
-        long deadline = classes.containsKey(className) ? classes.get(className).deadline() : UNKNOWN_CLASS_DEADLINE;
+        long deadline = classes.containsKey(className) ? classes.get(className).timeLimit() : UNKNOWN_CLASS_DEADLINE;
         double units = simulation.chance(ANOMALY_PROBABILITY)
                 ? (simulation.chance(0.5) ? Double.NaN : -1)
                 : 0.25 * (1 + simulation.random().nextInt(16));
--- a/policy/src/test/java/garnetreel/policy/SafetyRulesChecker.java
+++ b/policy/src/test/java/garnetreel/policy/SafetyRulesChecker.java
@@ -77,7 +77,7 @@
                     TestSettings.entry(address, entry.shard(), EndpointState.REMOVED, entry.startedAt()));
         }
         for (EndpointEntry entry : entries) {
-            listed.put(entry.address(), entry);
+            listed.put(entry.name(), entry);
         }
         listed.forEach((address, entry) -> {
             if (entry.state() == EndpointState.UP) {
--- a/policy/src/test/java/garnetreel/policy/SchedulerHarness.java
+++ b/policy/src/test/java/garnetreel/policy/SchedulerHarness.java
@@ -75,7 +75,7 @@
         long deadline = settings.classes().stream()
                 .filter(requestClass -> requestClass.name().equals(className))
                 .findFirst()
-                .map(RequestClass::deadline)
+                .map(RequestClass::timeLimit)
                 .orElse(SECOND);
         return new RequestReceived(
                 nextId++, className, plan, key, now + deadline, volume, units, shard, 2, false, false);
--- a/policy/src/test/java/garnetreel/policy/admission/RejectedRequestsTest.java
+++ b/policy/src/test/java/garnetreel/policy/admission/UnservedRequestsTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests how unmarked client retries are recognized. */
-class RejectedRequestsTest {
+class UnservedRequestsTest {
     private static final long NOW = 100_000_000;
     private static final long DEADLINE = NOW + 2_000_000;
 
     private final FairQueue fairQueue = new FairQueue();
     private final VolumeFlow flow = flow(1);
-    private final RejectedRequests rejected = new RejectedRequests();
+    private final UnservedRequests rejected = new UnservedRequests();
 
     private VolumeFlow flow(long volume) {
         return fairQueue.addFlow(
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointLeaseTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointListValidityTest.java
@@ -6,16 +6,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests until when endpoints may be sent requests, given the age of the list and their leases. */
-class EndpointLeaseTest {
+class EndpointListValidityTest {
     private static final long SECOND = 1_000_000;
     private static final long LIST_CONFIRMED_AT = 100 * SECOND;
     private static final long LIST_EXPIRES_AT =
-            LIST_CONFIRMED_AT + EndpointLease.MAX_NOTIFICATION_DELAY_MICROS - ProcessPause.MARGIN_MICROS;
+            LIST_CONFIRMED_AT + EndpointListValidity.MAX_NOTIFICATION_DELAY_MICROS - ProcessPause.MARGIN_MICROS;
 
-    private final EndpointLease lease = new EndpointLease();
+    private final EndpointListValidity lease = new EndpointListValidity();
 
     private long sendBeforeWithoutLease() {
-        return lease.sendBefore(EndpointLease.neverRenewed());
+        return lease.sendBefore(EndpointListValidity.neverRenewed());
     }
 
     @Test
@@ -37,8 +37,8 @@
         long renewedAt = LIST_CONFIRMED_AT + 5 * SECOND;
         assertEquals(
                 renewedAt
-                        + EndpointLease.MAX_NOTIFICATION_DELAY_MICROS
-                        - EndpointLease.MAX_DRAIN_DELAY_MICROS
+                        + EndpointListValidity.MAX_NOTIFICATION_DELAY_MICROS
+                        - EndpointListValidity.MAX_DRAIN_DELAY_MICROS
                         - ProcessPause.MARGIN_MICROS,
                 lease.sendBefore(renewedAt));
         assertEquals(
@@ -53,7 +53,7 @@
         lease.discoveryAddressChanged(LIST_CONFIRMED_AT + SECOND);
         long end = LIST_CONFIRMED_AT
                 + SECOND
-                + EndpointLease.MAX_DELAY_AFTER_ADDRESS_CHANGE_MICROS
+                + EndpointListValidity.MAX_DELAY_AFTER_ADDRESS_CHANGE_MICROS
                 - ProcessPause.MARGIN_MICROS;
         assertEquals(end, sendBeforeWithoutLease());
         lease.discoveryAddressChanged(LIST_CONFIRMED_AT + 3 * SECOND);
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointTableTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointTableTest.java
@@ -15,7 +15,7 @@
     private static final long SECOND = 1_000_000;
     private static final long NOW = 100 * SECOND;
 
-    private final EndpointLease lease = new EndpointLease();
+    private final EndpointListValidity lease = new EndpointListValidity();
     private final EndpointTable table = new EndpointTable(lease);
 
     private record SentAttempt(long sentAt) implements InFlightAttempt {
--- a/policy/src/test/java/garnetreel/policy/retry/IdempotencyGuardTest.java
+++ b/policy/src/test/java/garnetreel/policy/retry/IdempotencyGuardTest.java
@@ -9,7 +9,7 @@
 import garnetreel.policy.config.Idempotency;
 import garnetreel.policy.config.RequestClass;
 import garnetreel.policy.endpoint.Endpoint;
-import garnetreel.policy.endpoint.EndpointLease;
+import garnetreel.policy.endpoint.EndpointListValidity;
 import garnetreel.policy.endpoint.EndpointTable;
 import garnetreel.policy.event.EndpointEntry;
 import garnetreel.policy.event.EndpointState;
@@ -23,7 +23,7 @@
     private static final long NOW = 100 * SECOND;
     private static final long MARGIN = 4_000;
 
-    private final EndpointTable table = new EndpointTable(new EndpointLease());
+    private final EndpointTable table = new EndpointTable(new EndpointListValidity());
     private final Endpoint first = endpoint("first", "east", 1);
     private final Endpoint sameShard = endpoint("same-shard", "west", 1);
     private final Endpoint sameZone = endpoint("same-zone", "east", 2);
--- a/testbed/src/main/java/garnetreel/testbed/rules/OneAnswerRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/OneAnswerRule.java
@@ -59,7 +59,7 @@
         requests.forEach((tag, event) -> {
             RequestClass requestClass = run.requestClass(event);
             // A request whose deadline was not reached when the run ended may still be pending.
-            boolean timeUp = requestClass == null || event.time() + requestClass.deadline() + run.transit() < end;
+            boolean timeUp = requestClass == null || event.time() + requestClass.timeLimit() + run.transit() < end;
             if (!ended.containsKey(tag) && timeUp) {
                 findings.recordBreach(Run.requestName(event) + " (" + event.operation() + " of " + event.observer()
                         + ") got no answer by the end of the run");
