--- a/cli/src/main/java/garnetreel/cli/testing/BenchCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/BenchCommand.java
@@ -14,12 +14,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** What the head costs: its throughput and latency against the same front over memory, in one run. */
+/** Compares the throughput and latency of a gateway with those of the same NBD server over memory. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
-        description = "Sends the same NBD load through a head to nodes "
-                + "that cost nothing and to the same front over memory, and prints both.")
+        description = "Sends the same NBD load through a gateway to nodes "
+                + "without processing time and to the same NBD server over memory, and prints both.")
 final class BenchCommand implements Callable<Integer> {
     @Spec
     CommandSpec spec;
@@ -28,29 +28,30 @@
             names = "--seconds",
             paramLabel = "S",
             defaultValue = "1",
-            description = "Measured time a case and side, after half as much to warm up. Default: ${DEFAULT-VALUE}.")
+            description =
+                    "Measured time per case and side, after a warm-up of half that time. Default: ${DEFAULT-VALUE}.")
     double seconds;
 
     @Option(
             names = "--only",
             paramLabel = "TEXT",
             defaultValue = "",
-            description = "Only cases whose name holds this, such as \"4K, 64\".")
+            description = "Runs only the cases whose name contains TEXT, such as \"4K, 64\".")
     String only;
 
     @Option(
             names = "--nodes",
             paramLabel = "N",
             defaultValue = "4",
-            description = "Stand-in nodes. The module has a few requests out at each, whatever it costs. "
-                    + "Default: ${DEFAULT-VALUE}.")
+            description = "Number of fake nodes. The scheduler keeps a few requests outstanding at each, "
+                    + "regardless of its processing time. Default: ${DEFAULT-VALUE}.")
     int nodes;
 
     @Option(
             names = "--soak",
             paramLabel = "MINUTES",
             defaultValue = "0",
-            description = "In place of the cases, load for so long, and what heap and handles come to.")
+            description = "Instead of the cases, applies load for MINUTES and prints the use of heap and file handles.")
     double soak;
 
     @Override
@@ -60,10 +61,10 @@
             GatewayBenchmark.Launcher launcher =
                     (name, machine) -> ServiceProcess.bound(process.run(name, machine), Gateway.NBD);
             if (soak > 0) {
-                SustainedLoad.run(spec.commandLine().getOut(), service.head("127.0.0.1:0"), launcher, soak);
+                SustainedLoad.run(spec.commandLine().getOut(), service.gateway("127.0.0.1:0"), launcher, soak);
             } else {
                 new GatewayBenchmark(spec.commandLine().getOut(), seconds, only)
-                        .run(service.head("127.0.0.1:0"), launcher);
+                        .run(service.gateway("127.0.0.1:0"), launcher);
             }
         }
         return ExitCode.OK;
--- a/cli/src/main/java/garnetreel/cli/testing/DevCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/DevCommand.java
@@ -18,18 +18,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Head, nodes and list in one process, to try the program with. Data is held in memory and gone at the end. */
+/** Runs a gateway, fake nodes and a fake node list in one process, for trials. Data is held in memory only. */
 @Command(
         name = "dev",
         mixinStandardHelpOptions = true,
-        description = "Serves a head with stand-in nodes and list in this process; data is lost at its end.")
+        description = "Runs a gateway, fake nodes and a fake node list in this process; data is lost on exit.")
 final class DevCommand implements Callable<Integer> {
     private static final int NODES = 4;
-    /** The module that takes pushes, and its volume. */
-    private static final Map<String, String> FILES = Map.of("pages", "1GiB");
+    /** Size of the volume of each rsync module, by module name. */
+    private static final Map<String, String> MODULES = Map.of("pages", "1GiB");
 
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
-    private static final Pattern SIZE = Pattern.compile("[0-9]{1,9}(B|KiB|MiB|GiB)");
+    private static final Pattern EXPORT_NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
+    private static final Pattern EXPORT_SIZE = Pattern.compile("[0-9]{1,9}(B|KiB|MiB|GiB)");
 
     @Spec
     CommandSpec spec;
@@ -38,48 +38,48 @@
             names = "--listen",
             paramLabel = "HOST:PORT",
             defaultValue = "127.0.0.1:10809",
-            description = "Where NBD clients connect; port 0 takes a free one. Default: ${DEFAULT-VALUE}.")
+            description = "Address for NBD clients; port 0 selects a free port. Default: ${DEFAULT-VALUE}.")
     String listen;
 
     @Option(
             names = "--rsync-listen",
             paramLabel = "HOST:PORT",
             defaultValue = "127.0.0.1:0",
-            description = "Where rsync clients connect; port 0 takes a free one. Default: ${DEFAULT-VALUE}.")
+            description = "Address for rsync clients; port 0 selects a free port. Default: ${DEFAULT-VALUE}.")
     String rsyncListen;
 
     @Option(
             names = "--export",
             paramLabel = "NAME=SIZE",
-            description = "An export and its size, such as births=64MiB; may be given again. "
+            description = "An export and its size, such as births=64MiB; repeatable. "
                     + "Default: births and marriages of 64MiB each.")
     Map<String, String> exports = new LinkedHashMap<>();
 
     @Override
     public Integer call() throws IOException, SettingsException {
-        check();
+        checkOptions();
         ServiceProcess process = new ServiceProcess();
-        LocalService service = LocalService.start(process, NODES, exports, FILES);
-        GatewaySettings head = service.head(listen);
-        head = head.withFiles(new GatewaySettings.Files(
-                rsyncListen, head.files().modules(), head.files().challengeSecret()));
-        EventLoop driver = process.startGateway(head, null);
-        String address = ServiceProcess.bound(driver, Gateway.NBD);
-        process.drainOnShutdown(driver, service.longestDeadline());
-        for (Volume volume : head.volumes()) {
+        LocalService service = LocalService.start(process, NODES, exports, MODULES);
+        GatewaySettings gateway = service.gateway(listen);
+        gateway = gateway.withFiles(new GatewaySettings.Files(
+                rsyncListen, gateway.files().modules(), gateway.files().challengeSecret()));
+        EventLoop eventLoop = process.startGateway(gateway, null);
+        String address = ServiceProcess.bound(eventLoop, Gateway.NBD);
+        process.drainOnShutdown(eventLoop, service.longestDeadline());
+        for (Volume volume : gateway.volumes()) {
             if (exports.containsKey(volume.name())) {
                 spec.commandLine().getOut().println("ready nbd://" + address + "/" + volume.name());
             }
         }
-        String rsync = ServiceProcess.bound(driver, Gateway.RSYNC);
-        for (GatewaySettings.Module module : head.files().modules()) {
-            spec.commandLine().getOut().println("ready rsync://" + rsync + "/" + module.name());
+        String rsyncAddress = ServiceProcess.bound(eventLoop, Gateway.RSYNC);
+        for (GatewaySettings.Module module : gateway.files().modules()) {
+            spec.commandLine().getOut().println("ready rsync://" + rsyncAddress + "/" + module.name());
         }
         spec.commandLine().getOut().flush();
-        return ServiceProcess.awaitStopped(driver);
+        return ServiceProcess.awaitStopped(eventLoop);
     }
 
-    private void check() {
+    private void checkOptions() {
         try {
             Addresses.parse(listen);
             Addresses.parse(rsyncListen);
@@ -92,14 +92,15 @@
             exports.put("marriages", "64MiB");
         }
         exports.forEach((name, size) -> {
-            if (!NAME.matcher(name).matches()) {
+            if (!EXPORT_NAME.matcher(name).matches()) {
                 throw new CommandLine.ParameterException(
                         spec.commandLine(),
-                        "--export: \"" + name + "\" is no name of letters, digits, dots, dashes and underscores");
+                        "--export: \"" + name
+                                + "\" is not a name of at most 64 letters, digits, dots, dashes and underscores");
             }
-            if (!SIZE.matcher(size).matches()) {
+            if (!EXPORT_SIZE.matcher(size).matches()) {
                 throw new CommandLine.ParameterException(
-                        spec.commandLine(), "--export: \"" + size + "\" is no size such as 64MiB");
+                        spec.commandLine(), "--export: \"" + size + "\" is not a size such as 64MiB");
             }
         });
     }
--- a/cli/src/main/java/garnetreel/cli/testing/LocalService.java
+++ b/cli/src/main/java/garnetreel/cli/testing/LocalService.java
@@ -23,7 +23,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Stand-in nodes that cost nothing and a list in this process, with the settings embedded in the program. */
+/** Fake nodes without processing time and a fake node list in this process, with the settings embedded in the JAR. */
 final class LocalService {
     private final ServiceProcess process;
     private final Settings settings;
@@ -36,36 +36,36 @@
     }
 
     /**
-     * @param nodes how many, each with a shard
-     * @param exports names and sizes, both checked
+     * @param nodes number of nodes, each with one shard
+     * @param exports sizes by export name, both already validated
      */
     static LocalService start(ServiceProcess process, int nodes, Map<String, String> exports)
             throws IOException, SettingsException {
         return start(process, nodes, exports, Map.of());
     }
 
-    /** @param modules names and sizes of modules of files, each on a volume of its own */
+    /** @param modules sizes by name of the rsync modules, each on a volume of its own */
     static LocalService start(
             ServiceProcess process, int nodes, Map<String, String> exports, Map<String, String> modules)
             throws IOException, SettingsException {
         List<Entry> entries = new ArrayList<>();
         for (int shard = 0; shard < nodes; shard++) {
             NodeSettings node = NodeSettings.free("node-" + shard, "127.0.0.1:0", "", shard);
-            EventLoop driver = process.run(node.name(), new FakeNode(node, new MemoryDisk(), Trace.NONE, shard, 1));
-            entries.add(new Entry(ServiceProcess.bound(driver, "node"), node.zone(), shard, State.UP, 1, 0));
+            EventLoop eventLoop = process.run(node.name(), new FakeNode(node, new MemoryDisk(), Trace.NONE, shard, 1));
+            entries.add(new Entry(ServiceProcess.bound(eventLoop, "node"), node.zone(), shard, State.UP, 1, 0));
         }
         EventLoop list = process.run("list", new FakeNodeList("list", "127.0.0.1:0", entries, 0, Trace.NONE));
         Settings settings = Settings.of(HclFile.parse(
                 "dev.hcl",
-                embedded()
-                        + volumes(nodes, exports, 0)
-                        + volumes(nodes, files(modules), exports.size())
-                        + modules(modules)));
+                embeddedSettings()
+                        + volumeBlocks(nodes, exports, 0)
+                        + volumeBlocks(nodes, fileVolumes(modules), exports.size())
+                        + moduleBlocks(modules)));
         return new LocalService(process, settings, ServiceProcess.bound(list, "list"));
     }
 
-    /** What the one head is told. */
-    GatewaySettings head(String listen) {
+    /** Settings of the only gateway. */
+    GatewaySettings gateway(String listen) {
         return settings.gateway(0, process.clock.currentMicros(), listen, list, "");
     }
 
@@ -73,19 +73,19 @@
         return settings.longestDeadline();
     }
 
-    private static String embedded() throws IOException {
+    private static String embeddedSettings() throws IOException {
         try (InputStream in = LocalService.class.getResourceAsStream("/garnetreel/cli/dev.hcl")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    private static Map<String, String> files(Map<String, String> modules) {
+    private static Map<String, String> fileVolumes(Map<String, String> modules) {
         Map<String, String> volumes = new TreeMap<>();
         modules.forEach((name, size) -> volumes.put(name + ".files", size));
         return volumes;
     }
 
-    private static String modules(Map<String, String> modules) {
+    private static String moduleBlocks(Map<String, String> modules) {
         StringBuilder text = new StringBuilder();
         new TreeMap<>(modules).keySet().forEach(name -> text.append("module_of_files \"")
                 .append(name)
@@ -95,10 +95,10 @@
         return text.toString();
     }
 
-    private static String volumes(int nodes, Map<String, String> exports, int before) {
+    private static String volumeBlocks(int nodes, Map<String, String> exports, int lastId) {
         String shards = IntStream.range(0, nodes).mapToObj(Integer::toString).collect(Collectors.joining(", "));
         StringBuilder text = new StringBuilder();
-        int id = before;
+        int id = lastId;
         for (Map.Entry<String, String> export : exports.entrySet()) {
             text.append("volume \"")
                     .append(export.getKey())
--- a/cli/src/main/java/garnetreel/cli/testing/MapLabCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/MapLabCommand.java
@@ -12,17 +12,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The measurements of docs/extent-map.md. */
+/** Runs the measurements of docs/extent-map.md. */
 @Command(
         name = "map-lab",
         mixinStandardHelpOptions = true,
-        description = "Measures extent maps: what moves cost under load "
-                + "by how heads learn of them, bytes of a refresh, recovery of the map service, memory.")
+        description = "Measures extent maps: the cost of migrations under load "
+                + "by how gateways learn of them, bytes of a refresh, recovery of the map service, memory.")
 final class MapLabCommand implements Callable<Integer> {
     @Spec
     CommandSpec spec;
 
-    /** What is measured. */
+    /** The measurements. */
     enum Part {
         MOVES,
         REFRESH,
@@ -30,17 +30,23 @@
         MEMORY
     }
 
-    @Option(names = "--only", paramLabel = "PART", description = "One of ${COMPLETION-CANDIDATES}; all without it.")
+    @Option(
+            names = "--only",
+            paramLabel = "PART",
+            description = "Runs only one of ${COMPLETION-CANDIDATES}; default: all.")
     Part only;
 
-    @Option(names = "--day", paramLabel = "FILE", description = "The day of the moves. Default: days/moves-load.hcl.")
+    @Option(
+            names = "--day",
+            paramLabel = "FILE",
+            description = "Scenario for the migrations. Default: days/moves-load.hcl.")
     Path file;
 
     @Option(
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "3",
-            description = "Days a row. Default: ${DEFAULT-VALUE}.")
+            description = "Scenario runs per row. Default: ${DEFAULT-VALUE}.")
     int seeds;
 
     @Override
@@ -48,23 +54,23 @@
         Path scenario =
                 file == null ? Path.of(System.getProperty("garnetreel.home", "."), "days", "moves-load.hcl") : file;
         MapSizes sizes = new MapSizes(spec.commandLine().getOut());
-        boolean kept = true;
-        if (wanted(Part.MOVES)) {
-            kept = new MovesLab(spec.commandLine().getOut(), ScenarioFile.read(scenario), seeds).run();
+        boolean rulesKept = true;
+        if (isSelected(Part.MOVES)) {
+            rulesKept = new MovesLab(spec.commandLine().getOut(), ScenarioFile.read(scenario), seeds).run();
         }
-        if (wanted(Part.REFRESH)) {
+        if (isSelected(Part.REFRESH)) {
             sizes.refresh();
         }
-        if (wanted(Part.RECOVERY)) {
+        if (isSelected(Part.RECOVERY)) {
             sizes.recovery();
         }
-        if (wanted(Part.MEMORY)) {
+        if (isSelected(Part.MEMORY)) {
             sizes.memory();
         }
-        return kept ? ExitCode.OK : ExitCode.FAILED;
+        return rulesKept ? ExitCode.OK : ExitCode.FAILED;
     }
 
-    private boolean wanted(Part part) {
+    private boolean isSelected(Part part) {
         return only == null || only == part;
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/NodeCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/NodeCommand.java
@@ -20,22 +20,22 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** One stand-in storage node. */
+/** Runs one fake storage node. */
 @Command(
         name = "node",
         mixinStandardHelpOptions = true,
-        description = "Runs one stand-in storage node; its data is lost at its end.")
+        description = "Runs one fake storage node; its data is lost on exit.")
 final class NodeCommand implements Callable<Integer> {
     @Spec
     CommandSpec spec;
 
-    @Parameters(index = "0", paramLabel = "FILE", description = "The settings of the service.")
+    @Parameters(index = "0", paramLabel = "FILE", description = "The settings file of the service.")
     Path file;
 
     @Parameters(index = "1", paramLabel = "NODE", description = "Name of the node.")
     String name;
 
-    @Option(names = "--trace", paramLabel = "FILE", description = "Writes what passes over its sockets.")
+    @Option(names = "--trace", paramLabel = "FILE", description = "Writes a trace of its messages to FILE.")
     Path traceFile;
 
     @Override
@@ -47,20 +47,20 @@
         }
         Trace trace = traceFile == null ? Trace.NONE : new TraceFile(traceFile);
         ServiceProcess process = new ServiceProcess();
-        long life = process.clock.currentMicros();
-        EventLoop driver = process.run(name, new FakeNode(node, new MemoryDisk(), trace, life, life));
-        spec.commandLine().getOut().println("ready node://" + ServiceProcess.bound(driver, "node"));
+        long incarnation = process.clock.currentMicros();
+        EventLoop eventLoop = process.run(name, new FakeNode(node, new MemoryDisk(), trace, incarnation, incarnation));
+        spec.commandLine().getOut().println("ready node://" + ServiceProcess.bound(eventLoop, "node"));
         spec.commandLine().getOut().flush();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> endTrace(process, trace), "end"));
-        return ServiceProcess.awaitStopped(driver);
+        return ServiceProcess.awaitStopped(eventLoop);
     }
 
-    /** Ends the machines, so that the last line of the trace is whole. */
+    /** Stops the state machines first, so that the last line of the trace is complete. */
     static void endTrace(ServiceProcess process, Trace trace) {
         process.close();
-        if (trace instanceof TraceFile whole) {
+        if (trace instanceof TraceFile traceWriter) {
             try {
-                whole.close();
+                traceWriter.close();
             } catch (IOException e) {
                 System.err.println("garnetreel: the trace could not be closed: " + e.getMessage());
             }
--- a/cli/src/main/java/garnetreel/cli/testing/NodeListCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/NodeListCommand.java
@@ -17,19 +17,19 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The stand-in node list. */
+/** Runs the fake node list. */
 @Command(
         name = "nodelist",
         mixinStandardHelpOptions = true,
-        description = "Runs the stand-in node list; nodes register with it and heads follow it.")
+        description = "Runs the fake node list; nodes register with it and gateways subscribe to it.")
 final class NodeListCommand implements Callable<Integer> {
     @Spec
     CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "The settings of the service.")
+    @Parameters(paramLabel = "FILE", description = "The settings file of the service.")
     Path file;
 
-    @Option(names = "--trace", paramLabel = "FILE", description = "Writes what it tells heads.")
+    @Option(names = "--trace", paramLabel = "FILE", description = "Writes a trace of its messages to gateways to FILE.")
     Path traceFile;
 
     @Override
@@ -41,11 +41,11 @@
         }
         Trace trace = traceFile == null ? Trace.NONE : new TraceFile(traceFile);
         ServiceProcess process = new ServiceProcess();
-        EventLoop driver = process.run(
+        EventLoop eventLoop = process.run(
                 "list", new FakeNodeList("list", listen, List.of(), settings.micros("/list/lag", "0s"), trace));
-        spec.commandLine().getOut().println("ready list://" + ServiceProcess.bound(driver, "list"));
+        spec.commandLine().getOut().println("ready list://" + ServiceProcess.bound(eventLoop, "list"));
         spec.commandLine().getOut().flush();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> NodeCommand.endTrace(process, trace), "end"));
-        return ServiceProcess.awaitStopped(driver);
+        return ServiceProcess.awaitStopped(eventLoop);
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/ScenarioCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/ScenarioCommand.java
@@ -27,20 +27,21 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays a scripted scenario and judges it. */
+/** Runs a scenario and prints the verdicts of the rules checker. */
 @Command(
         name = "scenario",
         aliases = "day",
         mixinStandardHelpOptions = true,
         description =
-                "Plays a scenario of load and faults against gateways and fake nodes, and judges the seven rules from "
-                        + "what passed over the sockets. Exits 1 where a rule broke or a read showed the wrong data.")
+                "Runs a scenario of load and faults against gateways and fake nodes, and checks the seven rules on the "
+                        + "recorded messages. Exits 1 if a rule was broken or a read returned wrong data.")
 final class ScenarioCommand implements Callable<Integer> {
-    /** What the checker allows for the way of what was sent: threads of one busy host, and an emulated network. */
+    /** Time that the checker allows for transmission between threads on a busy host, in microseconds. */
     private static final long SOCKET_TRANSIT = 100_000;
 
+    /** Time that the checker allows for transmission on the emulated network, in microseconds. */
     private static final long EMULATED_TRANSIT = 10_000;
-    /** An emulated scenario begins at a fixed time, so that its trace is the same wherever it is played. */
+    /** Fixed start time of emulated scenarios, in microseconds, so that their traces are reproducible. */
     private static final long EMULATED_START = 1_800_000_000_000_000L;
 
     private static final Simulation.Delays DELAYS = new Simulation.Delays(50, 200);
@@ -48,29 +49,30 @@
     @Spec
     CommandSpec spec;
 
-    @Parameters(arity = "0..1", paramLabel = "FILE", description = "The scenario.")
+    @Parameters(arity = "0..1", paramLabel = "FILE", description = "The scenario file.")
     Path file;
 
-    @Option(names = "--list", description = "Names the scenarios that come with the program.")
+    @Option(names = "--list", description = "Lists the scenarios that come with the program.")
     boolean list;
 
-    @Option(names = "--real", description = "Plays on loopback sockets; the default.")
+    @Option(names = "--real", description = "Runs on loopback sockets; the default.")
     boolean real;
 
-    @Option(names = "--emulated", description = "Plays on an emulated network and a virtual clock.")
+    @Option(names = "--emulated", description = "Runs on an emulated network and a virtual clock.")
     boolean emulated;
 
-    @Option(names = "--seed", paramLabel = "N", description = "In place of the seed in the file.")
+    @Option(names = "--seed", paramLabel = "N", description = "Overrides the seed in the file.")
     Long seed;
 
     @Option(
             names = "--repeat",
             paramLabel = "N",
             defaultValue = "1",
-            description = "Plays it N times, with seeds that count up; stops at the first that breaks a rule.")
+            description =
+                    "Runs the scenario N times, with increasing seeds; stops at the first run that breaks a rule.")
     int repeat;
 
-    @Option(names = "--trace", paramLabel = "FILE", description = "Writes the traces as JSON lines.")
+    @Option(names = "--trace", paramLabel = "FILE", description = "Writes the traces to FILE as JSON lines.")
     Path traceFile;
 
     @Override
@@ -81,12 +83,14 @@
         if (file == null || real && emulated) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
-                    file == null ? "a FILE or --list is needed" : "--real and --emulated exclude each other");
+                    file == null
+                            ? "either FILE or --list is required"
+                            : "--real and --emulated are mutually exclusive");
         }
         ScenarioFile scenario = ScenarioFile.read(file);
         long first = seed == null ? scenario.seed() : seed;
-        for (long next = first; next < first + repeat; next++) {
-            if (!play(scenario.scenario(next, emulated ? EMULATED_TRANSIT : SOCKET_TRANSIT))) {
+        for (long runSeed = first; runSeed < first + repeat; runSeed++) {
+            if (!run(scenario.scenario(runSeed, emulated ? EMULATED_TRANSIT : SOCKET_TRANSIT))) {
                 return ExitCode.FAILED;
             }
         }
@@ -94,32 +98,32 @@
     }
 
     private int listScenarios() throws IOException, SettingsException {
-        Path folder = Path.of(System.getProperty("garnetreel.home", "."), "days");
-        try (Stream<Path> files = Files.list(folder)) {
-            for (Path one :
+        Path directory = Path.of(System.getProperty("garnetreel.home", "."), "days");
+        try (Stream<Path> files = Files.list(directory)) {
+            for (Path scenario :
                     files.filter(f -> f.toString().endsWith(".hcl")).sorted().toList()) {
                 spec.commandLine()
                         .getOut()
                         .printf(
                                 "%-32s %s%n",
-                                "days/" + one.getFileName(),
-                                ScenarioFile.read(one).about());
+                                "days/" + scenario.getFileName(),
+                                ScenarioFile.read(scenario).about());
             }
         }
         return ExitCode.OK;
     }
 
-    private boolean play(Scenario scenario) throws IOException {
+    private boolean run(Scenario scenario) throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         out.printf("day %s, seed %d, %s%n", scenario.name(), scenario.seed(), emulated ? "emulated" : "on sockets");
         TraceHash hash = new TraceHash();
-        TraceFile written = traceFile == null ? null : new TraceFile(traceFile);
-        Trace also = event -> {
+        TraceFile traceWriter = traceFile == null ? null : new TraceFile(traceFile);
+        Trace recorder = event -> {
             if (emulated) {
                 hash.add(event);
             }
-            if (written != null) {
-                written.add(event);
+            if (traceWriter != null) {
+                traceWriter.add(event);
             }
         };
         ScenarioRunner.Result result;
@@ -127,17 +131,18 @@
             result = new ScenarioRunner(
                             scenario,
                             new Simulation(EMULATED_START, scenario.seed(), DELAYS),
-                            also,
+                            recorder,
                             UnaryOperator.identity())
                     .run();
         } else {
-            try (SocketEnvironment stage = new SocketEnvironment()) {
-                result =
-                        new ScenarioRunner(scenario, (ScenarioEnvironment) stage, also, UnaryOperator.identity()).run();
+            try (SocketEnvironment environment = new SocketEnvironment()) {
+                result = new ScenarioRunner(
+                                scenario, (ScenarioEnvironment) environment, recorder, UnaryOperator.identity())
+                        .run();
             }
         }
-        if (written != null) {
-            written.close();
+        if (traceWriter != null) {
+            traceWriter.close();
         }
         print(out, result);
         if (emulated) {
@@ -184,30 +189,31 @@
                         ? "data    read back                all that was written"
                         : "data    read back                BROKEN: " + result.unverified()
                                 + " places could not be read");
-        misdirected(out, result);
+        printMigrations(out, result);
     }
 
-    private static void misdirected(PrintWriter out, ScenarioRunner.Result result) {
-        long stale = 0;
-        long arrived = 0;
-        long steps = 0;
+    private static void printMigrations(PrintWriter out, ScenarioRunner.Result result) {
+        long staleReplies = 0;
+        long attempts = 0;
+        long migrations = 0;
         for (TraceEvent event : result.events()) {
-            arrived += event.kind() == TraceEvent.Kind.ARRIVE ? 1 : 0;
-            stale += event.kind() == TraceEvent.Kind.ANSWER && event.outcome().equals("stale") ? 1 : 0;
-            steps += event.kind() == TraceEvent.Kind.MIGRATION_STEP
+            attempts += event.kind() == TraceEvent.Kind.ARRIVE ? 1 : 0;
+            staleReplies +=
+                    event.kind() == TraceEvent.Kind.ANSWER && event.outcome().equals("stale") ? 1 : 0;
+            migrations += event.kind() == TraceEvent.Kind.MIGRATION_STEP
                             && event.operation().equals("serve")
                             && event.outcome().equals("ok")
                     ? 1
                     : 0;
         }
-        if (steps > 0) {
+        if (migrations > 0) {
             out.printf(
                     Locale.ROOT,
                     "moves  %d done, %d of %d attempts misdirected (%.2f per thousand)%n",
-                    steps,
-                    stale,
-                    arrived,
-                    1000.0 * stale / Math.max(1, arrived));
+                    migrations,
+                    staleReplies,
+                    attempts,
+                    1000.0 * staleReplies / Math.max(1, attempts));
         }
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
+++ b/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
@@ -25,10 +25,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A scenario as a settings file: a service, its nodes, the loads on it and the faults of the scenario. */
+/** Reads a scenario from a settings file: the service, its fake nodes, the client loads and the scheduled faults. */
 public final class ScenarioFile {
-    private static final int PAGE = 4096;
-    private static final Set<ScheduledFault.Kind> OF_LIST = Set.of(
+    private static final int BLOCK_BYTES = 4096;
+    private static final Set<ScheduledFault.Kind> WITHOUT_TARGET = Set.of(
             ScheduledFault.Kind.LIST_LAG,
             ScheduledFault.Kind.LIST_FAIL,
             ScheduledFault.Kind.LIST_SILENT,
@@ -41,7 +41,7 @@
     private final Settings settings;
     private final Map<String, NodeSettings> nodes;
     private final List<String> problems = new ArrayList<>();
-    private final List<ScheduledFault> troubles = new ArrayList<>();
+    private final List<ScheduledFault> faults = new ArrayList<>();
     private final List<Scenario.ScriptedCommand> script = new ArrayList<>();
     private final Map<String, JsonNode> loads = new LinkedHashMap<>();
 
@@ -51,36 +51,40 @@
         this.nodes = NodeFile.of(settings);
     }
 
-    /** Reads and checks a scenario. */
+    /** Reads and validates a scenario file. */
     public static ScenarioFile read(Path path) throws SettingsException, IOException {
         String file = String.valueOf(path.getFileName());
         return of(file.replaceFirst("\\.hcl$", ""), Settings.read(path));
     }
 
-    /** Checks settings that were read from a file of that name, without its ending. */
+    /**
+     * Validates settings read from a scenario file.
+     *
+     * @param name name of the file, without its extension
+     */
     public static ScenarioFile of(String name, Settings settings) throws SettingsException {
         ScenarioFile scenario = new ScenarioFile(name, settings);
-        scenario.load();
+        scenario.readAndCheck();
         if (!scenario.problems.isEmpty()) {
             throw new SettingsException(scenario.problems);
         }
         return scenario;
     }
 
-    /** What the file says it is about. */
+    /** The description in the file. */
     public String about() {
         return settings.text("/day/about", "");
     }
 
-    private void check(boolean holds, String path, String problem) {
-        if (!holds) {
+    private void check(boolean valid, String path, String problem) {
+        if (!valid) {
             problems.add(settings.location(path) + problem);
         }
     }
 
-    private void load() {
-        check(!settings.root().path("day").isMissingNode(), "", "lacks the block day");
-        check(!nodes.isEmpty(), "", "lacks a block node");
+    private void readAndCheck() {
+        check(!settings.root().path("day").isMissingNode(), "", "has no block day");
+        check(!nodes.isEmpty(), "", "has no block node");
         settings.root().path("load").fields().forEachRemaining(e -> {
             loads.put(e.getKey(), e.getValue());
             String path = "/load/" + e.getKey();
@@ -88,22 +92,22 @@
             check(
                     settings.volumes().containsKey(volume),
                     path + "/volume",
-                    "names \"" + volume + "\", and there is no such volume");
+                    "names \"" + volume + "\", which is not a defined volume");
             e.getValue()
                     .path("heads")
                     .forEach(h -> check(
                             h.asInt() < settings.heads(),
                             path + "/heads",
-                            "names head " + h.asInt() + ", and there are " + settings.heads()));
+                            "names gateway " + h.asInt() + ", but the number of gateways is " + settings.heads()));
             e.getValue()
                     .path("sizes")
                     .forEach(s -> check(
-                            Quantities.bytes(s.asText()) % PAGE == 0,
+                            Quantities.bytes(s.asText()) % BLOCK_BYTES == 0,
                             path + "/sizes",
-                            "holds " + s + "; multiples of 4KiB are expected"));
+                            "contains " + s + ", which is not a multiple of 4KiB"));
         });
-        check(!loads.isEmpty(), "", "lacks a block load");
-        loadScript();
+        check(!loads.isEmpty(), "", "has no block load");
+        readScript();
         settings.root()
                 .path("folder")
                 .fields()
@@ -112,56 +116,62 @@
                                 .path("module_of_files")
                                 .has(e.getValue().path("module").asText()),
                         "/folder/" + e.getKey() + "/module",
-                        "names a module that there is not"));
-        settings.root().path("trouble").fields().forEachRemaining(e -> troubles.add(trouble(e.getKey(), e.getValue())));
+                        "names a module that is not defined"));
+        settings.root().path("trouble").fields().forEachRemaining(e -> faults.add(readFault(e.getKey(), e.getValue())));
     }
 
-    private ScheduledFault trouble(String label, JsonNode node) {
+    private ScheduledFault readFault(String label, JsonNode node) {
         String path = "/trouble/" + label;
         ScheduledFault.Kind kind = ScheduledFault.Kind.valueOf(
                 node.path("kind").asText().toUpperCase(Locale.ROOT).replace('-', '_'));
-        List<String> onNodes = texts(node.path("nodes"));
-        List<Integer> heads = new ArrayList<>();
-        node.path("heads").forEach(h -> heads.add(h.asInt()));
-        List<String> onLoads = texts(node.path("loads"));
+        List<String> nodeNames = strings(node.path("nodes"));
+        List<Integer> gateways = new ArrayList<>();
+        node.path("heads").forEach(h -> gateways.add(h.asInt()));
+        List<String> loadNames = strings(node.path("loads"));
         if (kind.name().startsWith("NODE")) {
-            check(!onNodes.isEmpty(), path, "lacks \"nodes\"");
+            check(!nodeNames.isEmpty(), path, "lacks \"nodes\"");
         } else if (kind.name().startsWith("HEAD")) {
-            check(!heads.isEmpty(), path, "lacks \"heads\"");
-        } else if (!OF_LIST.contains(kind)) {
-            check(!onLoads.isEmpty(), path, "lacks \"loads\"");
+            check(!gateways.isEmpty(), path, "lacks \"heads\"");
+        } else if (!WITHOUT_TARGET.contains(kind)) {
+            check(!loadNames.isEmpty(), path, "lacks \"loads\"");
         }
-        onNodes.forEach(
-                n -> check(nodes.containsKey(n), path + "/nodes", "names \"" + n + "\", and there is no such node"));
-        heads.forEach(h -> check(
-                h < settings.heads(), path + "/heads", "names head " + h + ", and there are " + settings.heads()));
-        onLoads.forEach(l -> check(
+        nodeNames.forEach(
+                n -> check(nodes.containsKey(n), path + "/nodes", "names \"" + n + "\", which is not a defined node"));
+        gateways.forEach(h -> check(
+                h < settings.heads(),
+                path + "/heads",
+                "names gateway " + h + ", but the number of gateways is " + settings.heads()));
+        loadNames.forEach(l -> check(
                 settings.root().path("load").has(l),
                 path + "/loads",
-                "names \"" + l + "\", and there is no such load"));
+                "names \"" + l + "\", which is not a defined load"));
         return new ScheduledFault(
                 label,
                 kind,
-                onNodes,
-                heads,
-                onLoads,
+                nodeNames,
+                gateways,
+                loadNames,
                 settings.micros(path + "/at", "0s"),
                 settings.micros(path + "/for", "1s"),
                 node.path("amount").asDouble(0));
     }
 
-    private static List<String> texts(JsonNode array) {
-        List<String> texts = new ArrayList<>();
-        array.forEach(t -> texts.add(t.asText()));
-        return texts;
+    private static List<String> strings(JsonNode array) {
+        List<String> strings = new ArrayList<>();
+        array.forEach(t -> strings.add(t.asText()));
+        return strings;
     }
 
-    /** Seed that the file gives. */
+    /** The default seed of the scenario. */
     public long seed() {
         return (long) settings.number("/day/seed", 1);
     }
 
-    /** The scenario. @param transit what the checker allows for the way of what was sent, in microseconds */
+    /**
+     * The scenario with a seed.
+     *
+     * @param transit time that the checker allows for transmission, in microseconds
+     */
     public Scenario scenario(long seed, long transit) {
         return new Scenario(
                 name,
@@ -171,12 +181,16 @@
                 settings.heads(),
                 List.copyOf(nodes.values()),
                 settings.micros("/list/lag", "0s"),
-                place -> settings.gateway(
-                        place.gateway(), place.incarnation(), place.listen(), place.list(), place.map()),
+                parameters -> settings.gateway(
+                        parameters.gateway(),
+                        parameters.incarnation(),
+                        parameters.listen(),
+                        parameters.list(),
+                        parameters.map()),
                 FairQueueScheduler::new,
-                this::loads,
-                this::folders,
-                List.copyOf(troubles),
+                this::nbdLoads,
+                this::rsyncLoads,
+                List.copyOf(faults),
                 new RuleSettings(
                         settings.rules(), settings.volumesById(), settings.classes(), settings.plans(), transit),
                 settings.root().path("map").isMissingNode()
@@ -190,17 +204,17 @@
                                 List.copyOf(script)));
     }
 
-    /** Moves and drains that the file names. */
-    private void loadScript() {
+    /** Reads the migrations and shard drains that the file schedules. */
+    private void readScript() {
         settings.root().path("move").fields().forEachRemaining(e -> {
             String path = "/move/" + e.getKey();
             Volume volume = settings.volumes().get(e.getValue().path("volume").asText());
-            check(volume != null, path + "/volume", "names a volume that there is not");
+            check(volume != null, path + "/volume", "names a volume that is not defined");
             int to = e.getValue().path("to").asInt();
             check(
                     nodes.values().stream().anyMatch(n -> n.shard() == to),
                     path + "/to",
-                    "is " + to + ", and no node has that shard");
+                    "is " + to + ", but no node serves that shard");
             if (volume != null) {
                 script.add(new Scenario.ScriptedCommand(
                         settings.micros(path + "/at", "0s"),
@@ -217,17 +231,17 @@
                                 e.getValue().path("shard").asInt(), true))));
     }
 
-    private List<RsyncLoadSettings> folders(List<String> addresses) {
-        List<RsyncLoadSettings> all = new ArrayList<>();
+    private List<RsyncLoadSettings> rsyncLoads(List<String> addresses) {
+        List<RsyncLoadSettings> rsyncLoads = new ArrayList<>();
         settings.root().path("folder").fields().forEachRemaining(e -> {
             String path = "/folder/" + e.getKey();
-            int head = (int) settings.number(
+            int gateway = (int) settings.number(
                     "/module_of_files/" + e.getValue().path("module").asText() + "/head", 0);
-            all.add(new RsyncLoadSettings(
+            rsyncLoads.add(new RsyncLoadSettings(
                     e.getKey(),
                     e.getValue().path("module").asText(),
-                    head,
-                    addresses.get(head),
+                    gateway,
+                    addresses.get(gateway),
                     (int) settings.number(path + "/files", 10),
                     (int) settings.bytes(path + "/least", "0B"),
                     (int) settings.bytes(path + "/most", "64KiB"),
@@ -236,25 +250,26 @@
                     settings.micros(path + "/start", "0s"),
                     settings.micros(path + "/stop", settings.text("/day/length", "10s"))));
         });
-        return all;
+        return rsyncLoads;
     }
 
-    private List<NbdLoadSettings> loads(List<String> addresses) {
-        Map<String, Integer> sharing = new LinkedHashMap<>();
-        loads.values().forEach(l -> sharing.merge(l.path("volume").asText(), 1, Integer::sum));
-        Map<String, Integer> taken = new LinkedHashMap<>();
-        List<NbdLoadSettings> all = new ArrayList<>();
+    private List<NbdLoadSettings> nbdLoads(List<String> addresses) {
+        Map<String, Integer> loadsPerVolume = new LinkedHashMap<>();
+        loads.values().forEach(l -> loadsPerVolume.merge(l.path("volume").asText(), 1, Integer::sum));
+        Map<String, Integer> loadsPlaced = new LinkedHashMap<>();
+        List<NbdLoadSettings> nbdLoads = new ArrayList<>();
         for (Iterator<Map.Entry<String, JsonNode>> it = loads.entrySet().iterator(); it.hasNext(); ) {
             Map.Entry<String, JsonNode> entry = it.next();
             JsonNode load = entry.getValue();
             String path = "/load/" + entry.getKey();
             Volume volume = settings.volumes().get(load.path("volume").asText());
-            // Each load has a stretch of its volume to itself, so that it knows what a read must show.
-            long stretch = volume.size() / sharing.get(volume.name()) / PAGE * PAGE;
-            int index = taken.merge(volume.name(), 1, Integer::sum) - 1;
-            List<NbdLoadSettings.GatewayAddress> heads = new ArrayList<>();
+            // Each load has a region of its volume to itself, so that it knows the data that a read must return.
+            long regionBytes = volume.size() / loadsPerVolume.get(volume.name()) / BLOCK_BYTES * BLOCK_BYTES;
+            int index = loadsPlaced.merge(volume.name(), 1, Integer::sum) - 1;
+            List<NbdLoadSettings.GatewayAddress> gateways = new ArrayList<>();
             load.path("heads")
-                    .forEach(h -> heads.add(new NbdLoadSettings.GatewayAddress(h.asInt(), addresses.get(h.asInt()))));
+                    .forEach(
+                            h -> gateways.add(new NbdLoadSettings.GatewayAddress(h.asInt(), addresses.get(h.asInt()))));
             List<Integer> sizes = new ArrayList<>();
             load.path("sizes").forEach(s -> sizes.add((int) Quantities.bytes(s.asText())));
             if (sizes.isEmpty()) {
@@ -263,18 +278,18 @@
             RequestClass read = settings.classes().get(volume.readClass());
             RequestClass write = settings.classes().get(volume.writeClass());
             RequestClass flush = settings.classes().get(volume.flushClass());
-            all.add(new NbdLoadSettings(
+            nbdLoads.add(new NbdLoadSettings(
                     entry.getKey(),
                     volume.name(),
                     volume.id(),
-                    heads,
-                    Math.max(heads.size(), load.path("connections").asInt(heads.size())),
+                    gateways,
+                    Math.max(gateways.size(), load.path("connections").asInt(gateways.size())),
                     load.path("rate").asDouble(),
                     load.path("read_share").asDouble(0.5),
                     load.path("flush_share").asDouble(0),
                     sizes,
-                    index * stretch,
-                    stretch,
+                    index * regionBytes,
+                    regionBytes,
                     new Times(read.deadline(), write.deadline(), flush.deadline()),
                     new Times(read.latencyObjective(), write.latencyObjective(), flush.latencyObjective()),
                     load.path("retries").asInt(1),
@@ -282,6 +297,6 @@
                     settings.micros(path + "/start", "0s"),
                     settings.micros(path + "/stop", settings.text("/day/length", "10s"))));
         }
-        return all;
+        return nbdLoads;
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/SocketEnvironment.java
+++ b/cli/src/main/java/garnetreel/cli/testing/SocketEnvironment.java
@@ -9,7 +9,7 @@
 import java.io.UncheckedIOException;
 import java.util.concurrent.locks.LockSupport;
 
-/** Plays a scenario on loopback sockets and the host's clock, all in this process. */
+/** Runs a scenario in this process, on loopback sockets and the system clock. */
 final class SocketEnvironment implements ScenarioEnvironment, AutoCloseable {
     private final ServiceProcess process = new ServiceProcess();
 
@@ -20,24 +20,24 @@
 
     @Override
     public ScenarioEnvironment.RunningProcess launch(
-            String name, StateMachine machine, ScenarioEnvironment.StateStore keeper) {
-        EventLoop driver;
+            String name, StateMachine machine, ScenarioEnvironment.StateStore store) {
+        EventLoop eventLoop;
         try {
-            driver = process.run(name, machine, new EventLoop.DurableStore() {
+            eventLoop = process.run(name, machine, new EventLoop.DurableStore() {
                 @Override
                 public void persist(String state, byte[] data) {
-                    keeper.put(state, data);
+                    store.put(state, data);
                 }
 
                 @Override
                 public void append(long seq, byte[] data, Runnable durable) {
-                    keeper.append(seq, data);
+                    store.append(seq, data);
                     durable.run();
                 }
 
                 @Override
-                public void snapshot(long seq, byte[] data, int kept) {
-                    keeper.snapshot(seq, data, kept);
+                public void snapshot(long seq, byte[] data, int retainedRecords) {
+                    store.snapshot(seq, data, retainedRecords);
                 }
             });
         } catch (IOException e) {
@@ -47,34 +47,34 @@
             @Override
             public String address(String listener) {
                 try {
-                    return ServiceProcess.bound(driver, listener);
+                    return ServiceProcess.bound(eventLoop, listener);
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
             }
 
             @Override
-            public void send(NetEvent.Command order) {
-                driver.submitCommand(order);
+            public void send(NetEvent.Command command) {
+                eventLoop.submitCommand(command);
             }
 
             @Override
             public void stall(long micros) {
-                driver.simulatePause(micros);
+                eventLoop.simulatePause(micros);
             }
 
             @Override
             public void kill() {
-                process.stop(driver);
+                process.stop(eventLoop);
             }
         };
     }
 
     @Override
     public void advance(long until) {
-        long left;
-        while ((left = until - now()) > 0) {
-            LockSupport.parkNanos(left * 1000);
+        long remaining;
+        while ((remaining = until - now()) > 0) {
+            LockSupport.parkNanos(remaining * 1000);
         }
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/TestingMain.java
+++ b/cli/src/main/java/garnetreel/cli/testing/TestingMain.java
@@ -4,11 +4,11 @@
 import garnetreel.cli.testing.soak.FaultSoakCommand;
 import java.util.List;
 
-/** The whole program: the service's commands, and those that try it with stand-ins. Service needs only {@link Main}. */
+/** Program with all commands: those of {@link Main}, which suffices for a service, and those that run test fakes. */
 public final class TestingMain {
     private TestingMain() {}
 
-    /** Runs the command that the arguments name, and exits with its code. */
+    /** Runs the command that the arguments name, and exits with its exit code. */
     public static void main(String[] arguments) {
         System.exit(Main.run(
                 List.of(
--- a/cli/src/main/java/garnetreel/cli/testing/package-info.java
+++ b/cli/src/main/java/garnetreel/cli/testing/package-info.java
@@ -1,2 +1,2 @@
-/** Commands that try the program with the fakes of the test bed; not on the class path of a service. */
+/** Commands that run the program against the fakes of the test bed; not on the class path of a deployed service. */
 package garnetreel.cli.testing;
