--- a/cli/src/main/java/garnetreel/cli/testing/bench/GatewayBenchmark.java
+++ b/cli/src/main/java/garnetreel/cli/testing/bench/GatewayBenchmark.java
@@ -14,34 +14,35 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** The same load through a head to nodes that cost nothing, and to the same front over memory, in turn. */
+/** Compares a gateway in front of nodes without processing time with the same NBD server over memory. */
 public final class GatewayBenchmark {
     private static final int[] SIZES = {4 << 10, 64 << 10};
     private static final int[] CONNECTIONS = {1, 8, 64};
     private static final int[] DEPTHS = {1, 16};
-    private static final double WARM_SECONDS = 3;
+    private static final double WARM_UP_SECONDS = 3;
     private static final double[] PERCENTILES = {50, 90, 99, 99.9, 99.99};
 
-    /** Runs a machine under a name, and gives the address of its NBD listener. */
+    /** Starts state machines. */
     public interface Launcher {
+        /** Starts a state machine under a name and returns the address of its NBD listener. */
         String launch(String name, StateMachine machine) throws IOException;
     }
 
     private final PrintWriter out;
     private final double seconds;
-    private final String only;
+    private final String filter;
     private final ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
-    public GatewayBenchmark(PrintWriter out, double seconds, String only) {
+    public GatewayBenchmark(PrintWriter out, double seconds, String filter) {
         this.out = out;
         this.seconds = seconds;
-        this.only = only;
+        this.filter = filter;
     }
 
-    /** Prints one line a case, then percentiles of each. */
+    /** Prints one row per case, then the latency percentiles of each. */
     public void run(GatewaySettings settings, Launcher launcher) throws IOException {
-        TimedScheduler module = new TimedScheduler(new FairQueueScheduler(settings.scheduling(), 1));
-        String head = launcher.launch("head", new Gateway(settings, module, null, null));
+        TimedScheduler scheduler = new TimedScheduler(new FairQueueScheduler(settings.scheduling(), 1));
+        String gateway = launcher.launch("head", new Gateway(settings, scheduler, null, null));
         String memory = launcher.launch("memory", new InMemoryGateway(settings));
         String export = settings.volumes().get(0).name();
         long size = settings.volumes().get(0).size();
@@ -50,40 +51,41 @@
                         + " | module us a request | module's share of the time | head thread's bytes a request | errors |");
         out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         List<String> percentiles = new ArrayList<>();
-        // Both sides once before anything is measured, or the first cases measure the compiler.
-        for (String side : List.of(memory, head)) {
-            NbdLoad.run(side, export, size, new Case(true, SIZES[0], 2, 16), 0, WARM_SECONDS);
-            NbdLoad.run(side, export, size, new Case(false, SIZES[0], 2, 1), 0, WARM_SECONDS);
+        // Loads both targets before the measurements; otherwise the first cases would include JIT compilation.
+        for (String target : List.of(memory, gateway)) {
+            NbdLoad.run(target, export, size, new Case(true, SIZES[0], 2, 16), 0, WARM_UP_SECONDS);
+            NbdLoad.run(target, export, size, new Case(false, SIZES[0], 2, 1), 0, WARM_UP_SECONDS);
         }
-        for (Case what : cases()) {
-            if (!what.toString().contains(only)) {
+        for (Case benchmarkCase : cases()) {
+            if (!benchmarkCase.toString().contains(filter)) {
                 continue;
             }
-            Outcome base = NbdLoad.run(memory, export, size, what, seconds / 2, seconds);
-            long moduleBefore = module.nanos();
-            long bytesBefore = allocated("head");
-            long began = System.nanoTime();
-            Outcome through = NbdLoad.run(head, export, size, what, seconds / 2, seconds);
-            double taken = System.nanoTime() - began;
-            double moduleTime = module.nanos() - moduleBefore;
-            // Warm-up and end are in these two as well, so they are held against all requests of the whole time.
-            double all = through.rate() * taken / 1e9;
+            Outcome memoryOutcome = NbdLoad.run(memory, export, size, benchmarkCase, seconds / 2, seconds);
+            long schedulerNanosBefore = scheduler.nanos();
+            long bytesBefore = allocatedBytes("head");
+            long start = System.nanoTime();
+            Outcome gatewayOutcome = NbdLoad.run(gateway, export, size, benchmarkCase, seconds / 2, seconds);
+            double elapsedNanos = System.nanoTime() - start;
+            double schedulerNanos = scheduler.nanos() - schedulerNanosBefore;
+            // Both figures include the warm-up and the end of the run, so they are divided by the requests of all
+            // that time.
+            double requests = gatewayOutcome.rate() * elapsedNanos / 1e9;
             out.printf(
                     "| %s | %.0f | %.0f | %.2f | %.0f | %.0f | %.0f | %.1f | %.2f | %.0f | %d |%n",
-                    what,
-                    through.rate(),
-                    base.rate(),
-                    through.rate() / base.rate(),
-                    p(through, 50),
-                    p(base, 50),
-                    p(through, 50) - p(base, 50),
-                    moduleTime / 1e3 / all,
-                    moduleTime / taken,
-                    (allocated("head") - bytesBefore) / all,
-                    through.errors());
+                    benchmarkCase,
+                    gatewayOutcome.rate(),
+                    memoryOutcome.rate(),
+                    gatewayOutcome.rate() / memoryOutcome.rate(),
+                    micros(gatewayOutcome, 50),
+                    micros(memoryOutcome, 50),
+                    micros(gatewayOutcome, 50) - micros(memoryOutcome, 50),
+                    schedulerNanos / 1e3 / requests,
+                    schedulerNanos / elapsedNanos,
+                    (allocatedBytes("head") - bytesBefore) / requests,
+                    gatewayOutcome.errors());
             out.flush();
-            percentiles.add(line(what, "head", through.latency()));
-            percentiles.add(line(what, "memory", base.latency()));
+            percentiles.add(percentileRow(benchmarkCase, "head", gatewayOutcome.latency()));
+            percentiles.add(percentileRow(benchmarkCase, "memory", memoryOutcome.latency()));
         }
         out.println();
         out.println("| case | through | p50 us | p90 us | p99 us | p99.9 us | p99.99 us |");
@@ -106,19 +108,19 @@
         return cases;
     }
 
-    private static double p(Outcome outcome, double percentile) {
+    private static double micros(Outcome outcome, double percentile) {
         return outcome.latency().getValueAtPercentile(percentile) / 1e3;
     }
 
-    private static String line(Case what, String through, Histogram latency) {
-        StringBuilder line = new StringBuilder("| " + what + " | " + through + " |");
+    private static String percentileRow(Case benchmarkCase, String target, Histogram latency) {
+        StringBuilder row = new StringBuilder("| " + benchmarkCase + " | " + target + " |");
         for (double percentile : PERCENTILES) {
-            line.append(String.format(" %.0f |", latency.getValueAtPercentile(percentile) / 1e3));
+            row.append(String.format(" %.0f |", latency.getValueAtPercentile(percentile) / 1e3));
         }
-        return line.toString();
+        return row.toString();
     }
 
-    private long allocated(String thread) {
+    private long allocatedBytes(String thread) {
         for (long id : threads.getAllThreadIds()) {
             var info = threads.getThreadInfo(id);
             if (info != null && info.getThreadName().startsWith(thread + " I/O")) {
--- a/cli/src/main/java/garnetreel/cli/testing/bench/InMemoryGateway.java
+++ b/cli/src/main/java/garnetreel/cli/testing/bench/InMemoryGateway.java
@@ -15,50 +15,50 @@
 import java.util.List;
 import java.util.Map;
 
-/** The NBD front over plain memory, with no module and no node: what a head is measured against. */
+/** The NBD server over memory, without scheduler and nodes: the baseline for measurements of a gateway. */
 final class InMemoryGateway implements StateMachine, BlockBackend {
-    private static final BlockBackend.OperationHandle TICKET = new BlockBackend.OperationHandle() {};
+    private static final BlockBackend.OperationHandle HANDLE = new BlockBackend.OperationHandle() {};
 
     private final GatewaySettings settings;
-    private final ByteBudget room;
-    private final NbdServer front;
+    private final ByteBudget budget;
+    private final NbdServer server;
     private final Map<Long, byte[]> volumes = new HashMap<>();
-    private boolean begun;
+    private boolean listening;
     private long now;
 
     InMemoryGateway(GatewaySettings settings) {
         this.settings = settings;
-        this.room = new ByteBudget(settings.bounds().gatewayBytes());
-        this.front = new NbdServer(settings, this, room);
+        this.budget = new ByteBudget(settings.bounds().gatewayBytes());
+        this.server = new NbdServer(settings, this, budget);
         settings.volumes().forEach(v -> volumes.put(v.id(), new byte[(int) v.size()]));
     }
 
     @Override
-    public void handle(long time, List<NetEvent> events, List<NetAction> actions) {
-        now = time;
-        front.beginTurn(now, actions);
-        if (!begun) {
-            begun = true;
+    public void handle(long currentTime, List<NetEvent> events, List<NetAction> actions) {
+        now = currentTime;
+        server.beginTurn(now, actions);
+        if (!listening) {
+            listening = true;
             actions.add(new NetAction.Listen(Gateway.NBD, settings.nbdAddress()));
         }
         for (NetEvent event : events) {
-            if (event instanceof NetEvent.Received got && front.owns(got.connectionId())) {
-                front.received(got.connectionId(), got.data());
-            } else if (event instanceof NetEvent.Drained drained && front.owns(drained.connectionId())) {
-                front.drained(drained.connectionId(), drained.bytes());
+            if (event instanceof NetEvent.Received received && server.owns(received.connectionId())) {
+                server.received(received.connectionId(), received.data());
+            } else if (event instanceof NetEvent.Drained drained && server.owns(drained.connectionId())) {
+                server.drained(drained.connectionId(), drained.bytes());
             } else if (event instanceof NetEvent.Accepted accepted) {
-                front.accepted(accepted.connectionId(), accepted.peer());
-            } else if (event instanceof NetEvent.Closed closed && front.owns(closed.connectionId())) {
-                front.closed(closed);
+                server.accepted(accepted.connectionId(), accepted.peer());
+            } else if (event instanceof NetEvent.Closed closed && server.owns(closed.connectionId())) {
+                server.closed(closed);
             }
         }
-        front.expire();
-        room.notifyWaiting();
+        server.expire();
+        budget.notifyWaiting();
     }
 
     @Override
     public long nextDeadline() {
-        return begun ? front.nextDeadline() : now;
+        return listening ? server.nextDeadline() : now;
     }
 
     @Override
@@ -70,23 +70,23 @@
             byte[] data,
             boolean sync,
             long tag,
-            BlockBackend.Callback caller) {
+            BlockBackend.Callback callback) {
         byte[] memory = volumes.get(volume.id());
         if (op == Op.READ) {
             byte[] read = new byte[(int) length];
             System.arraycopy(memory, (int) offset, read, 0, read.length);
-            caller.completed(new BlockBackend.Reply(ReplyStatus.SERVED, 0, -1, "", ByteBuffer.wrap(read), List.of()));
+            callback.completed(new BlockBackend.Reply(ReplyStatus.SERVED, 0, -1, "", ByteBuffer.wrap(read), List.of()));
         } else {
             if (op == Op.WRITE) {
                 System.arraycopy(data, 0, memory, (int) offset, data.length);
             }
-            caller.completed(BlockBackend.Reply.done());
+            callback.completed(BlockBackend.Reply.done());
         }
-        return TICKET;
+        return HANDLE;
     }
 
     @Override
-    public void abandon(BlockBackend.OperationHandle ticket) {
-        // Everything is answered in the call that takes it.
+    public void abandon(BlockBackend.OperationHandle handle) {
+        // Nothing to do: each operation completes within submit.
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/bench/NbdLoad.java
+++ b/cli/src/main/java/garnetreel/cli/testing/bench/NbdLoad.java
@@ -19,12 +19,16 @@
 import java.util.concurrent.Future;
 import org.HdrHistogram.Histogram;
 
-/** A closed loop of NBD requests: so many connections, so many out on each, for a time. Simple replies only. */
+/** Closed-loop NBD load: a fixed number of connections and outstanding requests. Supports simple replies only. */
 final class NbdLoad {
-    private static final long HIGHEST_NANOS = 60_000_000_000L;
-    private static final int DIGITS = 3;
+    private static final long MAX_LATENCY_NANOS = 60_000_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    /** What is asked. */
+    /**
+     * Parameters of the load.
+     *
+     * @param depth outstanding requests per connection
+     */
     record Case(boolean write, int size, int connections, int depth) {
         @Override
         public String toString() {
@@ -32,7 +36,7 @@
         }
     }
 
-    /** What came of it; latencies in nanoseconds. */
+    /** Results of a run; latencies in nanoseconds. */
     record Outcome(long requests, double seconds, Histogram latency, long errors) {
         double rate() {
             return requests / seconds;
@@ -41,25 +45,25 @@
 
     private NbdLoad() {}
 
-    static Outcome run(String address, String export, long size, Case what, double warmSeconds, double seconds)
+    static Outcome run(String address, String export, long size, Case load, double warmUpSeconds, double seconds)
             throws IOException {
-        ExecutorService threads = Executors.newFixedThreadPool(what.connections());
+        ExecutorService threads = Executors.newFixedThreadPool(load.connections());
         try {
-            long from = System.nanoTime() + (long) (warmSeconds * 1e9);
-            long to = from + (long) (seconds * 1e9);
-            List<Future<Outcome>> all = new ArrayList<>();
-            for (int i = 0; i < what.connections(); i++) {
+            long start = System.nanoTime() + (long) (warmUpSeconds * 1e9);
+            long end = start + (long) (seconds * 1e9);
+            List<Future<Outcome>> connections = new ArrayList<>();
+            for (int i = 0; i < load.connections(); i++) {
                 int seed = i;
-                all.add(threads.submit(() -> connection(address, export, size, what, from, to, seed)));
+                connections.add(threads.submit(() -> runConnection(address, export, size, load, start, end, seed)));
             }
             long requests = 0;
             long errors = 0;
-            Histogram latency = new Histogram(HIGHEST_NANOS, DIGITS);
-            for (Future<Outcome> one : all) {
-                Outcome part = one.get();
-                requests += part.requests();
-                errors += part.errors();
-                latency.add(part.latency());
+            Histogram latency = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
+            for (Future<Outcome> connection : connections) {
+                Outcome outcome = connection.get();
+                requests += outcome.requests();
+                errors += outcome.errors();
+                latency.add(outcome.latency());
             }
             return new Outcome(requests, seconds, latency, errors);
         } catch (ExecutionException e) {
@@ -72,22 +76,22 @@
         }
     }
 
-    private static Outcome connection(String address, String export, long size, Case what, long from, long to, int seed)
-            throws IOException {
-        Histogram latency = new Histogram(HIGHEST_NANOS, DIGITS);
+    private static Outcome runConnection(
+            String address, String export, long size, Case load, long start, long end, int seed) throws IOException {
+        Histogram latency = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
         SplittableRandom random = new SplittableRandom(seed);
-        long[] sentAt = new long[what.depth()];
-        byte[] payload = new byte[what.size()];
+        long[] sentAt = new long[load.depth()];
+        byte[] payload = new byte[load.size()];
         random.nextBytes(payload);
-        ByteBuffer request = ByteBuffer.allocate(28 + (what.write() ? what.size() : 0));
-        if (what.write()) {
+        ByteBuffer request = ByteBuffer.allocate(28 + (load.write() ? load.size() : 0));
+        if (load.write()) {
             request.position(28).put(payload);
         }
-        byte[] sink = new byte[what.size()];
+        byte[] readData = new byte[load.size()];
         long requests = 0;
         long errors = 0;
-        InetSocketAddress where = Addresses.parse(address);
-        try (Socket socket = new Socket(where.getAddress(), where.getPort())) {
+        InetSocketAddress socketAddress = Addresses.parse(address);
+        try (Socket socket = new Socket(socketAddress.getAddress(), socketAddress.getPort())) {
             socket.setTcpNoDelay(true);
             DataInputStream in = new DataInputStream(new BufferedInputStream(socket.getInputStream(), 1 << 17));
             OutputStream out = socket.getOutputStream();
@@ -100,27 +104,27 @@
                     .put(name)
                     .array());
             in.readFully(new byte[18 + 10]);
-            for (int slot = 0; slot < what.depth(); slot++) {
-                send(out, request, what, size, random, slot, sentAt);
+            for (int slot = 0; slot < load.depth(); slot++) {
+                send(out, request, load, size, random, slot, sentAt);
             }
-            int open = what.depth();
-            while (open > 0) {
+            int outstanding = load.depth();
+            while (outstanding > 0) {
                 in.readInt();
                 int error = in.readInt();
                 int slot = (int) in.readLong();
-                if (!what.write() && error == 0) {
-                    in.readFully(sink);
+                if (!load.write() && error == 0) {
+                    in.readFully(readData);
                 }
                 long now = System.nanoTime();
                 errors += error != 0 ? 1 : 0;
-                if (now >= from && now < to) {
+                if (now >= start && now < end) {
                     requests++;
-                    latency.recordValue(Math.min(HIGHEST_NANOS, now - sentAt[slot]));
+                    latency.recordValue(Math.min(MAX_LATENCY_NANOS, now - sentAt[slot]));
                 }
-                if (now < to) {
-                    send(out, request, what, size, random, slot, sentAt);
+                if (now < end) {
+                    send(out, request, load, size, random, slot, sentAt);
                 } else {
-                    open--;
+                    outstanding--;
                 }
             }
             out.write(
@@ -139,20 +143,20 @@
     private static void send(
             OutputStream out,
             ByteBuffer request,
-            Case what,
+            Case load,
             long size,
             SplittableRandom random,
             int slot,
             long[] sentAt)
             throws IOException {
-        long offset = random.nextLong(size / what.size()) * what.size();
+        long offset = random.nextLong(size / load.size()) * load.size();
         request.clear()
                 .putInt(Nbd.REQUEST_MAGIC)
                 .putShort((short) 0)
-                .putShort((short) (what.write() ? Nbd.CMD_WRITE : Nbd.CMD_READ))
+                .putShort((short) (load.write() ? Nbd.CMD_WRITE : Nbd.CMD_READ))
                 .putLong(slot)
                 .putLong(offset)
-                .putInt(what.size());
+                .putInt(load.size());
         sentAt[slot] = System.nanoTime();
         out.write(request.array());
     }
--- a/cli/src/main/java/garnetreel/cli/testing/bench/TimedScheduler.java
+++ b/cli/src/main/java/garnetreel/cli/testing/bench/TimedScheduler.java
@@ -6,24 +6,24 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Counts the time that the module takes. */
+/** Measures the time that a scheduler takes for its decisions. */
 public final class TimedScheduler implements Scheduler {
-    private final Scheduler inner;
+    private final Scheduler delegate;
     private final AtomicLong nanos = new AtomicLong();
 
-    public TimedScheduler(Scheduler inner) {
-        this.inner = inner;
+    public TimedScheduler(Scheduler delegate) {
+        this.delegate = delegate;
     }
 
     @Override
     public List<SchedulerAction> decide(long now, List<? extends SchedulerEvent> events) {
-        long began = System.nanoTime();
-        List<SchedulerAction> actions = inner.decide(now, events);
-        nanos.lazySet(nanos.get() + System.nanoTime() - began);
+        long start = System.nanoTime();
+        List<SchedulerAction> actions = delegate.decide(now, events);
+        nanos.lazySet(nanos.get() + System.nanoTime() - start);
         return actions;
     }
 
-    /** Nanoseconds so far. */
+    /** Total time so far, in nanoseconds. */
     public long nanos() {
         return nanos.get();
     }
--- a/cli/src/main/java/garnetreel/cli/testing/bench/package-info.java
+++ b/cli/src/main/java/garnetreel/cli/testing/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of what a gateway costs over sockets. */
+/** Benchmarks of a gateway over sockets. */
 package garnetreel.cli.testing.bench;
--- a/cli/src/main/java/garnetreel/cli/testing/lab/MapSizes.java
+++ b/cli/src/main/java/garnetreel/cli/testing/lab/MapSizes.java
@@ -26,12 +26,13 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 
-/** What maps come to: bytes of a refresh, time of a recovery, memory. */
+/** Measures extent maps: size and time of a refresh, time of a recovery, memory use. */
 public final class MapSizes {
     private static final int[] EXTENTS = {1_000, 100_000, 1_000_000};
     private static final int[] RECORDS = {1_000, 10_000, 50_000};
     private static final List<Integer> SHARDS = List.of(0, 1, 2, 3, 4, 5, 6, 7);
-    private static final int WARM = 5;
+    /** Repetitions of each measurement, of which the first ones warm up the JVM. */
+    private static final int RUNS = 5;
 
     private final PrintWriter out;
 
@@ -39,32 +40,32 @@
         this.out = out;
     }
 
-    /** A volume whose every extent has moved: the largest a map can be. */
-    private static Whole moved(int extents) {
-        List<Moved> all = new ArrayList<>(extents);
+    /** The map of a volume of which every extent has moved, which is the largest map. */
+    private static Whole fullyMovedMap(int extents) {
+        List<Moved> moved = new ArrayList<>(extents);
         for (int i = 0; i < extents; i++) {
-            all.add(new Moved(i, (i + 3) % SHARDS.size(), i + 2L));
+            moved.add(new Moved(i, (i + 3) % SHARDS.size(), i + 2L));
         }
-        return new Whole(1, extents + 1L, List.of(new VolumeMap(1, extents, 1 << 20, SHARDS, all)));
+        return new Whole(1, extents + 1L, List.of(new VolumeMap(1, extents, 1 << 20, SHARDS, moved)));
     }
 
-    /** Bytes and time of a refresh, by delta of one and of a hundred changes and whole. */
+    /** Measures a refresh by one change, by 100 changes and by the full map: bytes and time. */
     public void refresh() throws IOException {
         out.println(
                 "| extents, all moved | one change, bytes | 100 changes, bytes | whole, bytes | whole over 100 changes | "
                         + "following one change, us | taking the whole, us |");
         out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int extents : EXTENTS) {
-            Whole whole = moved(extents);
+            Whole whole = fullyMovedMap(extents);
             long wholeBytes = MapCodec.frame(whole).remaining();
             long one = MapCodec.frame(changes(extents, 1)).remaining();
             long hundred = MapCodec.frame(changes(extents, 100)).remaining();
-            double takeWhole = 0;
-            double takeOne = 0;
-            for (int run = 0; run < WARM; run++) {
+            double wholeMicros = 0;
+            double oneMicros = 0;
+            for (int run = 0; run < RUNS; run++) {
                 MapCache cache = new MapCache();
-                takeWhole = time(() -> cache.apply((Whole) read(MapCodec.frame(whole))));
-                takeOne = time(() -> cache.apply((Changes) read(MapCodec.frame(changes(extents, 1)))));
+                wholeMicros = timeMicros(() -> cache.apply((Whole) read(MapCodec.frame(whole))));
+                oneMicros = timeMicros(() -> cache.apply((Changes) read(MapCodec.frame(changes(extents, 1)))));
             }
             out.printf(
                     Locale.ROOT,
@@ -74,19 +75,19 @@
                     hundred,
                     wholeBytes,
                     (double) wholeBytes / hundred,
-                    takeOne,
-                    takeWhole);
+                    oneMicros,
+                    wholeMicros);
             out.flush();
         }
     }
 
     private static Changes changes(int extents, int count) {
         List<Change> list = new ArrayList<>();
-        long held = extents + 1L;
+        long version = extents + 1L;
         for (int i = 1; i <= count; i++) {
-            list.add(new Change(1, (long) i * 7919 % extents, i % SHARDS.size(), held + i));
+            list.add(new Change(1, (long) i * 7919 % extents, i % SHARDS.size(), version + i));
         }
-        return new Changes(1, held, held + count, list);
+        return new Changes(1, version, version + count, list);
     }
 
     private static MapMessage read(ByteBuffer frame) {
@@ -99,13 +100,13 @@
         }
     }
 
-    private static double time(Runnable what) {
+    private static double timeMicros(Runnable action) {
         long from = System.nanoTime();
-        what.run();
+        action.run();
         return (System.nanoTime() - from) / 1e3;
     }
 
-    /** Time from a killed service to its state, by how many transactions its journal holds, and with a snapshot. */
+    /** Measures the recovery time of the map state by transactions in the journal, without and with a snapshot. */
     public void recovery() throws IOException {
         out.println(
                 "| transactions | moved extents | journal, KiB | opening and applying all, ms | with a snapshot, KiB | ms |");
@@ -113,120 +114,120 @@
         for (int records : RECORDS) {
             Path directory = Files.createTempDirectory("garnetreel-map-lab");
             Path file = directory.resolve("map.journal");
-            Whole begin = new Whole(1, 1, List.of(new VolumeMap(1, 100_000, 1 << 20, SHARDS, List.of())));
-            MapState state = new MapState(begin);
+            Whole initial = new Whole(1, 1, List.of(new VolumeMap(1, 100_000, 1 << 20, SHARDS, List.of())));
+            MapState state = new MapState(initial);
             try (Journal journal = new Journal(file)) {
                 SplittableRandom random = new SplittableRandom(records);
                 while (state.seq() < records) {
-                    oneMove(state, random, journal);
+                    appendMigration(state, random, journal);
                 }
             }
             long bytes = Files.size(file) >> 10;
-            double plain = recover(file, begin, state);
+            double withoutSnapshot = recoveryMillis(file, initial, state);
             try (Journal journal = new Journal(file)) {
                 journal.snapshot(state.seq(), state.snapshot(), MapState.HISTORY_LIMIT);
             }
             long snapshotBytes = Files.size(file) >> 10;
-            double snapshot = recover(file, begin, state);
+            double withSnapshot = recoveryMillis(file, initial, state);
             out.printf(
                     Locale.ROOT,
                     "| %d | %d | %d | %.0f | %d | %.0f |%n",
                     state.seq(),
                     state.map(1).toMessage().moved().size(),
                     bytes,
-                    plain,
+                    withoutSnapshot,
                     snapshotBytes,
-                    snapshot);
+                    withSnapshot);
             out.flush();
             Files.delete(file);
             Files.delete(directory);
         }
     }
 
-    private static void oneMove(MapState state, SplittableRandom random, Journal journal) throws IOException {
+    private static void appendMigration(MapState state, SplittableRandom random, Journal journal) throws IOException {
         long extent = random.nextLong(100_000);
         int to = random.nextInt(SHARDS.size());
         if (state.map(1).shard(extent) == to) {
             return;
         }
-        Migration move = state.newMigration(1, extent, to);
+        Migration migration = state.newMigration(1, extent, to);
         for (Migration.State next : List.of(
                 Migration.State.COPYING, Migration.State.FENCING, Migration.State.SWITCHED, Migration.State.DONE)) {
             Transaction t = state.migrationTransaction(
                     new Migration(
-                            move.id(),
-                            move.volume(),
-                            move.extent(),
-                            move.from(),
-                            move.to(),
-                            move.oldVersion(),
-                            move.newVersion(),
+                            migration.id(),
+                            migration.volume(),
+                            migration.extent(),
+                            migration.from(),
+                            migration.to(),
+                            migration.oldVersion(),
+                            migration.newVersion(),
                             next),
                     "lab",
                     state.seq(),
                     "measured");
             journal.append(t.seq(), t.bytes());
             state.apply(t);
-            move = t.migration();
+            migration = t.migration();
         }
     }
 
-    private static double recover(Path file, Whole begin, MapState expected) throws IOException {
-        double best = Double.MAX_VALUE;
-        for (int run = 0; run < WARM; run++) {
+    private static double recoveryMillis(Path file, Whole initial, MapState expected) throws IOException {
+        double fastest = Double.MAX_VALUE;
+        for (int run = 0; run < RUNS; run++) {
             long from = System.nanoTime();
             try (Journal journal = new Journal(file)) {
-                Journal.Contents kept = journal.contents();
-                MapState state = MapState.recover(begin, kept.snapshot(), kept.records());
-                best = Math.min(best, (System.nanoTime() - from) / 1e6);
+                Journal.Contents contents = journal.contents();
+                MapState state = MapState.recover(initial, contents.snapshot(), contents.records());
+                fastest = Math.min(fastest, (System.nanoTime() - from) / 1e6);
                 if (state.seq() != expected.seq() || !state.mapSnapshot().equals(expected.mapSnapshot())) {
-                    throw new IllegalStateException("recovered another state than was kept");
+                    throw new IllegalStateException("recovered state differs from the state in the journal");
                 }
             }
         }
-        return best;
+        return fastest;
     }
 
-    /** Heap that a map holds, over an empty one. */
+    /** Measures the heap that a map occupies. */
     public void memory() {
         out.println("| extents | moved | MiB held | bytes an extent |");
         out.println("| --- | --- | --- | --- |");
         for (int extents : EXTENTS) {
-            for (double share : new double[] {0, 0.01, 1}) {
-                long before = heap();
-                ExtentMap map = partly(extents, share);
-                long held = heap() - before;
+            for (double movedShare : new double[] {0, 0.01, 1}) {
+                long before = usedHeap();
+                ExtentMap map = partlyMovedMap(extents, movedShare);
+                long heldBytes = usedHeap() - before;
                 out.printf(
                         Locale.ROOT,
                         "| %d | %.0f%% | %.2f | %.1f |%n",
                         map.extents(),
-                        100 * share,
-                        held / 1048576.0,
-                        (double) held / extents);
+                        100 * movedShare,
+                        heldBytes / 1048576.0,
+                        (double) heldBytes / extents);
                 out.flush();
             }
         }
     }
 
-    private static ExtentMap partly(int extents, double share) {
+    private static ExtentMap partlyMovedMap(int extents, double movedShare) {
         SplittableRandom random = new SplittableRandom(extents);
         List<Change> changes = new ArrayList<>();
         for (int i = 0; i < extents; i++) {
-            if (random.nextDouble() < share) {
+            if (random.nextDouble() < movedShare) {
                 changes.add(new Change(1, i, i % 5, i + 2L));
             }
         }
         return ExtentMap.of(1, extents, 1 << 20, SHARDS).with(changes);
     }
 
-    private static long heap() {
-        long least = Long.MAX_VALUE;
-        for (int i = 0; i < WARM; i++) {
+    private static long usedHeap() {
+        long smallest = Long.MAX_VALUE;
+        for (int i = 0; i < RUNS; i++) {
             System.gc();
-            least = Math.min(
-                    least,
+            smallest = Math.min(
+                    smallest,
                     ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
         }
-        return least;
+        return smallest;
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/lab/MovesLab.java
+++ b/cli/src/main/java/garnetreel/cli/testing/lab/MovesLab.java
@@ -21,45 +21,49 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The same scenario of load played with no moves, with gateways that ask for the map when a node says they are wrong, and with
- * gateways that follow the map service; emulated, so that a row differs from another by that alone.
+ * Measures the cost of migrations: runs the same scenario without migrations, with gateways that request the map after
+ * a stale answer of a node, and with gateways that subscribe to the map service. The runs are emulated, so that the
+ * rows differ by that alone.
  *
- * <p>All moves are of the first volume, so that the others show what moves cost those who are not concerned.
+ * <p>All migrations are of the first volume, so that the other volumes show the cost for requests that are not
+ * affected.
  */
 public final class MovesLab {
+    /** Fixed start time of the emulated scenarios, in microseconds. */
     private static final long START = 1_800_000_000_000_000L;
+    /** Time that the checker allows for transmission, in microseconds. */
     private static final long TRANSIT = 10_000;
-    /** A stale answer so long after a switch is of another move. */
-    private static final long BELONGS = 10_000_000;
+    /** A stale answer later than this after a switch belongs to another migration; in microseconds. */
+    private static final long ATTRIBUTION_LIMIT = 10_000_000;
 
-    private enum Way {
-        NO_MOVES("fixed rule, no moves"),
-        ON_STALE("asked for after a stale answer"),
-        FOLLOWING("subscription");
+    private enum Variant {
+        NO_MIGRATIONS("fixed rule, no moves"),
+        REFRESH_AFTER_STALE("asked for after a stale answer"),
+        SUBSCRIPTION("subscription");
 
-        final String words;
+        final String label;
 
-        Way(String words) {
-            this.words = words;
+        Variant(String label) {
+            this.label = label;
         }
     }
 
-    /** Sums over the scenarios of one row. */
+    /** Sums over the runs of one row. */
     private static final class Row {
-        long moves;
-        long arrived;
+        long migrations;
+        long attempts;
         long stale;
-        long asked;
-        long undone;
+        long requests;
+        long notServed;
         long late;
-        long broken;
-        final Histogram before = new Histogram(3);
-        final Histogram during = new Histogram(3);
-        final Histogram untilLast = new Histogram(3);
-        final Histogram moved = new Histogram(3);
+        long brokenRules;
+        final Histogram othersBefore = new Histogram(3);
+        final Histogram othersDuring = new Histogram(3);
+        final Histogram lastStaleDelay = new Histogram(3);
+        final Histogram movedVolumeDuring = new Histogram(3);
     }
 
-    private record Spot(long volume, long extent) {}
+    private record ExtentKey(long volume, long extent) {}
 
     private final PrintWriter out;
     private final ScenarioFile file;
@@ -71,7 +75,7 @@
         this.seeds = seeds;
     }
 
-    /** Prints a line a way; false where a rule broke. */
+    /** Prints one row per variant; returns false if a rule was broken. */
     public boolean run() {
         out.println("Emulated, " + seeds + " seeds a row; times in milliseconds.");
         out.println(
@@ -79,12 +83,12 @@
                         + "others p99 before | during | moved volume p99 during | moves with a misdirected request | "
                         + "switch to the last: p50 | p99 | most | rules |");
         out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        boolean kept = true;
-        for (Way way : Way.values()) {
+        boolean rulesKept = true;
+        for (Variant variant : Variant.values()) {
             Row row = new Row();
             for (long seed = 1; seed <= seeds; seed++) {
-                Scenario scenario = scenario(way, seed);
-                add(
+                Scenario scenario = scenario(variant, seed);
+                addResult(
                         row,
                         scenario,
                         new ScenarioRunner(
@@ -94,42 +98,42 @@
                                         UnaryOperator.identity())
                                 .run());
             }
-            kept &= row.broken == 0;
+            rulesKept &= row.brokenRules == 0;
             out.printf(
                     Locale.ROOT,
                     "| %s | %d | %d | %.2f | %d | %d | %.2f | %.1f | %.1f | %.1f | %d | %.1f | %.1f | %.1f | %s |%n",
-                    way.words,
-                    row.moves,
-                    row.arrived,
-                    1000.0 * row.stale / row.arrived,
-                    row.asked,
-                    row.undone,
-                    100.0 * row.late / row.asked,
-                    ms(row.before, 99),
-                    ms(row.during, 99),
-                    ms(row.moved, 99),
-                    row.untilLast.getTotalCount(),
-                    ms(row.untilLast, 50),
-                    ms(row.untilLast, 99),
-                    row.untilLast.getMaxValue() / 1e3,
-                    row.broken == 0 ? "kept" : row.broken + " broken");
+                    variant.label,
+                    row.migrations,
+                    row.attempts,
+                    1000.0 * row.stale / row.attempts,
+                    row.requests,
+                    row.notServed,
+                    100.0 * row.late / row.requests,
+                    millis(row.othersBefore, 99),
+                    millis(row.othersDuring, 99),
+                    millis(row.movedVolumeDuring, 99),
+                    row.lastStaleDelay.getTotalCount(),
+                    millis(row.lastStaleDelay, 50),
+                    millis(row.lastStaleDelay, 99),
+                    row.lastStaleDelay.getMaxValue() / 1e3,
+                    row.brokenRules == 0 ? "kept" : row.brokenRules + " broken");
             out.flush();
         }
-        return kept;
+        return rulesKept;
     }
 
-    private static double ms(Histogram histogram, double percentile) {
+    private static double millis(Histogram histogram, double percentile) {
         return histogram.getValueAtPercentile(percentile) / 1e3;
     }
 
-    private Scenario scenario(Way way, long seed) {
+    private Scenario scenario(Variant variant, long seed) {
         Scenario scenario = file.scenario(seed, TRANSIT);
         Scenario.MapScenario map = scenario.map();
         VolumeMap volume = map.initialMaps().volumes().get(0);
         SplittableRandom random = new SplittableRandom(seed);
         List<Integer> shards = scenario.nodes().stream().map(n -> n.shard()).toList();
         List<Scenario.ScriptedCommand> script = new ArrayList<>();
-        for (int i = 0; i < map.migrations() && way != Way.NO_MOVES; i++) {
+        for (int i = 0; i < map.migrations() && variant != Variant.NO_MIGRATIONS; i++) {
             script.add(new Scenario.ScriptedCommand(
                     map.migrationsStart() + map.migrationsDuration() * i / map.migrations(),
                     new MapService.MigrateCommand(
@@ -140,35 +144,37 @@
         return scenario.withMap(new Scenario.MapScenario(
                         map.settings(), map.initialMaps(), 0, map.migrationsStart(), map.migrationsDuration(), script))
                 .withGateways(
-                        place -> following(scenario.gatewaySettings().apply(place), way != Way.ON_STALE),
+                        parameters -> withSubscription(
+                                scenario.gatewaySettings().apply(parameters), variant != Variant.REFRESH_AFTER_STALE),
                         scenario.scheduler());
     }
 
-    private static GatewaySettings following(GatewaySettings s, boolean follow) {
-        GatewaySettings.ConnectionSettings l = s.connections();
+    private static GatewaySettings withSubscription(GatewaySettings settings, boolean subscribe) {
+        GatewaySettings.ConnectionSettings connections = settings.connections();
         return new GatewaySettings(
-                s.gatewayNumber(),
-                s.incarnation(),
-                s.nbdAddress(),
-                s.nodeListAddress(),
-                s.mapServiceAddress(),
-                s.scheduling(),
-                s.volumes(),
-                s.replyMargin(),
-                s.bounds(),
+                settings.gatewayNumber(),
+                settings.incarnation(),
+                settings.nbdAddress(),
+                settings.nodeListAddress(),
+                settings.mapServiceAddress(),
+                settings.scheduling(),
+                settings.volumes(),
+                settings.replyMargin(),
+                settings.bounds(),
                 new GatewaySettings.ConnectionSettings(
-                        l.maxPerNode(),
-                        l.maxAttempts(),
-                        l.idleTimeout(),
-                        l.connectTimeout(),
-                        l.nodeListCallTimeout(),
-                        l.silenceTimeout(),
-                        follow),
-                s.files());
+                        connections.maxPerNode(),
+                        connections.maxAttempts(),
+                        connections.idleTimeout(),
+                        connections.connectTimeout(),
+                        connections.nodeListCallTimeout(),
+                        connections.silenceTimeout(),
+                        subscribe),
+                settings.files());
     }
 
-    private static void add(Row row, Scenario scenario, ScenarioRunner.Result result) {
-        row.broken += result.verdicts().stream().filter(v -> !v.isKept()).count() + (result.unverified() > 0 ? 1 : 0);
+    private static void addResult(Row row, Scenario scenario, ScenarioRunner.Result result) {
+        row.brokenRules +=
+                result.verdicts().stream().filter(v -> !v.isKept()).count() + (result.unverified() > 0 ? 1 : 0);
         Map<Long, Integer> extentBytes = new HashMap<>();
         scenario.map().initialMaps().volumes().forEach(v -> extentBytes.put(v.volume(), v.extentBytes()));
         long movedVolume = scenario.map().initialMaps().volumes().get(0).volume();
@@ -179,62 +185,64 @@
                 .orElse(0);
         long from = begin + scenario.map().migrationsStart();
         long to = from + scenario.map().migrationsDuration();
-        Map<Long, Long> asked = new HashMap<>();
-        Map<Spot, Long> switched = new HashMap<>();
-        Map<Spot, Long> last = new HashMap<>();
+        Map<Long, Long> requestTimes = new HashMap<>();
+        Map<ExtentKey, Long> switchTimes = new HashMap<>();
+        Map<ExtentKey, Long> lastStaleDelays = new HashMap<>();
         List<TraceEvent> events = new ArrayList<>(result.events());
         events.sort(java.util.Comparator.comparingLong(TraceEvent::time));
         for (TraceEvent e : events) {
             switch (e.kind()) {
-                case REQUEST -> asked.put(e.tag(), e.time());
-                case REPLY -> reply(row, e, asked.getOrDefault(e.tag(), e.time()), movedVolume, begin, from, to);
-                case ARRIVE -> row.arrived++;
+                case REQUEST -> requestTimes.put(e.tag(), e.time());
+                case REPLY -> addReply(
+                        row, e, requestTimes.getOrDefault(e.tag(), e.time()), movedVolume, begin, from, to);
+                case ARRIVE -> row.attempts++;
                 case MIGRATION_STEP -> {
                     if (e.operation().equals("serve") && e.outcome().equals("ok")) {
-                        row.moves++;
-                        Spot spot = new Spot(e.volume(), e.key());
-                        note(row, last.remove(spot));
-                        switched.put(spot, e.time());
+                        row.migrations++;
+                        ExtentKey extent = new ExtentKey(e.volume(), e.key());
+                        recordDelay(row, lastStaleDelays.remove(extent));
+                        switchTimes.put(extent, e.time());
                     }
                 }
                 case ANSWER -> {
                     if (e.outcome().equals("stale")) {
                         row.stale++;
-                        Spot spot = new Spot(e.volume(), e.offset() / extentBytes.get(e.volume()));
-                        long since = e.time() - switched.getOrDefault(spot, Long.MIN_VALUE / 2);
-                        if (since <= BELONGS) {
-                            last.put(spot, since);
+                        ExtentKey extent = new ExtentKey(e.volume(), e.offset() / extentBytes.get(e.volume()));
+                        long sinceSwitch = e.time() - switchTimes.getOrDefault(extent, Long.MIN_VALUE / 2);
+                        if (sinceSwitch <= ATTRIBUTION_LIMIT) {
+                            lastStaleDelays.put(extent, sinceSwitch);
                         }
                     }
                 }
                 default -> {}
             }
         }
-        last.values().forEach(micros -> note(row, micros));
+        lastStaleDelays.values().forEach(micros -> recordDelay(row, micros));
     }
 
-    private static void note(Row row, Long micros) {
+    private static void recordDelay(Row row, Long micros) {
         if (micros != null) {
-            row.untilLast.recordValue(micros);
+            row.lastStaleDelay.recordValue(micros);
         }
     }
 
-    private static void reply(Row row, TraceEvent e, long askedAt, long movedVolume, long begin, long from, long to) {
+    private static void addReply(
+            Row row, TraceEvent e, long requestTime, long movedVolume, long begin, long from, long to) {
         if (e.time() > to) {
             return;
         }
-        row.asked++;
+        row.requests++;
         row.late += e.outcome().equals("late") ? 1 : 0;
         boolean served = e.outcome().equals("served") || e.outcome().equals("late");
-        row.undone += served ? 0 : 1;
+        row.notServed += served ? 0 : 1;
         if (!served) {
             return;
         }
-        long took = Math.max(1, e.time() - askedAt);
-        if (askedAt >= from) {
-            (e.volume() == movedVolume ? row.moved : row.during).recordValue(took);
-        } else if (askedAt >= begin + (from - begin) / 3 && e.volume() != movedVolume) {
-            row.before.recordValue(took); // the first third is warming up
+        long latency = Math.max(1, e.time() - requestTime);
+        if (requestTime >= from) {
+            (e.volume() == movedVolume ? row.movedVolumeDuring : row.othersDuring).recordValue(latency);
+        } else if (requestTime >= begin + (from - begin) / 3 && e.volume() != movedVolume) {
+            row.othersBefore.recordValue(latency); // the first third is the warm-up
         }
     }
 }
