--- a/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
+++ b/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
@@ -26,39 +26,40 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** Heads, nodes and a list on sockets, for tests: what passes is seen, and faults are set. */
+/** Gateways, fake nodes and a fake node list on sockets, for tests; records the trace events and injects faults. */
 final class DeploymentHarness implements AutoCloseable {
+    /** Time that the checker allows for transmission, in microseconds. */
     private static final long TRANSIT = 500_000;
 
     private final Clock clock = Clock.system();
-    private final List<TraceEvent> seen = new ArrayList<>();
+    private final List<TraceEvent> events = new ArrayList<>();
     private final Settings settings;
-    private final List<EventLoop> nodes = new ArrayList<>();
+    private final List<EventLoop> nodeLoops = new ArrayList<>();
     private final List<NodeSettings> nodeSettings = new ArrayList<>();
     private final List<MemoryDisk> disks = new ArrayList<>();
-    private final List<EventLoop> headDrivers = new ArrayList<>();
-    private final List<Gateway> heads = new ArrayList<>();
+    private final List<EventLoop> gatewayLoops = new ArrayList<>();
+    private final List<Gateway> gateways = new ArrayList<>();
     private final List<String> addresses = new ArrayList<>();
-    private final EventLoop list;
-    private final String listAddress;
-    private long lives = 1;
+    private final EventLoop nodeList;
+    private final String nodeListAddress;
+    private long incarnation = 1;
 
-    DeploymentHarness(int shards, String more) throws Exception {
-        this(shards, more, "20s");
+    DeploymentHarness(int shards, String extraSettings) throws Exception {
+        this(shards, extraSettings, "20s");
     }
 
-    DeploymentHarness(int shards, String more, String deadline) throws Exception {
-        this(shards, more, deadline, "keyed");
+    DeploymentHarness(int shards, String extraSettings, String deadline) throws Exception {
+        this(shards, extraSettings, deadline, "keyed");
     }
 
-    DeploymentHarness(int shards, String more, String deadline, String effect) throws Exception {
-        this(1, shards, deadline, effect, "  rate = 100000\n  weight = 1\n", more);
+    DeploymentHarness(int shards, String extraSettings, String deadline, String effect) throws Exception {
+        this(1, shards, deadline, effect, "  rate = 100000\n  weight = 1\n", extraSettings);
     }
 
-    /** Heads that share one limit. */
-    static DeploymentHarness limited(int heads, int limit, int burst, int slack) throws Exception {
+    /** Gateways that share one rate limit. */
+    static DeploymentHarness limited(int gateways, int limit, int burst, int slack) throws Exception {
         return new DeploymentHarness(
-                heads,
+                gateways,
                 1,
                 "400ms",
                 "keyed",
@@ -67,14 +68,15 @@
                 "");
     }
 
-    private DeploymentHarness(int headCount, int shards, String deadline, String effect, String plan, String more)
+    private DeploymentHarness(
+            int gatewayCount, int shards, String deadline, String effect, String planSettings, String extraSettings)
             throws Exception {
         StringBuilder shardList = new StringBuilder("0");
         for (int i = 1; i < shards; i++) {
             shardList.append(", ").append(i);
         }
         settings = Settings.of(HclFile.parse(
-                "rig.hcl",
+                "harness.hcl",
                 """
                 service {
                   heads = %d
@@ -104,26 +106,35 @@
                   extent = "1MiB"
                 }
                 %s"""
-                        .formatted(headCount, deadline, deadline, deadline, deadline, effect, plan, shardList, more)));
+                        .formatted(
+                                gatewayCount,
+                                deadline,
+                                deadline,
+                                deadline,
+                                deadline,
+                                effect,
+                                planSettings,
+                                shardList,
+                                extraSettings)));
         List<Entry> entries = new ArrayList<>();
         for (int shard = 0; shard < shards; shard++) {
             NodeSettings node = NodeFile.of(settings)
                     .getOrDefault("n" + shard, NodeSettings.free("n" + shard, "127.0.0.1:0", "", shard));
             MemoryDisk disk = new MemoryDisk();
-            EventLoop driver = run(node.name(), new FakeNode(node, disk, this::see, shard, lives));
-            String address = ServiceProcess.bound(driver, "node");
-            nodes.add(driver);
+            EventLoop eventLoop = run(node.name(), new FakeNode(node, disk, this::recordEvent, shard, incarnation));
+            String address = ServiceProcess.bound(eventLoop, "node");
+            nodeLoops.add(eventLoop);
             disks.add(disk);
             nodeSettings.add(node.withListen(address));
             entries.add(new Entry(address, "zone-a", shard, State.UP, 1, 0));
         }
-        list = run("list", new FakeNodeList("list", "127.0.0.1:0", entries, 0, this::see));
-        listAddress = ServiceProcess.bound(list, "list");
-        for (int head = 0; head < headCount; head++) {
-            headDrivers.add(null);
-            heads.add(null);
+        nodeList = run("list", new FakeNodeList("list", "127.0.0.1:0", entries, 0, this::recordEvent));
+        nodeListAddress = ServiceProcess.bound(nodeList, "list");
+        for (int gateway = 0; gateway < gatewayCount; gateway++) {
+            gatewayLoops.add(null);
+            gateways.add(null);
             addresses.add("127.0.0.1:0");
-            startHead(head);
+            startGateway(gateway);
         }
     }
 
@@ -131,58 +142,64 @@
         return new EventLoop(name, machine, clock, (state, data) -> {}).start();
     }
 
-    private void startHead(int head) throws IOException {
-        GatewaySettings told = settings.gateway(head, clock.currentMicros(), addresses.get(head), listAddress, "");
-        heads.set(head, new Gateway(told, new FairQueueScheduler(told.scheduling(), 1), null, null));
-        headDrivers.set(head, run("head-" + head, heads.get(head)));
-        addresses.set(head, ServiceProcess.bound(headDrivers.get(head), Gateway.NBD));
+    private void startGateway(int gateway) throws IOException {
+        GatewaySettings gatewaySettings =
+                settings.gateway(gateway, clock.currentMicros(), addresses.get(gateway), nodeListAddress, "");
+        gateways.set(
+                gateway,
+                new Gateway(gatewaySettings, new FairQueueScheduler(gatewaySettings.scheduling(), 1), null, null));
+        gatewayLoops.set(gateway, run("head-" + gateway, gateways.get(gateway)));
+        addresses.set(gateway, ServiceProcess.bound(gatewayLoops.get(gateway), Gateway.NBD));
     }
 
-    void restartHead(int head) throws IOException {
-        headDrivers.get(head).close();
-        startHead(head);
+    void restartGateway(int gateway) throws IOException {
+        gatewayLoops.get(gateway).close();
+        startGateway(gateway);
     }
 
-    /** Kills a node, which loses what it has not flushed, and starts it again. */
+    /** Kills a node, so that it loses its unflushed writes, and restarts it. */
     void restartNode(int shard) throws IOException {
-        nodes.get(shard).close();
+        nodeLoops.get(shard).close();
         disks.get(shard).crash();
-        nodes.set(
+        nodeLoops.set(
                 shard,
-                run("n" + shard, new FakeNode(nodeSettings.get(shard), disks.get(shard), this::see, shard, ++lives)));
-        ServiceProcess.bound(nodes.get(shard), "node");
+                run(
+                        "n" + shard,
+                        new FakeNode(
+                                nodeSettings.get(shard), disks.get(shard), this::recordEvent, shard, ++incarnation)));
+        ServiceProcess.bound(nodeLoops.get(shard), "node");
     }
 
-    private void see(TraceEvent event) {
-        synchronized (seen) {
-            seen.add(event);
-            seen.notifyAll();
+    private void recordEvent(TraceEvent event) {
+        synchronized (events) {
+            events.add(event);
+            events.notifyAll();
         }
     }
 
     List<TraceEvent> trace() {
-        synchronized (seen) {
-            return List.copyOf(seen);
+        synchronized (events) {
+            return List.copyOf(events);
         }
     }
 
-    /** Waits until something has been seen. */
-    void await(Predicate<TraceEvent> what) throws InterruptedException {
-        synchronized (seen) {
-            while (seen.stream().noneMatch(what)) {
-                seen.wait();
+    /** Waits for an event that matches. */
+    void await(Predicate<TraceEvent> condition) throws InterruptedException {
+        synchronized (events) {
+            while (events.stream().noneMatch(condition)) {
+                events.wait();
             }
         }
     }
 
-    /** Sets a fault and waits until the node has it. */
+    /** Sets a fault and waits until the node has applied it. */
     void fault(int shard, NodeFault.Kind kind, double amount) throws InterruptedException {
         String name = nodeSettings.get(shard).name();
-        long before = count(name, kind, amount);
-        nodes.get(shard).submitCommand(new NodeFault(kind, amount));
-        synchronized (seen) {
-            while (count(name, kind, amount) == before) {
-                seen.wait();
+        long countBefore = count(name, kind, amount);
+        nodeLoops.get(shard).submitCommand(new NodeFault(kind, amount));
+        synchronized (events) {
+            while (count(name, kind, amount) == countBefore) {
+                events.wait();
             }
         }
     }
@@ -204,27 +221,27 @@
         return client(0);
     }
 
-    NbdSocket client(int head) throws IOException {
-        return NbdSocket.connect(addresses.get(head), "v");
+    NbdSocket client(int gateway) throws IOException {
+        return NbdSocket.connect(addresses.get(gateway), "v");
     }
 
-    /** Waits until the head holds so many connections of clients. */
+    /** Waits until the first gateway has this number of client connections. */
     void awaitConnections(int count) {
-        while (heads.get(0).statistics().connections() != count) {
+        while (gateways.get(0).statistics().connections() != count) {
             Thread.onSpinWait();
         }
     }
 
     long bytesHeld() {
-        return heads.get(0).statistics().reservedBytes();
+        return gateways.get(0).statistics().reservedBytes();
     }
 
     void drain() {
-        headDrivers.get(0).submitCommand(new Gateway.Drain());
+        gatewayLoops.get(0).submitCommand(new Gateway.Drain());
     }
 
     void awaitStopped() throws Exception {
-        headDrivers.get(0).stopped().get(30, TimeUnit.SECONDS);
+        gatewayLoops.get(0).stopped().get(30, TimeUnit.SECONDS);
     }
 
     List<Verdict> verdicts() {
@@ -236,8 +253,8 @@
 
     @Override
     public void close() {
-        headDrivers.forEach(EventLoop::close);
-        nodes.forEach(EventLoop::close);
-        list.close();
+        gatewayLoops.forEach(EventLoop::close);
+        nodeLoops.forEach(EventLoop::close);
+        nodeList.close();
     }
 }
--- a/cli/src/test/java/garnetreel/cli/testing/MapCommandTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/MapCommandTest.java
@@ -34,10 +34,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Operators' commands against a whole service on loopback sockets. */
+/** The map commands for operators, against a complete service on loopback sockets. */
 class MapCommandTest {
-    private static final int EXTENT = 64 << 10;
-    private static final String TEXT =
+    private static final int EXTENT_BYTES = 64 << 10;
+    private static final String SETTINGS =
             """
             service {
               heads = 1
@@ -77,13 +77,13 @@
 
     private final ServiceProcess process = new ServiceProcess();
     private final List<MemoryDisk> disks = new ArrayList<>();
-    private String map;
-    private String head;
+    private String mapService;
+    private String gateway;
     private Path file;
 
     @BeforeEach
     void start() throws Exception {
-        Settings settings = Settings.of(HclFile.parse("maps.hcl", TEXT));
+        Settings settings = Settings.of(HclFile.parse("maps.hcl", SETTINGS));
         List<Entry> entries = new ArrayList<>();
         for (int shard = 0; shard < 3; shard++) {
             disks.add(new MemoryDisk());
@@ -99,21 +99,24 @@
         }
         String list = ServiceProcess.bound(
                 process.run("list", new FakeNodeList("list", "127.0.0.1:0", entries, 0, Trace.NONE)), "list");
-        map = ServiceProcess.bound(
+        mapService = ServiceProcess.bound(
                 process.run(
                         "mapd",
                         new MapService(
                                 settings.mapService("127.0.0.1:0", list, 1), new MapState(settings.initialMaps()))),
                 MapService.LISTENER);
-        head = ServiceProcess.bound(
-                process.startGateway(settings.gateway(0, 1, "127.0.0.1:0", list, map), temp.resolve("head")),
+        gateway = ServiceProcess.bound(
+                process.startGateway(settings.gateway(0, 1, "127.0.0.1:0", list, mapService), temp.resolve("head")),
                 Gateway.NBD);
-        file = Files.writeString(temp.resolve("maps.hcl"), TEXT);
-        try (NbdSocket client = NbdSocket.connect(head, "births")) {
+        file = Files.writeString(temp.resolve("maps.hcl"), SETTINGS);
+        try (NbdSocket client = NbdSocket.connect(gateway, "births")) {
             for (int extent = 0; extent < 16; extent++) {
-                byte[] data = new byte[EXTENT];
+                byte[] data = new byte[EXTENT_BYTES];
                 Arrays.fill(data, (byte) (extent + 1));
-                assertEquals(0, client.retried(Nbd.CMD_WRITE, 0, (long) extent * EXTENT, EXTENT, data).error);
+                assertEquals(
+                        0,
+                        client.callWithRetries(Nbd.CMD_WRITE, 0, (long) extent * EXTENT_BYTES, EXTENT_BYTES, data)
+                                .error);
             }
         }
     }
@@ -123,25 +126,26 @@
         process.close();
     }
 
-    private record Said(int code, String out, String err) {
+    private record CommandResult(int code, String out, String err) {
         JsonNode json() throws Exception {
             String[] lines = out.strip().split("\n");
             return new ObjectMapper().readTree(lines[lines.length - 1]);
         }
     }
 
-    private Said map(String order, Object... more) {
-        List<String> words = new ArrayList<>(List.of("map", order, "--json", "--service", map));
-        Arrays.stream(more).map(Object::toString).forEach(words::add);
+    private CommandResult runMapCommand(String command, Object... operands) {
+        List<String> arguments = new ArrayList<>(List.of("map", command, "--json", "--service", mapService));
+        Arrays.stream(operands).map(Object::toString).forEach(arguments::add);
         PrintStream out = System.out;
         PrintStream err = System.err;
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        ByteArrayOutputStream complained = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
-        System.setErr(new PrintStream(complained, true, StandardCharsets.UTF_8));
+        ByteArrayOutputStream capturedOut = new ByteArrayOutputStream();
+        ByteArrayOutputStream capturedErr = new ByteArrayOutputStream();
+        System.setOut(new PrintStream(capturedOut, true, StandardCharsets.UTF_8));
+        System.setErr(new PrintStream(capturedErr, true, StandardCharsets.UTF_8));
         try {
-            int code = Main.run(List.of(), words.toArray(String[]::new));
-            return new Said(code, said.toString(StandardCharsets.UTF_8), complained.toString(StandardCharsets.UTF_8));
+            int code = Main.run(List.of(), arguments.toArray(String[]::new));
+            return new CommandResult(
+                    code, capturedOut.toString(StandardCharsets.UTF_8), capturedErr.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
             System.setErr(err);
@@ -149,48 +153,66 @@
     }
 
     @Test
-    void movesDrainsAndDiffs() throws Exception {
+    void movesDrainsAndShowsDifferences() throws Exception {
         assertEquals(
                 16,
-                map("verify", file, "--head", head).json().path("extents_equal").asInt());
-        Said moved = map("move", "--wait", 1, 4, 2);
+                runMapCommand("verify", file, "--head", gateway)
+                        .json()
+                        .path("extents_equal")
+                        .asInt());
+        CommandResult moved = runMapCommand("move", "--wait", 1, 4, 2);
         assertEquals(0, moved.code(), moved.err());
         assertEquals(
-                2, map("show", 1, 4).json().path("rows").get(0).path("shard").asInt());
-        Said diff = map("diff", "--since", 1);
+                2,
+                runMapCommand("show", 1, 4)
+                        .json()
+                        .path("rows")
+                        .get(0)
+                        .path("shard")
+                        .asInt());
+        CommandResult diff = runMapCommand("diff", "--since", 1);
         assertEquals(1, diff.code());
         assertEquals(4, diff.json().get(0).path("extent").asInt());
-        assertEquals(0, map("drain-node", "--wait", 0).code());
+        assertEquals(0, runMapCommand("drain-node", "--wait", 0).code());
         assertEquals(
-                0, map("status").json().path("draining").get(0).path("extents").asInt());
-        for (JsonNode row : map("show", 1).json().path("rows")) {
+                0,
+                runMapCommand("status")
+                        .json()
+                        .path("draining")
+                        .get(0)
+                        .path("extents")
+                        .asInt());
+        for (JsonNode row : runMapCommand("show", 1).json().path("rows")) {
             assertTrue(row.path("shard").asInt() != 0, row.toString());
         }
         assertEquals(
                 16,
-                map("verify", file, "--head", head).json().path("extents_equal").asInt());
-        assertEquals(0, disks.get(0).usedBytes(), "what was moved away is still kept");
-        String who = map("history", "--who", "somebody", 200).out();
-        assertTrue(who.contains("drain shard 0") && who.contains("copied and fenced"), who);
+                runMapCommand("verify", file, "--head", gateway)
+                        .json()
+                        .path("extents_equal")
+                        .asInt());
+        assertEquals(0, disks.get(0).usedBytes(), "shard 0 still holds data of migrated extents");
+        String history = runMapCommand("history", "--who", "somebody", 200).out();
+        assertTrue(history.contains("drain shard 0") && history.contains("copied and fenced"), history);
     }
 
     @Test
-    void verifyFindsADamagedPageAndNamesIt() throws Exception {
-        assertTrue(disks.get(1).damage(1, 5L * EXTENT + 8192));
-        Said said = map("verify", file, "--head", head);
-        assertEquals(1, said.code());
-        assertEquals(15, said.json().path("extents_equal").asInt());
-        assertEquals(5, said.json().path("extents_not").get(0).path("extent").asInt());
+    void verifyReportsTheExtentOfADamagedPage() throws Exception {
+        assertTrue(disks.get(1).damage(1, 5L * EXTENT_BYTES + 8192));
+        CommandResult result = runMapCommand("verify", file, "--head", gateway);
+        assertEquals(1, result.code());
+        assertEquals(15, result.json().path("extents_equal").asInt());
+        assertEquals(5, result.json().path("extents_not").get(0).path("extent").asInt());
     }
 
     @Test
-    void ordersThatCantBeAreRefusedWithTheReason() {
-        assertTrue(map("move", 9, 0, 1).err().contains("can't begin"));
-        assertTrue(map("show", 9).err().contains("no volume 9"));
-        assertTrue(map("diff", "--since", 77).err().contains("not in the history"));
-        assertEquals(2, map("diff").code());
-        assertEquals(1, map("abort", 12).code());
-        assertEquals(0, map("adopt").code());
-        assertEquals(0, map("undrain-node", 0).code());
+    void invalidCommandsAreRejectedWithTheReason() {
+        assertTrue(runMapCommand("move", 9, 0, 1).err().contains("can't begin"));
+        assertTrue(runMapCommand("show", 9).err().contains("no volume 9"));
+        assertTrue(runMapCommand("diff", "--since", 77).err().contains("not in the history"));
+        assertEquals(2, runMapCommand("diff").code());
+        assertEquals(1, runMapCommand("abort", 12).code());
+        assertEquals(0, runMapCommand("adopt").code());
+        assertEquals(0, runMapCommand("undrain-node", 0).code());
     }
 }
--- a/cli/src/test/java/garnetreel/cli/testing/MapScenariosTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/MapScenariosTest.java
@@ -22,21 +22,21 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** The hard cases of the extent map as emulated scenarios: rules kept, all read back, and the case did come about. */
+/** Edge cases of the extent map as emulated scenarios: rules kept, data verified, and the case did occur. */
 class MapScenariosTest {
-    private final List<StateMachine> heads = new ArrayList<>();
+    private final List<StateMachine> gateways = new ArrayList<>();
 
-    private ScenarioRunner.Result play(String scenario, long seed) throws Exception {
-        UnaryOperator<StateMachine> note = head -> {
-            heads.add(head);
-            return head;
+    private ScenarioRunner.Result run(String scenario, long seed) throws Exception {
+        UnaryOperator<StateMachine> wrapper = gateway -> {
+            gateways.add(gateway);
+            return gateway;
         };
         ScenarioRunner.Result result = new ScenarioRunner(
                         ScenarioFile.read(Path.of("../days/" + scenario + ".hcl"))
                                 .scenario(seed, 10_000),
                         new Simulation(1_000_000_000_000L, seed, new Simulation.Delays(50, 200)),
                         Trace.NONE,
-                        note)
+                        wrapper)
                 .run();
         for (Verdict verdict : result.verdicts()) {
             assertTrue(verdict.isKept(), scenario + ", seed " + seed + ": " + verdict);
@@ -45,11 +45,11 @@
         return result;
     }
 
-    private static long count(ScenarioRunner.Result result, Predicate<TraceEvent> what) {
-        return result.events().stream().filter(what).count();
+    private static long count(ScenarioRunner.Result result, Predicate<TraceEvent> condition) {
+        return result.events().stream().filter(condition).count();
     }
 
-    private static long begin(ScenarioRunner.Result result) {
+    private static long start(ScenarioRunner.Result result) {
         return result.events().stream()
                 .filter(e -> e.kind() == Kind.REQUEST)
                 .mapToLong(TraceEvent::time)
@@ -57,50 +57,50 @@
                 .orElseThrow();
     }
 
-    private static boolean served(TraceEvent e) {
+    private static boolean isServed(TraceEvent e) {
         return e.kind() == Kind.MIGRATION_STEP
                 && e.operation().equals("serve")
                 && e.outcome().equals("ok");
     }
 
-    private static boolean stale(TraceEvent e) {
+    private static boolean isStale(TraceEvent e) {
         return e.kind() == Kind.ANSWER && e.outcome().equals("stale");
     }
 
-    /** A gateway away through two moves of 24 extents, half of which end where they began. */
+    /** A gateway is down during two migrations of 24 extents, half of which end on their first shard. */
     @Test
-    void headReturnsWithAMapSeveralVersionsOld() throws Exception {
-        ScenarioRunner.Result result = play("aba", 1);
-        long back = begin(result) + 18_000_000;
-        // Of an extent that is back at its first shard, the first version is refused there: the place is right, the
-        // version old, and what the extent holds was written elsewhere meanwhile.
+    void gatewayRestartsWithAMapSeveralVersionsOld() throws Exception {
+        ScenarioRunner.Result result = run("aba", 1);
+        long restart = start(result) + 18_000_000;
+        // An extent that is back on its first shard rejects its first version there: the shard is right, but the
+        // version is old, and the data was written on another shard in the meantime.
         long sameShard = count(
                 result,
-                e -> stale(e)
-                        && e.time() > back
+                e -> isStale(e)
+                        && e.time() > restart
                         && e.counterpart().equals("0")
                         && e.version() == 1
                         && e.offset() / (256 << 10) % 2 == 0
                         && e.offset() / (256 << 10) % 4 == e.shard());
-        assertTrue(sameShard > 0, "the returned head was not refused where an extent went away and came back");
+        assertTrue(sameShard > 0, "the restarted gateway got no stale answer for an extent that moved away and back");
         assertTrue(
                 count(
                                 result,
                                 e -> e.kind() == Kind.EXECUTE
-                                        && e.time() > back + 6_000_000
+                                        && e.time() > restart + 6_000_000
                                         && e.counterpart().equals("0")
                                         && e.version() > 1)
                         > 0,
-                "the returned head learned nothing");
+                "the restarted gateway did not use a newer map version");
     }
 
     @Test
-    void requestsAcrossBordersOfExtentsThatMove() throws Exception {
-        ScenarioRunner.Result result = play("borders", 1);
-        // Requests of which one part met a moved extent while another ran, and that were answered as served.
+    void requestsAcrossBordersOfMigratingExtents() throws Exception {
+        ScenarioRunner.Result result = run("borders", 1);
+        // Served requests of which one part got a stale answer while another part ran.
         Map<Long, Set<String>> parts = new HashMap<>();
         for (TraceEvent e : result.events()) {
-            if (stale(e)) {
+            if (isStale(e)) {
                 parts.computeIfAbsent(e.tag(), any -> new HashSet<>()).add("stale");
             } else if (e.kind() == Kind.EXECUTE) {
                 parts.computeIfAbsent(e.tag(), any -> new HashSet<>()).add("ran " + e.offset());
@@ -111,18 +111,18 @@
         }
         assertTrue(
                 parts.values().stream().anyMatch(p -> p.contains("stale") && p.contains("served") && p.size() > 3),
-                "no request met a moved extent on one side of a border alone");
+                "no request got a stale answer on only one side of an extent border");
     }
 
-    /** Old holders that the service can't reach keep what they hold: no newer version of it is served elsewhere. */
+    /** Extents of nodes that the map service cannot reach stay on those nodes: no other node serves a newer version. */
     @Test
-    void holdersThatAreCutOffKeepWhatTheyHold() throws Exception {
-        ScenarioRunner.Result result = play("cut-off", 2);
-        long from = begin(result) + 6_500_000;
-        long to = begin(result) + 15_500_000;
-        Map<String, String> holder = new HashMap<>();
-        Set<String> cut = Set.of("n1", "n4");
-        long ranAtCut = 0;
+    void extentsOfNodesCutOffFromTheMapServiceStay() throws Exception {
+        ScenarioRunner.Result result = run("cut-off", 2);
+        long from = start(result) + 6_500_000;
+        long to = start(result) + 15_500_000;
+        Map<String, String> lastNode = new HashMap<>();
+        Set<String> cutOffNodes = Set.of("n1", "n4");
+        long ranOnCutOffNodes = 0;
         List<TraceEvent> events = new ArrayList<>(result.events());
         events.sort(java.util.Comparator.comparingLong(TraceEvent::time));
         for (TraceEvent e : events) {
@@ -130,36 +130,38 @@
                 continue;
             }
             String extent = e.volume() + "/" + e.offset() / (256 << 10);
-            String before = holder.put(extent, e.observer());
+            String before = lastNode.put(extent, e.observer());
             if (e.time() > from && e.time() < to) {
-                ranAtCut += cut.contains(e.observer()) ? 1 : 0;
+                ranOnCutOffNodes += cutOffNodes.contains(e.observer()) ? 1 : 0;
                 assertTrue(
-                        before == null || before.equals(e.observer()) || !cut.contains(before),
-                        extent + " ran at " + before + ", which is cut off, and then at " + e.observer());
+                        before == null || before.equals(e.observer()) || !cutOffNodes.contains(before),
+                        extent + " ran on " + before + ", which is cut off, and then on " + e.observer());
             }
         }
-        assertTrue(ranAtCut > 100, "heads did not reach the nodes that were cut off");
-        assertTrue(count(result, e -> served(e) && e.time() > to) > 20, "moves did not go on after it");
+        assertTrue(ranOnCutOffNodes > 100, "gateways did not reach the nodes that were cut off");
+        assertTrue(
+                count(result, e -> isServed(e) && e.time() > to) > 20,
+                "migrations did not continue after the network cut");
     }
 
     @Test
-    void serviceThatWentBackMovesNothingUntilItHasAdoptedWhatNodesHold() throws Exception {
+    void restoredServiceMigratesNothingBeforeItAdoptsTheMapsOfTheNodes() throws Exception {
         for (long seed = 1; seed <= 2; seed++) {
-            ScenarioRunner.Result result = play("restore", seed);
-            long restored = begin(result) + 12_500_000;
+            ScenarioRunner.Result result = run("restore", seed);
+            long restored = start(result) + 12_500_000;
             long adopted = restored + 3_000_000;
             assertEquals(
                     0,
-                    count(result, e -> served(e) && e.time() > restored + 300_000 && e.time() < adopted),
-                    "it moved extents by a map that it knew to be old");
-            assertTrue(count(result, e -> served(e) && e.time() > adopted) > 20, "nothing moved any more");
+                    count(result, e -> isServed(e) && e.time() > restored + 300_000 && e.time() < adopted),
+                    "the map service migrated extents before it had adopted the maps of the nodes");
+            assertTrue(count(result, e -> isServed(e) && e.time() > adopted) > 20, "migrations did not continue");
         }
     }
 
     @Test
-    void rebalancerEmptiesAShardAndRelievesAnAgeingNode() throws Exception {
-        ScenarioRunner.Result result = play("rebalance", 1);
-        long begin = begin(result);
+    void rebalancerDrainsAShardAndMovesExtentsFromAnAgeingNode() throws Exception {
+        ScenarioRunner.Result result = run("rebalance", 1);
+        long start = start(result);
         long length = 45_000_000;
         assertEquals(
                 0,
@@ -168,12 +170,12 @@
                         e -> e.kind() == Kind.EXECUTE
                                 && e.shard() == 7
                                 && !e.operation().equals("flush")
-                                && e.time() > begin + length - 5_000_000),
-                "shard 7 drains and still serves");
+                                && e.time() > start + length - 5_000_000),
+                "shard 7 is drained and still serves");
         assertEquals(
                 0,
-                count(result, e -> served(e) && e.shard() == 7 && e.time() > begin + 5_500_000),
-                "a draining shard was given an extent");
+                count(result, e -> isServed(e) && e.shard() == 7 && e.time() > start + 5_500_000),
+                "an extent was migrated to a draining shard");
         assertTrue(
                 count(
                                 result,
@@ -181,48 +183,51 @@
                                         && e.operation().equals("release")
                                         && e.shard() == 2
                                         && e.outcome().equals("ok")
-                                        && e.time() > begin + 8_000_000)
+                                        && e.time() > start + 8_000_000)
                         > 3,
-                "the ageing node gave nothing away");
-        long cold = begin + 17_000_000;
+                "no extents were migrated from the ageing node");
+        long cold = start + 17_000_000;
         assertEquals(
                 0,
                 count(
                         result,
-                        e -> served(e) && e.shard() == 0 && e.time() > cold + 100_000 && e.time() < cold + 9_000_000),
-                "a cold node was given an extent");
-        // Nothing goes back and forth: an extent rests after a move unless its shard drains.
+                        e -> isServed(e) && e.shard() == 0 && e.time() > cold + 100_000 && e.time() < cold + 9_000_000),
+                "an extent was migrated to a cold node");
+        // No oscillation: an extent does not move again within the rest period unless its shard drains.
         Map<String, Long> last = new HashMap<>();
-        result.events().stream().filter(MapScenariosTest::served).forEach(e -> {
+        result.events().stream().filter(MapScenariosTest::isServed).forEach(e -> {
             Long before = last.put(e.volume() + "/" + e.key(), e.time());
-            assertTrue(before == null || e.time() - before > 9_000_000, "moved twice within its rest: " + e);
+            assertTrue(before == null || e.time() - before > 9_000_000, "moved twice within the rest period: " + e);
         });
     }
 
     @Test
-    void manyHeadsGoOnWhileTheServiceIsSilentAndComeBackAtOnce() throws Exception {
-        ScenarioRunner.Result result = play("many-heads", 1);
-        long silent = begin(result) + 8_000_000;
-        long asked =
+    void manyGatewaysServeWhileTheMapServiceIsSilentAndRestartTogether() throws Exception {
+        ScenarioRunner.Result result = run("many-heads", 1);
+        long silent = start(result) + 8_000_000;
+        long requested =
                 count(result, e -> e.kind() == Kind.REQUEST && e.time() > silent && e.time() < silent + 60_000_000);
-        long done = count(
+        long served = count(
                 result,
                 e -> e.kind() == Kind.REPLY
                         && e.time() > silent
                         && e.time() < silent + 60_000_000
                         && e.volume() != 3
                         && (e.outcome().equals("served") || e.outcome().equals("late")));
-        assertTrue(done > 0.9 * asked * 110 / 118, done + " of " + asked + " served while the map service was silent");
-        // The last 160 are the lives after all gateways died at once; the service answers 50 subscribes a second.
-        List<StateMachine> last = heads.subList(heads.size() - 160, heads.size());
+        assertTrue(
+                served > 0.9 * requested * 110 / 118,
+                served + " of " + requested + " served while the map service was silent");
+        // The last 160 are the incarnations after all gateways were killed at once; the service answers 50 subscribes
+        // per second.
+        List<StateMachine> last = gateways.subList(gateways.size() - 160, gateways.size());
         long version = last.stream()
-                .mapToLong(h -> ((Gateway) h).statistics().mapVersion())
+                .mapToLong(g -> ((Gateway) g).statistics().mapVersion())
                 .max()
                 .orElseThrow();
         assertEquals(
                 160,
                 last.stream()
-                        .filter(h -> ((Gateway) h).statistics().mapVersion() == version)
+                        .filter(g -> ((Gateway) g).statistics().mapVersion() == version)
                         .count());
     }
 }
--- a/cli/src/test/java/garnetreel/cli/testing/MovesTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/MovesTest.java
@@ -14,9 +14,9 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Extents that move amid faults, in the emulator: the rules hold, and all that was acknowledged is read back. */
+/** Migrations during faults, in the emulator: the rules are kept, and all acknowledged writes are read back. */
 class MovesTest {
-    private static ScenarioRunner.Result play(long seed, Trace trace) throws Exception {
+    private static ScenarioRunner.Result run(long seed, Trace trace) throws Exception {
         return new ScenarioRunner(
                         ScenarioFile.read(Path.of("../days/moves.hcl")).scenario(seed, 10_000),
                         new Simulation(1_000_000_000_000L, seed, new Simulation.Delays(50, 200)),
@@ -26,9 +26,9 @@
     }
 
     @Test
-    void movesAmidTroublesLoseAndRepeatNothing() throws Exception {
+    void migrationsDuringFaultsLoseAndRepeatNothing() throws Exception {
         for (long seed = 1; seed <= 3; seed++) {
-            ScenarioRunner.Result result = play(seed, Trace.NONE);
+            ScenarioRunner.Result result = run(seed, Trace.NONE);
             for (Verdict verdict : result.verdicts()) {
                 assertTrue(verdict.isKept(), "seed " + seed + ": " + verdict);
             }
@@ -42,28 +42,28 @@
                     .filter(e -> e.kind() == Kind.ANSWER && e.outcome().equals("stale"))
                     .count();
             assertTrue(moved > 100, moved + " moves");
-            assertTrue(stale > 0, "no request met a moved extent: nothing was put to the test");
+            assertTrue(stale > 0, "no request got a stale answer: the case did not occur");
         }
     }
 
     @Test
-    void sameSeedGoesTheSameWay() throws Exception {
+    void sameSeedGivesTheSameTrace() throws Exception {
         TraceHash first = new TraceHash();
         TraceHash second = new TraceHash();
-        play(5, first);
-        play(5, second);
+        run(5, first);
+        run(5, second);
         assertEquals(first.hex(), second.hex());
     }
 
     @Test
-    void noNodeRunsAnExtentThatItDoesNotServe() throws Exception {
-        // Two nodes never run requests for one extent under one version, and none after its release.
-        ScenarioRunner.Result result = play(4, Trace.NONE);
+    void eachVersionOfAnExtentRunsOnOneNode() throws Exception {
+        // No two nodes run requests for the same version of an extent, so no node runs them after its release.
+        ScenarioRunner.Result result = run(4, Trace.NONE);
         java.util.Map<String, String> owner = new java.util.HashMap<>();
         for (TraceEvent e : result.events()) {
             if (e.kind() == Kind.EXECUTE && e.version() > 0 && !e.operation().equals("flush")) {
                 String extent = e.volume() + "/" + e.offset() / (256 << 10) + "@" + e.version();
-                assertEquals(owner.computeIfAbsent(extent, any -> e.observer()), e.observer(), extent);
+                assertEquals(owner.computeIfAbsent(extent, key -> e.observer()), e.observer(), extent);
             }
         }
         assertTrue(owner.size() > 200);
--- a/cli/src/test/java/garnetreel/cli/testing/NbdSocket.java
+++ b/cli/src/test/java/garnetreel/cli/testing/NbdSocket.java
@@ -13,9 +13,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A plain blocking NBD client for tests, with nothing of the program's own client. */
+/** A blocking NBD client for tests, independent of the NBD client of the test bed. */
 final class NbdSocket implements AutoCloseable {
-    /** One whole reply. */
+    /** A complete reply, with all chunks of a structured reply. */
     static final class Reply {
         long cookie;
         int error;
@@ -44,8 +44,8 @@
     static NbdSocket connect(String address, String export) throws IOException {
         NbdSocket client = new NbdSocket(address);
         try {
-            client.out.write(opening(export));
-            client.negotiate();
+            client.out.write(handshake(export));
+            client.readHandshakeReplies();
             return client;
         } catch (IOException e) {
             client.close();
@@ -53,29 +53,29 @@
         }
     }
 
-    /** The same, one byte a write. */
+    /** Like {@link #connect}, but writes each byte on its own. */
     static NbdSocket bytewise(String address, String export) throws IOException {
         NbdSocket client = new NbdSocket(address);
-        for (byte one : opening(export)) {
-            client.out.write(one);
+        for (byte b : handshake(export)) {
+            client.out.write(b);
             client.out.flush();
         }
-        client.negotiate();
+        client.readHandshakeReplies();
         return client;
     }
 
-    /** Connects and sends just these bytes. */
+    /** Connects and sends these bytes in place of a handshake. */
     static NbdSocket raw(String address, byte[] bytes) throws IOException {
         NbdSocket client = new NbdSocket(address);
         try {
             client.out.write(bytes);
         } catch (SocketException e) {
-            // the other side may have closed before it had read all
+            // the server may close the connection before it has read all bytes
         }
         return client;
     }
 
-    static byte[] opening(String export) {
+    static byte[] handshake(String export) {
         byte[] name = export.getBytes(StandardCharsets.UTF_8);
         byte[] context = Nbd.BASE_ALLOCATION.getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(4 + 3 * 16 + 4 + name.length + 4 + 4 + context.length + 4 + name.length + 2)
@@ -100,7 +100,7 @@
                 .array();
     }
 
-    private void negotiate() throws IOException {
+    private void readHandshakeReplies() throws IOException {
         in.readFully(new byte[18]);
         for (int acks = 0; acks < 3; ) {
             in.readLong();
@@ -129,7 +129,7 @@
         out.write(bytes);
     }
 
-    /** Sends a request; gives its cookie. */
+    /** Sends a request and returns its cookie. */
     long send(int type, int flags, long offset, int length, byte[] data) throws IOException {
         long cookie = nextCookie++;
         ByteBuffer request = ByteBuffer.allocate(28 + (data == null ? 0 : data.length))
@@ -153,13 +153,13 @@
         long cookie = send(type, flags, offset, length, data);
         Reply reply = reply();
         if (reply.cookie != cookie) {
-            throw new IOException("reply to " + reply.cookie + " and not to " + cookie);
+            throw new IOException("reply has cookie " + reply.cookie + ", expected " + cookie);
         }
         return reply;
     }
 
-    /** Calls until it is no longer refused: a refusal says that trying again is harmless. */
-    Reply retried(int type, int flags, long offset, int length, byte[] data) throws IOException {
+    /** Retries until the request is no longer rejected; a rejection means that a retry is safe. */
+    Reply callWithRetries(int type, int flags, long offset, int length, byte[] data) throws IOException {
         Reply reply;
         do {
             reply = call(type, flags, offset, length, data);
@@ -168,14 +168,14 @@
     }
 
     byte[] read(long offset, int length, int flags) throws IOException {
-        Reply reply = retried(Nbd.CMD_READ, flags, offset, length, null);
+        Reply reply = callWithRetries(Nbd.CMD_READ, flags, offset, length, null);
         if (reply.error != 0) {
             throw new IOException("read failed with " + reply.error + ": " + reply.message);
         }
         return reply.data;
     }
 
-    /** The next whole reply. */
+    /** Reads the next complete reply. */
     Reply reply() throws IOException {
         Reply reply = new Reply();
         boolean done = false;
@@ -187,7 +187,7 @@
                 return reply;
             }
             if (magic != Nbd.CHUNK_MAGIC) {
-                throw new IOException("magic " + Integer.toHexString(magic));
+                throw new IOException("unexpected magic " + Integer.toHexString(magic));
             }
             done = (in.readShort() & 1) != 0;
             int type = in.readShort() & 0xffff;
@@ -201,8 +201,8 @@
             }
             switch (type) {
                 case Nbd.CHUNK_DATA -> {
-                    int at = (int) (body.getLong() - read[0]);
-                    body.get(reply.data, at, body.remaining());
+                    int position = (int) (body.getLong() - read[0]);
+                    body.get(reply.data, position, body.remaining());
                 }
                 case Nbd.CHUNK_ERROR, Nbd.CHUNK_ERROR_OFFSET -> {
                     reply.error = body.getInt();
@@ -223,10 +223,10 @@
         return reply;
     }
 
-    /** Whether the server ends the connection after at most so many more bytes. */
-    boolean endsAfter(int most) throws IOException {
+    /** Whether the server closes the connection after at most this number of further bytes. */
+    boolean endsAfter(int maxBytes) throws IOException {
         try {
-            for (int i = 0; i <= most; i++) {
+            for (int i = 0; i <= maxBytes; i++) {
                 in.readByte();
             }
             return false;
@@ -235,8 +235,8 @@
         }
     }
 
-    /** Leaves without a word. */
-    void hangUp() throws IOException {
+    /** Closes the connection without a disconnect request. */
+    void closeAbruptly() throws IOException {
         socket.close();
     }
 
--- a/cli/src/test/java/garnetreel/cli/testing/RsyncTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/RsyncTest.java
@@ -41,7 +41,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The rsync front: a scenario with faults in the emulator, and conversations with a gateway over sockets. */
+/** The rsync server: a scenario with faults in the emulator, and sessions with a gateway over sockets. */
 @Timeout(120)
 class RsyncTest {
     @TempDir
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void foldersOnABadDayAreByteForByteWhatWasPushed() throws Exception {
+    void pulledFilesEqualPushedFilesDespiteFaults() throws Exception {
         for (long seed = 2; seed <= 3; seed++) {
             ScenarioRunner.Result result = new ScenarioRunner(
                             ScenarioFile.read(Path.of("../days/files.hcl")).scenario(seed, 10_000),
@@ -70,10 +70,11 @@
                     result.rsyncTallies().entrySet()) {
                 RsyncLoadGenerator.Tally tally = folder.getValue();
                 assertEquals(0, tally.mismatches, folder.getKey());
-                assertTrue(tally.completed > 5 && tally.failed > 0, "not put to the test: " + folder.getKey());
+                assertTrue(tally.completed > 5 && tally.failed > 0, "the case did not occur: " + folder.getKey());
                 assertTrue(
                         tally.literalBytes < tally.bytes / 2,
-                        "deltas found nothing: " + tally.literalBytes + " of " + tally.bytes);
+                        "delta transfer matched too little; literal bytes: " + tally.literalBytes + " of "
+                                + tally.bytes);
             }
         }
     }
@@ -133,20 +134,20 @@
                 Gateway.RSYNC);
     }
 
-    /** Says some bytes and reads to the end of the connection; what the gateway says is one character a byte. */
-    private static String ask(String address, byte[]... said) throws IOException {
+    /** Sends bytes and reads to the end of the connection; returns one character per received byte. */
+    private static String exchange(String address, byte[]... messages) throws IOException {
         InetSocketAddress at = Addresses.parse(address);
         try (Socket socket = new Socket()) {
             socket.connect(at);
-            socket.setSoTimeout(8_000); // a gateway that says nothing more fails the test
-            for (byte[] bytes : said) {
+            socket.setSoTimeout(8_000); // the test fails if the gateway stops sending
+            for (byte[] bytes : messages) {
                 socket.getOutputStream().write(bytes);
             }
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
-    private static byte[] words(String text) {
+    private static byte[] latin1(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
@@ -159,47 +160,50 @@
     }
 
     @Test
-    void handshakesThatCantBeAreAnsweredInWords() throws Exception {
+    void invalidHandshakesAreAnsweredWithAnErrorMessage() throws Exception {
         String address = start("");
         assertEquals(
                 "@RSYNCD: 30.0\npages          \tscans\n@RSYNCD: EXIT\n",
-                ask(address, words("@RSYNCD: 31.0\n#list\n")));
-        assertTrue(ask(address, words("GET / HTTP/1.0\n")).endsWith("@ERROR: protocol startup error\n"));
-        assertTrue(
-                ask(address, words("@RSYNCD: 29.0\n")).contains("@ERROR: protocol version 29 is not offered; 30 is"));
-        assertTrue(ask(address, words("@RSYNCD: 31.0\nnone\n")).contains("@ERROR: Unknown module 'none'"));
-        assertTrue(ask(address, words("x".repeat(5000))).contains("@ERROR: a line of more than"));
-        String z = ask(address, words("@RSYNCD: 31.0\npages\n--server\0-vlogDtprze.iLsfxC\0.\0pages/\0\0"));
-        assertTrue(z.contains("compression (-z) is not offered here"), z);
-        String up = ask(
+                exchange(address, latin1("@RSYNCD: 31.0\n#list\n")));
+        assertTrue(exchange(address, latin1("GET / HTTP/1.0\n")).endsWith("@ERROR: protocol startup error\n"));
+        assertTrue(exchange(address, latin1("@RSYNCD: 29.0\n"))
+                .contains("@ERROR: protocol version 29 is not offered; 30 is"));
+        assertTrue(exchange(address, latin1("@RSYNCD: 31.0\nnone\n")).contains("@ERROR: Unknown module 'none'"));
+        assertTrue(exchange(address, latin1("x".repeat(5000))).contains("@ERROR: a line of more than"));
+        String compressed =
+                exchange(address, latin1("@RSYNCD: 31.0\npages\n--server\0-vlogDtprze.iLsfxC\0.\0pages/\0\0"));
+        assertTrue(compressed.contains("compression (-z) is not offered here"), compressed);
+        String parent = exchange(
                 address,
-                words("@RSYNCD: 31.0\npages\n--server\0--sender\0-ltpre.i\0.\0pages/../../etc\0\0"),
+                latin1("@RSYNCD: 31.0\npages\n--server\0--sender\0-ltpre.i\0.\0pages/../../etc\0\0"),
                 new RsyncOut().i32(0).takeFrame().array());
-        assertTrue(up.contains("leaves its module"), up);
+        assertTrue(parent.contains("leaves its module"), parent);
     }
 
     @Test
-    void namesThatLeaveTheModuleEndThePush() throws Exception {
+    void namesOutsideTheModuleEndThePush() throws Exception {
         String address = start("");
         for (String name : new String[] {"../up", "/etc/passwd", "a/../../b", "a//b", "./x", "a/./b"}) {
-            String said =
-                    ask(address, words("@RSYNCD: 31.0\npages\n--server\0-ltpre.iLsfxC\0.\0pages/\0\0"), push(name));
-            assertTrue(said.contains("unsafe pathname"), name + ": " + said);
+            String received = exchange(
+                    address, latin1("@RSYNCD: 31.0\npages\n--server\0-ltpre.iLsfxC\0.\0pages/\0\0"), push(name));
+            assertTrue(received.contains("unsafe pathname"), name + ": " + received);
         }
-        String longName = ask(
-                address, words("@RSYNCD: 31.0\npages\n--server\0-ltpre.iLsfxC\0.\0pages/\0\0"), push("n".repeat(4097)));
+        String longName = exchange(
+                address,
+                latin1("@RSYNCD: 31.0\npages\n--server\0-ltpre.iLsfxC\0.\0pages/\0\0"),
+                push("n".repeat(4097)));
         assertTrue(longName.contains("a name of 0 and 4097 bytes"), longName);
     }
 
     @Test
-    void readOnlyModulesTakeNoPush() throws Exception {
+    void readOnlyModulesRejectPushes() throws Exception {
         String address = start("  read_only = true\n");
-        assertTrue(ask(address, words("@RSYNCD: 31.0\npages\n--server\0-ltpre.i\0.\0pages/\0\0"))
+        assertTrue(exchange(address, latin1("@RSYNCD: 31.0\npages\n--server\0-ltpre.i\0.\0pages/\0\0"))
                 .contains("module pages is read only"));
     }
 
     @Test
-    void secretsMustBePrivateAndAnswersRight() throws Exception {
+    void secretsFileMustBePrivateAndPasswordsCorrect() throws Exception {
         Path secrets = Files.writeString(temp.resolve("secrets"), "# who may\nregistrar:pass word\n");
         String setting = "  secrets = \"" + secrets + "\"\n";
         Files.setPosixFilePermissions(secrets, PosixFilePermissions.fromString("rw-r--r--"));
@@ -218,19 +222,19 @@
         try (Socket socket = new Socket()) {
             socket.connect(Addresses.parse(address));
             socket.setSoTimeout(8_000);
-            socket.getOutputStream().write(words("@RSYNCD: 31.0\npages\n"));
+            socket.getOutputStream().write(latin1("@RSYNCD: 31.0\npages\n"));
             String greeting = line(socket);
             String challenge = line(socket).substring("@RSYNCD: AUTHREQD ".length());
-            byte[] answer = Checksums.md5().digest(words(password + challenge));
+            byte[] answer = Checksums.md5().digest(latin1(password + challenge));
             socket.getOutputStream()
-                    .write(words(
+                    .write(latin1(
                             user + " " + Base64.getEncoder().withoutPadding().encodeToString(answer) + "\n"));
             return greeting + line(socket);
         }
     }
 
-    /** Pushes one file whole, and waits for the goodbye. */
-    private static void put(String address, String name, byte[] contents, boolean delete) throws Exception {
+    /** Pushes one file without delta transfer, and waits for the end of the session. */
+    private static void pushFile(String address, String name, byte[] contents, boolean delete) throws Exception {
         RsyncOut out = new RsyncOut();
         if (delete) {
             out.i32(0);
@@ -257,64 +261,69 @@
             socket.connect(Addresses.parse(address));
             socket.setSoTimeout(8_000);
             socket.getOutputStream()
-                    .write(words("@RSYNCD: 31.0\npages\n--server\0-ltpWre.i\0" + (delete ? "--delete\0" : "")
+                    .write(latin1("@RSYNCD: 31.0\npages\n--server\0-ltpWre.i\0" + (delete ? "--delete\0" : "")
                             + ".\0pages/\0\0"));
-            // Contents may not come before they are asked for: the list first, then after the request the rest.
-            int listed = frame.length - (4 * 5 + contents.length + 4 + 16 + 3 + 2 + 1);
-            socket.getOutputStream().write(frame, 0, listed);
+            // The contents must not be sent before they are requested: sends the list, and the rest after the request.
+            int listLength = frame.length - (4 * 5 + contents.length + 4 + 16 + 3 + 2 + 1);
+            socket.getOutputStream().write(frame, 0, listLength);
             socket.getOutputStream().flush();
-            for (int zeros = 0; zeros < 16; ) { // the request ends with a gateway of zeros
-                zeros = socket.getInputStream().read() == 0 ? zeros + 1 : 0;
+            for (int zeroBytes = 0; zeroBytes < 16; ) { // the request ends with a checksum header of 16 zero bytes
+                zeroBytes = socket.getInputStream().read() == 0 ? zeroBytes + 1 : 0;
             }
-            socket.getOutputStream().write(frame, listed, frame.length - listed);
+            socket.getOutputStream().write(frame, listLength, frame.length - listLength);
             socket.getInputStream().readAllBytes();
         }
     }
 
-    /** A pull that has its list while pushes replace one of its files and take another away. */
+    /** After a pull has received its file list, pushes replace one of its files and delete another. */
     @Test
-    void pullWhoseFilesChangeAfterTheListGetsWhatIsThereThen() throws Exception {
+    void pullGetsTheCurrentContentsOfFilesThatChangedAfterTheList() throws Exception {
         String address = start("");
-        byte[] old = "old contents".getBytes(StandardCharsets.US_ASCII);
-        byte[] now = "NEW CONTENTS, LONGER".getBytes(StandardCharsets.US_ASCII);
-        put(address, "changed", old, false);
-        put(address, "gone", old, false);
+        byte[] oldContents = "old contents".getBytes(StandardCharsets.US_ASCII);
+        byte[] newContents = "NEW CONTENTS, LONGER".getBytes(StandardCharsets.US_ASCII);
+        pushFile(address, "changed", oldContents, false);
+        pushFile(address, "gone", oldContents, false);
         try (Socket socket = new Socket()) {
             socket.connect(Addresses.parse(address));
             socket.setSoTimeout(8_000);
-            socket.getOutputStream().write(words("@RSYNCD: 31.0\npages\n--server\0--sender\0-ltpre.i\0.\0pages/\0\0"));
+            socket.getOutputStream().write(latin1("@RSYNCD: 31.0\npages\n--server\0--sender\0-ltpre.i\0.\0pages/\0\0"));
             socket.getOutputStream().write(new RsyncOut().i32(0).takeFrame().array());
-            ByteArrayOutputStream said = new ByteArrayOutputStream();
-            while (!said.toString(StandardCharsets.ISO_8859_1).contains("gone")) {
-                said.write(socket.getInputStream().read());
+            ByteArrayOutputStream received = new ByteArrayOutputStream();
+            while (!received.toString(StandardCharsets.ISO_8859_1).contains("gone")) {
+                received.write(socket.getInputStream().read());
             }
-            put(address, "changed", now, true); // takes "gone" away
-            put(address, "another", old, false); // which may be given the room that was "changed"'s
-            RsyncOut asks = new RsyncOut();
+            pushFile(address, "changed", newContents, true); // deletes "gone"
+            pushFile(address, "another", oldContents, false); // which may reuse the space that "changed" had
+            RsyncOut requests = new RsyncOut();
             for (int index = 1; index <= 2; index++) {
-                asks.index(index).u16(Rsync.ITEM_TRANSFER).i32(0).i32(0).i32(0).i32(0);
+                requests.index(index)
+                        .u16(Rsync.ITEM_TRANSFER)
+                        .i32(0)
+                        .i32(0)
+                        .i32(0)
+                        .i32(0);
             }
-            asks.index(Rsync.PHASE_END)
+            requests.index(Rsync.PHASE_END)
                     .index(Rsync.PHASE_END)
                     .index(Rsync.PHASE_END)
                     .index(Rsync.PHASE_END);
-            socket.getOutputStream().write(asks.takeFrame().array());
-            said.writeBytes(socket.getInputStream().readAllBytes());
-            String text = said.toString(StandardCharsets.ISO_8859_1);
+            socket.getOutputStream().write(requests.takeFrame().array());
+            received.writeBytes(socket.getInputStream().readAllBytes());
+            String text = received.toString(StandardCharsets.ISO_8859_1);
             assertTrue(text.contains("NEW CONTENTS, LONGER"), text);
             assertTrue(!text.contains("old contents"), text);
             assertTrue(
-                    text.contains(new String(Checksums.md5().digest(now), StandardCharsets.ISO_8859_1)),
-                    "checksum is spoiled");
+                    text.contains(new String(Checksums.md5().digest(newContents), StandardCharsets.ISO_8859_1)),
+                    "the checksum of the new contents is missing");
             assertTrue(text.contains("file has vanished: \"/gone\""), text);
         }
     }
 
     private static String line(Socket socket) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        int one;
-        while ((one = socket.getInputStream().read()) > 0 && one != '\n') {
-            line.write(one);
+        int b;
+        while ((b = socket.getInputStream().read()) > 0 && b != '\n') {
+            line.write(b);
         }
         return line.toString(StandardCharsets.ISO_8859_1);
     }
--- a/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
@@ -37,14 +37,18 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Each rule is broken on purpose by a gateway that is wrong in one thing; the checker finds just that rule broken. */
+/** Tests the rules checker: for a gateway with one fault, it reports just the rule that the fault breaks. */
 class RulesCheckerMutationTest {
     private static final long TRANSIT = 10_000;
     private static final int SEED = 3;
 
-    /** The bad scenario with some of its text replaced: pairs of old and new. */
+    /**
+     * The scenario bad.hcl with text replaced.
+     *
+     * @param changes pairs of old and new text
+     */
     private static Scenario badScenario(String... changes) throws Exception {
-        // Errors at more nodes, so that a wrong gateway shows in the usual traffic.
+        // Errors on more nodes, so that the normal traffic reveals a faulty gateway.
         String text = Files.readString(Path.of("../days/bad.hcl"))
                 .replace("nodes  = [\"n7\"]", "nodes  = [\"n0\", \"n1\", \"n3\", \"n7\"]");
         for (int i = 0; i < changes.length; i += 2) {
@@ -68,10 +72,8 @@
                 .run();
         List<Integer> broken = new ArrayList<>();
         for (Verdict verdict : result.verdicts()) {
-            assertTrue(
-                    verdict.checks() > 0 || !scenario.name().equals("bad"),
-                    verdict.name() + " was not put to the test");
-            // A wrong answer to a write shows in what is read later; that is no rule of its own.
+            assertTrue(verdict.checks() > 0 || !scenario.name().equals("bad"), verdict.name() + " was never checked");
+            // A wrong answer to a write also breaks the verdict on data read later, which is none of the seven rules.
             if (!verdict.isKept() && verdict.rule() <= 7) {
                 broken.add(verdict.rule());
             }
@@ -88,8 +90,8 @@
         return broken(scenario.withGateways(scenario.gatewaySettings(), scheduler));
     }
 
-    /** A module that is told other settings than hold. */
-    private static BiFunction<SchedulerSettings, Long, Scheduler> told(
+    /** A scheduler with settings that differ from those in force. */
+    private static BiFunction<SchedulerSettings, Long, Scheduler> withSettings(
             UnaryOperator<List<RequestClass>> classes,
             UnaryOperator<List<Plan>> plans,
             UnaryOperator<SafetyRules> rules) {
@@ -119,35 +121,36 @@
                 seed);
     }
 
-    /** A module that sees nodes otherwise than they are. */
-    private static BiFunction<SchedulerSettings, Long, Scheduler> seeing(Function<EndpointEntry, EndpointEntry> view) {
+    /** A scheduler with altered entries of the node list. */
+    private static BiFunction<SchedulerSettings, Long, Scheduler> withEndpoints(
+            Function<EndpointEntry, EndpointEntry> view) {
         return (settings, seed) -> {
-            FairQueueScheduler control = new FairQueueScheduler(settings, seed);
+            FairQueueScheduler scheduler = new FairQueueScheduler(settings, seed);
             return (now, events) -> {
                 List<SchedulerEvent> changed = new ArrayList<>();
                 for (SchedulerEvent event : events) {
                     changed.add(
-                            event instanceof EndpointUpdate news && news.kind() != EndpointUpdateKind.UNAVAILABLE
+                            event instanceof EndpointUpdate update && update.kind() != EndpointUpdateKind.UNAVAILABLE
                                     ? new EndpointUpdate(
-                                            news.kind(),
-                                            news.entries().stream().map(view).toList())
+                                            update.kind(),
+                                            update.entries().stream().map(view).toList())
                                     : event);
                 }
-                return control.decide(now, changed);
+                return scheduler.decide(now, changed);
             };
         };
     }
 
     @Test
-    void theRightHeadBreaksNone() throws Exception {
+    void correctGatewayBreaksNoRule() throws Exception {
         assertEquals(List.of(), broken(badScenario()));
     }
 
     @Test
-    void answersThatComeTooLate() throws Exception {
+    void lateAnswersBreakRule1() throws Exception {
         Scenario scenario = badScenario();
-        Function<Scenario.GatewayParameters, GatewaySettings> late = place -> {
-            GatewaySettings s = scenario.gatewaySettings().apply(place);
+        Function<Scenario.GatewayParameters, GatewaySettings> withLateReplies = parameters -> {
+            GatewaySettings s = scenario.gatewaySettings().apply(parameters);
             return new GatewaySettings(
                     s.gatewayNumber(),
                     s.incarnation(),
@@ -161,91 +164,93 @@
                     s.connections(),
                     s.files());
         };
-        assertEquals(List.of(1), broken(scenario.withGateways(late, scenario.scheduler())));
+        assertEquals(List.of(1), broken(scenario.withGateways(withLateReplies, scenario.scheduler())));
     }
 
     @Test
-    void aStoppedHeadIsNotBlamedForItsSleepButForWhatItDoesAwake() throws Exception {
+    void stoppedGatewayBreaksNoRuleUnlessItIsLateAfterItResumes() throws Exception {
         Scenario scenario =
                 ScenarioFile.read(Path.of("../days/balancer-long-stall.hcl")).scenario(SEED, TRANSIT);
         assertEquals(List.of(), broken(scenario));
-        // A gateway that takes what its clients gave up on while it was stopped for new, and one that is late as it
-        // wakes.
-        assertEquals(List.of(1), broken(scenario, ForgetsItsSleep::new));
-        assertEquals(List.of(1), broken(scenario, DawdlesAsItWakes::new));
+        // One gateway takes requests that its clients gave up while it was stopped as new; the other replies late after
+        // it resumes.
+        assertEquals(List.of(1), broken(scenario, HidesItsStop::new));
+        assertEquals(List.of(1), broken(scenario, RepliesLateAfterResuming::new));
     }
 
-    private static boolean wakes(long now, long before) {
+    private static boolean resumes(long now, long before) {
         return before > 0 && now - before > 1_000_000;
     }
 
-    /** A gateway that is given turns while it is stopped, without what came: it can't know that it slept. */
-    private record Dream(StateMachine head, long[] last) {
-        void through(long now, List<NetAction> actions) {
-            for (long at = last[0] + 50_000; wakes(now, last[0]) && at < now; at += 50_000) {
-                head.handle(at, List.of(), actions);
+    /** Gives a gateway turns without events for the time in which it was stopped, so that it cannot detect the stop. */
+    private record MissedTurns(StateMachine gateway, long[] lastTurn) {
+        void run(long now, List<NetAction> actions) {
+            for (long at = lastTurn[0] + 50_000; resumes(now, lastTurn[0]) && at < now; at += 50_000) {
+                gateway.handle(at, List.of(), actions);
             }
-            last[0] = now;
+            lastTurn[0] = now;
         }
     }
 
-    private static final class ForgetsItsSleep implements StateMachine {
-        private final Dream dream;
+    private static final class HidesItsStop implements StateMachine {
+        private final MissedTurns missedTurns;
 
-        ForgetsItsSleep(StateMachine head) {
-            dream = new Dream(head, new long[1]);
+        HidesItsStop(StateMachine gateway) {
+            missedTurns = new MissedTurns(gateway, new long[1]);
         }
 
         @Override
         public void handle(long now, List<NetEvent> events, List<NetAction> actions) {
-            dream.through(now, actions);
-            dream.head().handle(now, events, actions);
+            missedTurns.run(now, actions);
+            missedTurns.gateway().handle(now, events, actions);
         }
 
         @Override
         public long nextDeadline() {
-            return dream.head().nextDeadline();
+            return missedTurns.gateway().nextDeadline();
         }
     }
 
-    /** What it wrote in the turn in which it woke leaves half a second later. */
-    private static final class DawdlesAsItWakes implements StateMachine {
-        private static final long DAWDLE = 500_000;
-        private final StateMachine head;
-        private final List<NetAction> held = new ArrayList<>();
-        private long last;
-        private long until;
+    /** Delays the actions of the turn in which the gateway resumes by half a second. */
+    private static final class RepliesLateAfterResuming implements StateMachine {
+        private static final long DELAY = 500_000;
+        private final StateMachine gateway;
+        private final List<NetAction> heldActions = new ArrayList<>();
+        private long lastTurn;
+        private long heldUntil;
 
-        DawdlesAsItWakes(StateMachine head) {
-            this.head = head;
+        RepliesLateAfterResuming(StateMachine gateway) {
+            this.gateway = gateway;
         }
 
         @Override
         public void handle(long now, List<NetEvent> events, List<NetAction> actions) {
-            until = wakes(now, last) ? now + DAWDLE : until;
-            last = now;
-            if (now >= until) {
-                actions.addAll(held);
-                held.clear();
-                head.handle(now, events, actions);
+            heldUntil = resumes(now, lastTurn) ? now + DELAY : heldUntil;
+            lastTurn = now;
+            if (now >= heldUntil) {
+                actions.addAll(heldActions);
+                heldActions.clear();
+                gateway.handle(now, events, actions);
             } else {
-                head.handle(now, events, held);
+                gateway.handle(now, events, heldActions);
             }
         }
 
         @Override
         public long nextDeadline() {
-            return held.isEmpty() ? head.nextDeadline() : Math.min(head.nextDeadline(), Math.max(until, last));
+            return heldActions.isEmpty()
+                    ? gateway.nextDeadline()
+                    : Math.min(gateway.nextDeadline(), Math.max(heldUntil, lastTurn));
         }
     }
 
     @Test
-    void refusalOfWhatMayHaveRun() throws Exception {
+    void rejectionOfRequestsThatMayHaveRunBreaksRule2() throws Exception {
         assertEquals(List.of(2), brokenWith((settings, seed) -> {
-            FairQueueScheduler control = new FairQueueScheduler(settings, seed);
+            FairQueueScheduler scheduler = new FairQueueScheduler(settings, seed);
             return (now, events) -> {
                 List<SchedulerAction> changed = new ArrayList<>();
-                for (SchedulerAction action : control.decide(now, events)) {
+                for (SchedulerAction action : scheduler.decide(now, events)) {
                     changed.add(action instanceof FailRequest fail ? new RejectRequest(fail.id(), 0) : action);
                 }
                 return changed;
@@ -254,24 +259,24 @@
     }
 
     @Test
-    void drainsIgnored() throws Exception {
+    void ignoredDrainsBreakRule3() throws Exception {
         assertEquals(
                 List.of(3),
-                brokenWith(seeing(e -> new EndpointEntry(
+                brokenWith(withEndpoints(e -> new EndpointEntry(
                         e.address(), e.zone(), e.shard(), EndpointState.UP, e.weight(), e.startedAt()))));
     }
 
     @Test
-    void coldNodesTakenForWarm() throws Exception {
-        // What a node bears is set low, as the usual traffic of this scenario is: the right gateway keeps the rule even
-        // so.
-        Scenario weak = badScenario("power       = 250", "power       = 36");
-        assertEquals(List.of(), broken(weak));
+    void coldNodesTreatedAsWarmBreakRule4() throws Exception {
+        // The node capacity is low, like the normal traffic of this scenario; a correct gateway keeps the rule
+        // nevertheless.
+        Scenario lowCapacity = badScenario("power       = 250", "power       = 36");
+        assertEquals(List.of(), broken(lowCapacity));
         assertEquals(
                 List.of(4),
                 brokenWith(
-                        weak,
-                        told(
+                        lowCapacity,
+                        withSettings(
                                 c -> c,
                                 p -> p,
                                 r -> new SafetyRules(
@@ -289,15 +294,15 @@
     }
 
     @Test
-    void orderOfKeysIgnored() throws Exception {
-        // Few pieces of data, so that many requests meet at one.
-        Scenario narrow = badScenario("unit = \"16KiB\"", "unit = \"16KiB\"\n  key = \"2MiB\"");
-        assertEquals(List.of(), broken(narrow));
+    void ignoredOrderOfKeysBreaksRule5() throws Exception {
+        // Few keys, so that many requests have the same key.
+        Scenario fewKeys = badScenario("unit = \"16KiB\"", "unit = \"16KiB\"\n  key = \"2MiB\"");
+        assertEquals(List.of(), broken(fewKeys));
         assertEquals(
                 List.of(5),
                 brokenWith(
-                        narrow,
-                        told(
+                        fewKeys,
+                        withSettings(
                                 classes -> classes.stream()
                                         .map(c -> new RequestClass(
                                                 c.name(),
@@ -318,10 +323,10 @@
     }
 
     @Test
-    void budgetIgnored() throws Exception {
+    void ignoredRetryBudgetBreaksRule6() throws Exception {
         assertEquals(
                 List.of(6),
-                brokenWith(told(
+                brokenWith(withSettings(
                         c -> c,
                         p -> p,
                         r -> new SafetyRules(
@@ -339,10 +344,10 @@
     }
 
     @Test
-    void limitsIgnored() throws Exception {
+    void ignoredLimitsBreakRule7() throws Exception {
         assertEquals(
                 List.of(7),
-                brokenWith(told(
+                brokenWith(withSettings(
                         c -> c,
                         plans -> plans.stream()
                                 .map(p -> new Plan(
