--- a/cli/src/main/java/garnetreel/cli/testing/NodeCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/NodeCommand.java
@@ -43,7 +43,7 @@
         Settings settings = Settings.read(file);
         NodeSettings node = NodeFile.of(settings).get(name);
         if (node == null) {
-            throw new SettingsException(List.of(settings.location("/node") + "has no block node \"" + name + "\""));
+            throw new SettingsException(List.of(settings.locate("/node") + "has no block node \"" + name + "\""));
         }
         Trace trace = traceFile == null ? Trace.NONE : new TraceFile(traceFile);
         ServiceProcess process = new ServiceProcess();
--- a/cli/src/main/java/garnetreel/cli/testing/NodeFile.java
+++ b/cli/src/main/java/garnetreel/cli/testing/NodeFile.java
@@ -13,7 +13,7 @@
     /** The nodes by name, in the order of the file. */
     static Map<String, NodeSettings> of(Settings settings) {
         Map<String, NodeSettings> nodes = new LinkedHashMap<>();
-        settings.each("node", (name, path) -> nodes.put(name, node(settings, name, path)));
+        settings.forEachBlock("node", (name, path) -> nodes.put(name, node(settings, name, path)));
         return nodes;
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/NodeListCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/NodeListCommand.java
@@ -35,9 +35,9 @@
     @Override
     public Integer call() throws SettingsException, IOException {
         Settings settings = Settings.read(file);
-        String listen = settings.text("/list/listen", settings.list());
+        String listen = settings.text("/list/listen", settings.nodeListAddress());
         if (listen.isEmpty()) {
-            throw new SettingsException(List.of(settings.location("/list") + "lacks \"listen\""));
+            throw new SettingsException(List.of(settings.locate("/list") + "lacks \"listen\""));
         }
         Trace trace = traceFile == null ? Trace.NONE : new TraceFile(traceFile);
         ServiceProcess process = new ServiceProcess();
--- a/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
+++ b/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
@@ -78,7 +78,7 @@
 
     private void check(boolean valid, String path, String problem) {
         if (!valid) {
-            problems.add(settings.location(path) + problem);
+            problems.add(settings.locate(path) + problem);
         }
     }
 
@@ -96,9 +96,9 @@
             e.getValue()
                     .path("heads")
                     .forEach(h -> check(
-                            h.asInt() < settings.heads(),
+                            h.asInt() < settings.gateways(),
                             path + "/heads",
-                            "names gateway " + h.asInt() + ", but the number of gateways is " + settings.heads()));
+                            "names gateway " + h.asInt() + ", but the number of gateways is " + settings.gateways()));
             e.getValue()
                     .path("sizes")
                     .forEach(s -> check(
@@ -138,9 +138,9 @@
         nodeNames.forEach(
                 n -> check(nodes.containsKey(n), path + "/nodes", "names \"" + n + "\", which is not a defined node"));
         gateways.forEach(h -> check(
-                h < settings.heads(),
+                h < settings.gateways(),
                 path + "/heads",
-                "names gateway " + h + ", but the number of gateways is " + settings.heads()));
+                "names gateway " + h + ", but the number of gateways is " + settings.gateways()));
         loadNames.forEach(l -> check(
                 settings.root().path("load").has(l),
                 path + "/loads",
@@ -178,7 +178,7 @@
                 seed,
                 settings.micros("/day/length", "10s"),
                 settings.micros("/day/settle", "5s"),
-                settings.heads(),
+                settings.gateways(),
                 List.copyOf(nodes.values()),
                 settings.micros("/list/lag", "0s"),
                 parameters -> settings.gateway(
@@ -290,7 +290,7 @@
                     sizes,
                     index * regionBytes,
                     regionBytes,
-                    new Times(read.deadline(), write.deadline(), flush.deadline()),
+                    new Times(read.timeLimit(), write.timeLimit(), flush.timeLimit()),
                     new Times(read.latencyObjective(), write.latencyObjective(), flush.latencyObjective()),
                     load.path("retries").asInt(1),
                     settings.micros(path + "/leave_every", "0s"),
--- a/cli/src/main/java/garnetreel/cli/testing/lab/MapSizes.java
+++ b/cli/src/main/java/garnetreel/cli/testing/lab/MapSizes.java
@@ -6,9 +6,9 @@
 import garnetreel.codec.map.MapMessage;
 import garnetreel.codec.map.MapMessage.Change;
 import garnetreel.codec.map.MapMessage.Changes;
-import garnetreel.codec.map.MapMessage.Moved;
+import garnetreel.codec.map.MapMessage.MovedExtent;
+import garnetreel.codec.map.MapMessage.Snapshot;
 import garnetreel.codec.map.MapMessage.VolumeMap;
-import garnetreel.codec.map.MapMessage.Whole;
 import garnetreel.map.ExtentMap;
 import garnetreel.map.MapCache;
 import garnetreel.map.MapState;
@@ -41,12 +41,12 @@
     }
 
     /** The map of a volume of which every extent has moved, which is the largest map. */
-    private static Whole fullyMovedMap(int extents) {
-        List<Moved> moved = new ArrayList<>(extents);
+    private static Snapshot fullyMovedMap(int extents) {
+        List<MovedExtent> moved = new ArrayList<>(extents);
         for (int i = 0; i < extents; i++) {
-            moved.add(new Moved(i, (i + 3) % SHARDS.size(), i + 2L));
+            moved.add(new MovedExtent(i, (i + 3) % SHARDS.size(), i + 2L));
         }
-        return new Whole(1, extents + 1L, List.of(new VolumeMap(1, extents, 1 << 20, SHARDS, moved)));
+        return new Snapshot(1, extents + 1L, List.of(new VolumeMap(1, extents, 1 << 20, SHARDS, moved)));
     }
 
     /** Measures a refresh by one change, by 100 changes and by the full map: bytes and time. */
@@ -56,7 +56,7 @@
                         + "following one change, us | taking the whole, us |");
         out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int extents : EXTENTS) {
-            Whole whole = fullyMovedMap(extents);
+            Snapshot whole = fullyMovedMap(extents);
             long wholeBytes = MapCodec.frame(whole).remaining();
             long one = MapCodec.frame(changes(extents, 1)).remaining();
             long hundred = MapCodec.frame(changes(extents, 100)).remaining();
@@ -64,7 +64,7 @@
             double oneMicros = 0;
             for (int run = 0; run < RUNS; run++) {
                 MapCache cache = new MapCache();
-                wholeMicros = timeMicros(() -> cache.apply((Whole) read(MapCodec.frame(whole))));
+                wholeMicros = timeMicros(() -> cache.apply((Snapshot) read(MapCodec.frame(whole))));
                 oneMicros = timeMicros(() -> cache.apply((Changes) read(MapCodec.frame(changes(extents, 1)))));
             }
             out.printf(
@@ -114,7 +114,7 @@
         for (int records : RECORDS) {
             Path directory = Files.createTempDirectory("garnetreel-map-lab");
             Path file = directory.resolve("map.journal");
-            Whole initial = new Whole(1, 1, List.of(new VolumeMap(1, 100_000, 1 << 20, SHARDS, List.of())));
+            Snapshot initial = new Snapshot(1, 1, List.of(new VolumeMap(1, 100_000, 1 << 20, SHARDS, List.of())));
             MapState state = new MapState(initial);
             try (Journal journal = new Journal(file)) {
                 SplittableRandom random = new SplittableRandom(records);
@@ -133,7 +133,7 @@
                     Locale.ROOT,
                     "| %d | %d | %d | %.0f | %d | %.0f |%n",
                     state.seq(),
-                    state.map(1).toMessage().moved().size(),
+                    state.map(1).toMessage().movedExtents().size(),
                     bytes,
                     withoutSnapshot,
                     snapshotBytes,
@@ -172,7 +172,7 @@
         }
     }
 
-    private static double recoveryMillis(Path file, Whole initial, MapState expected) throws IOException {
+    private static double recoveryMillis(Path file, Snapshot initial, MapState expected) throws IOException {
         double fastest = Double.MAX_VALUE;
         for (int run = 0; run < RUNS; run++) {
             long from = System.nanoTime();
--- a/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
@@ -106,8 +106,8 @@
                         s.coldEndpointCapacity(),
                         s.meanUnits(),
                         s.maxUnits(),
-                        s.quotaWeight(),
-                        s.idleWeight(),
+                        s.provisionedWeight(),
+                        s.excessWeight(),
                         s.reportsOtherGateways(),
                         s.meteringPeriod(),
                         s.maxAttempts(),
@@ -263,7 +263,7 @@
         assertEquals(
                 List.of(3),
                 brokenWith(withEndpoints(e -> new EndpointEntry(
-                        e.address(), e.zone(), e.shard(), EndpointState.UP, e.weight(), e.startedAt()))));
+                        e.name(), e.zone(), e.shard(), EndpointState.UP, e.weight(), e.startedAt()))));
     }
 
     @Test
@@ -308,7 +308,7 @@
                                                 c.name(),
                                                 c.latencyObjective(),
                                                 c.latencyObjectiveStretch(),
-                                                c.deadline(),
+                                                c.timeLimit(),
                                                 c.idempotency(),
                                                 c.deduplicationScope(),
                                                 c.lateCredit(),
