--- a/core/src/main/java/garnetreel/core/ExtentLayout.java
+++ b/core/src/main/java/garnetreel/core/ExtentLayout.java
@@ -14,7 +14,8 @@
      * The location of an extent.
      *
      * @param shard the shard that holds the extent
-     * @param version version of this placement; 0 for an initial layout, which has no versions
+     * @param version version of the extent; 0 for an initial placement that is not from the extent map, which alone
+     *     assigns versions
      * @param end offset of the first byte after the extent
      */
     record ExtentLocation(int shard, long version, long end) {}
--- a/core/src/main/java/garnetreel/core/Gateway.java
+++ b/core/src/main/java/garnetreel/core/Gateway.java
@@ -62,12 +62,12 @@
 
     private volatile Statistics statistics = new Statistics(0, 0, 0, 0, 0, 0, 0, 0, 0);
     private boolean started;
-    private boolean draining;
+    private boolean shuttingDown;
     private boolean stopped;
     private long now;
 
     /**
-     * A gateway without a file catalogue.
+     * A gateway that starts with an empty file catalogue.
      *
      * @param scheduler a new scheduler
      * @param cachedNodeList the last {@link NetAction.Persist} under {@link NodeListClient#CACHE_NAME}; null for none
@@ -123,16 +123,16 @@
         expire();
         runScheduler(actions);
         byteBudget.notifyWaiting();
-        stopIfDrained(actions);
+        stopIfIdle(actions);
         statistics = currentStatistics();
     }
 
     private void beginTurn(List<NetAction> actions) {
-        long receivedAt = pauseDetector.beginTurn(now, hasClients(), actions);
+        long earliestReceivedAt = pauseDetector.beginTurn(now, hasClients(), actions);
         nodes.beginTurn(now, actions);
         nodeList.beginTurn(now, actions);
         mapService.beginTurn(now, actions);
-        requests.beginTurn(now, receivedAt);
+        requests.beginTurn(now, earliestReceivedAt);
         nbd.beginTurn(now, actions);
         fileCatalogue.beginTurn(now, actions);
         rsync.beginTurn(now, actions);
@@ -161,7 +161,7 @@
         } else if (event instanceof NetEvent.Appended appended) {
             fileCatalogue.appended(appended.sequence());
         } else if (event instanceof NetEvent.CommandReceived received && received.command() instanceof Drain) {
-            drain(actions);
+            shutDown(actions);
         } else {
             connectionEvents.dispatch(event);
         }
@@ -176,11 +176,11 @@
         return "can't listen for " + failed.listener() + " clients on " + address + ": " + failed.reason();
     }
 
-    private void drain(List<NetAction> actions) {
-        if (draining) {
+    private void shutDown(List<NetAction> actions) {
+        if (shuttingDown) {
             return;
         }
-        draining = true;
+        shuttingDown = true;
         actions.add(new NetAction.StopListening(NBD));
         if (servesFiles()) {
             actions.add(new NetAction.StopListening(RSYNC));
@@ -205,12 +205,12 @@
     private void runScheduler(List<NetAction> actions) {
         scheduler.expireTimers(now, requests::addEvent);
         if (requests.hasEvents()) {
-            scheduler.decide(now, requests.drainEvents(), actions);
+            scheduler.decide(now, requests.takeEvents(), actions);
         }
     }
 
-    private void stopIfDrained(List<NetAction> actions) {
-        if (draining && !stopped && !hasClients() && requests.operations() == 0) {
+    private void stopIfIdle(List<NetAction> actions) {
+        if (shuttingDown && !stopped && !hasClients() && requests.operations() == 0) {
             stopped = true;
             actions.add(new NetAction.Stopped());
         }
--- a/core/src/main/java/garnetreel/core/GatewaySettings.java
+++ b/core/src/main/java/garnetreel/core/GatewaySettings.java
@@ -11,11 +11,11 @@
  * @param incarnation number that is different at each start of the gateway
  * @param nbdAddress address for NBD clients, host:port
  * @param nodeListAddress address of the node list service, host:port
- * @param mapServiceAddress address of the map service, host:port; empty if extents never move from their initial layout
+ * @param mapServiceAddress address of the map service, host:port; empty if extents never leave their initial placement
  * @param scheduling settings of the scheduler
  * @param volumes all volumes; NBD clients see those of {@link #exports()}
- * @param replyMargin microseconds by which the gateway's deadline for a reply precedes that of the request class, to allow
- *     for the transfer to the client
+ * @param replyMargin microseconds by which the gateway's deadline for a reply precedes that of the request class, to
+ *     allow for the transfer to the client
  * @param bounds limits of the resources that the gateway uses
  * @param connections settings of the connections to nodes, node list and map service
  * @param files settings of the rsync service
@@ -59,9 +59,9 @@
     /**
      * Settings of the rsync service.
      *
-     * @param nbdAddress address for rsync clients, host:port; empty if rsync is not served
+     * @param rsyncAddress address for rsync clients, host:port; empty if rsync is not served
      * @param modules the modules that clients can choose from
-     * @param secret random secret from which authentication challenges are derived
+     * @param challengeSecret random secret from which authentication challenges are derived
      */
     public record Files(String rsyncAddress, List<Module> modules, byte[] challengeSecret) {
         /** The rsync service is disabled. */
@@ -80,17 +80,18 @@
     /**
      * Resource limits of a gateway. The behaviour at each limit is described in docs/gateway.md.
      *
-     * @param connections maximum of client connections
-     * @param connectionRequests maximum of requests in progress per connection; at the limit, reading from it is
-     *     suspended
-     * @param gatewayRequests maximum of operations in progress at this gateway; at the limit, new ones are rejected
-     * @param connectionBytes maximum of payload and reply bytes buffered per connection; at the limit, reading is
-     *     suspended
+     * @param connections maximum number of client connections
+     * @param connectionRequests maximum number of operations (client requests) in progress per connection; at the
+     *     limit, reading from it is suspended
+     * @param gatewayRequests maximum number of operations in progress at this gateway; at the limit, new ones are
+     *     rejected
+     * @param connectionBytes maximum number of payload and reply bytes buffered per connection; at the limit, reading
+     *     is suspended
      * @param gatewayBytes byte budget shared by all client connections
      * @param maxPayload maximum size of a read or write in bytes
      * @param unitBytes bytes that the scheduler counts as one unit; a sub-request has at most its {@code maxUnits}
      * @param keyBytes size of the blocks whose bytes share a key; the scheduler orders and nodes deduplicate by key
-     * @param handshake time limit of a client's handshake, in microseconds
+     * @param handshakeTimeout time limit of a client's handshake, in microseconds
      */
     public record Bounds(
             int connections,
@@ -106,15 +107,15 @@
     /**
      * Settings of the connections to nodes, node list and map service; times are in microseconds.
      *
-     * @param maxPerNode maximum of connections to one node
-     * @param maxAttempts maximum of attempts in flight on a connection to a node
-     * @param idle time after which an unused connection to a node is closed
+     * @param maxPerNode maximum number of connections to one node
+     * @param maxAttempts maximum number of attempts in flight on a connection to a node
+     * @param idleTimeout time after which an unused connection to a node is closed
      * @param connectTimeout time within which a connection to a node must be ready
-     * @param listCall time within which the node list service must answer a call
-     * @param listSilence time without a message after which a connection to the map service or a node list subscription
-     *     counts as broken
-     * @param followMap whether to subscribe to changes of the extent map; if false, they are requested only after a
-     *     stale answer
+     * @param nodeListCallTimeout time within which the node list service must answer a call
+     * @param silenceTimeout time without a message after which a connection to the map service or a node list
+     *     subscription counts as broken
+     * @param subscribeToMap whether to subscribe to changes of the extent map; if false, they are requested only after
+     *     a stale answer
      */
     public record ConnectionSettings(
             int maxPerNode,
--- a/core/src/main/java/garnetreel/core/ProcessPauseDetector.java
+++ b/core/src/main/java/garnetreel/core/ProcessPauseDetector.java
@@ -6,13 +6,13 @@
 
 /**
  * Detects that this process was paused or got no CPU time. Requests may have waited in the sockets meanwhile; if their
- * deadlines were counted from when they are read, these would end after the clients have given up. Data read right
- * after a pause therefore counts as received when the pause began. Requests that arrived towards the end of the pause
- * get less time than they should.
+ * deadlines were counted from when they are read, the deadlines would pass only after the clients have given up. Data
+ * read right after a pause therefore counts as received when the pause began. Requests that arrived towards the end of
+ * the pause get less time than they should.
  */
 public final class ProcessPauseDetector {
     private static final long MICROS_PER_MILLI = 1000;
-    /** Interval at which a gateway with clients takes a turn at least, so that a much longer gap indicates a pause. */
+    /** Maximum interval between turns while clients are connected, so that a much longer gap indicates a pause. */
     private static final long HEARTBEAT_MICROS = 50_000;
     /** A shorter gap may be a late turn on a busy host. */
     private static final long PAUSE_THRESHOLD_MICROS = 4 * HEARTBEAT_MICROS;
--- a/core/src/main/java/garnetreel/core/SchedulerDriver.java
+++ b/core/src/main/java/garnetreel/core/SchedulerDriver.java
@@ -45,7 +45,7 @@
         /** Closes the connections to an endpoint that have no attempts. */
         void closeIdle(CloseIdleConnections close);
 
-        /** Starts or ends the subscription to the list of endpoints. */
+        /** Starts or ends the subscription to the list of endpoints, which in a block gateway is the node list. */
         void subscribe(SubscribeEndpoints subscribe);
 
         /** Requests the list of endpoints once. */
--- a/core/src/main/java/garnetreel/core/connection/AttemptTracker.java
+++ b/core/src/main/java/garnetreel/core/connection/AttemptTracker.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** The attempts that have not ended, with their connections and time-outs. */
+/** The attempts that have not ended, with their connections and timeouts. */
 final class AttemptTracker {
     private final Map<AttemptKey, Long> connectionIds = new HashMap<>();
     private final TreeSet<NodeAttempt> byTimeout = new TreeSet<>(Comparator.comparingLong(NodeAttempt::timeoutAt)
@@ -27,7 +27,7 @@
         return connectionIds.get(key);
     }
 
-    /** The attempt with the earliest time-out if that has passed; null otherwise. */
+    /** The attempt with the earliest timeout if that has passed; null otherwise. */
     NodeAttempt firstTimedOut(long now) {
         return nextDeadline() <= now ? byTimeout.first() : null;
     }
--- a/core/src/main/java/garnetreel/core/connection/HealthCheckTracker.java
+++ b/core/src/main/java/garnetreel/core/connection/HealthCheckTracker.java
@@ -8,7 +8,7 @@
 
 /** The health checks in flight. */
 final class HealthCheckTracker {
-    /** Limit of checks in flight over all nodes; further ones are reported as not started. */
+    /** Maximum number of checks in flight over all nodes; further ones are reported as not started. */
     private static final int MAX_IN_FLIGHT = 64;
 
     private final Map<Long, HealthCheck> inFlight = new TreeMap<>();
--- a/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
+++ b/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
@@ -27,16 +27,18 @@
  * nodes reject requests routed by an outdated version. Updates arrive by subscription and are requested after a stale
  * answer.
  *
- * <p>To limit the load on the service, there is one call at a time. After a failure, a backoff doubles from
- * {@link #INITIAL_BACKOFF_MICROS} to {@link #MAX_BACKOFF_MICROS}; its jitter spreads the calls of gateways that
- * reconnect at the same time.
+ * <p>A call is a Subscribe message, preceded by connecting if there is no connection; a gateway that does not subscribe
+ * closes the connection after the answer. To limit the load on the service, there is one call at a time. After a
+ * failure, the mean delay before the next one doubles from {@link #INITIAL_BACKOFF_MICROS} to
+ * {@link #MAX_BACKOFF_MICROS}; jitter of half the mean to either side spreads the calls of gateways that reconnect at
+ * the same time.
  */
 public final class MapServiceClient implements ExtentRouter, ConnectionHandler {
     /** Name under which the extent map is persisted. */
     public static final String CACHE_NAME = "map";
 
     private static final long INITIAL_BACKOFF_MICROS = 100_000;
-    /** Bounds the time until a gateway reconnects to a service that is available again. */
+    /** Bounds the mean time until a gateway reconnects to a service that is available again. */
     private static final long MAX_BACKOFF_MICROS = 5_000_000;
     /** Minimum time between two writes of the map to disk, so that a burst of migrations causes no burst of writes. */
     private static final long PERSIST_INTERVAL_MICROS = 1_000_000;
@@ -114,9 +116,10 @@
     }
 
     /**
-     * Schedules a call to the map service if there is no connection. With one, the update is already on its way. A
-     * gateway that does not subscribe calls as soon as the interval between calls allows, since its next requests would
-     * be stale too; a gateway that subscribes calls after a jittered delay.
+     * Schedules a call to the map service if there is no connection. With one, an update follows anyway: by
+     * subscription, or as the answer to the call in flight or due. A gateway that does not subscribe calls as soon as
+     * the interval between calls allows, since its next requests would be stale too; a gateway that subscribes calls
+     * after a jittered delay.
      */
     @Override
     public void reportStale() {
@@ -140,7 +143,7 @@
 
     // ---------------------------------------------------------------- calls
 
-    private void call() {
+    private void connectOrSubscribe() {
         nextCallAt = Long.MAX_VALUE;
         if (connectionId == 0) {
             connectionId = connectionIds.next();
@@ -297,7 +300,7 @@
             if (callInFlight) {
                 nextCallAt = now + INITIAL_BACKOFF_MICROS;
             } else {
-                call();
+                connectOrSubscribe();
             }
         }
         if (now >= nextPersistAt) {
--- a/core/src/main/java/garnetreel/core/connection/NodeAttempt.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeAttempt.java
@@ -6,10 +6,10 @@
  * @param subRequestId id of the sub-request at the scheduler
  * @param index index of the attempt among those of the sub-request
  * @param node address of the node
- * @param sentAt when it was passed to the connection pool
+ * @param startedAt when it was passed to the connection pool, which may queue it
  * @param timeoutAt when it times out
  */
-public record NodeAttempt(long subRequestId, int index, String node, long sentAt, long timeoutAt) {
+public record NodeAttempt(long subRequestId, int index, String node, long startedAt, long timeoutAt) {
     AttemptKey key() {
         return new AttemptKey(subRequestId, index);
     }
--- a/core/src/main/java/garnetreel/core/connection/NodeConnection.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnection.java
@@ -53,7 +53,7 @@
     }
 
     /** Number of attempts that are sent and not ended, or queued. */
-    int load() {
+    int openAttempts() {
         return sent.size() + queued.size();
     }
 
@@ -62,7 +62,7 @@
         return time + clockOffset;
     }
 
-    /** When it is to be closed, unless used before: not ready within the connect timeout, or idle. */
+    /** When it must be closed: because it is not ready within the connect timeout, or because it is idle. */
     long nextDeadline(GatewaySettings.ConnectionSettings settings) {
         if (!ready) {
             return openedAt + settings.connectTimeout();
--- a/core/src/main/java/garnetreel/core/connection/NodeConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnectionPool.java
@@ -22,17 +22,24 @@
 import java.util.Map;
 
 /**
- * The connections to nodes and the attempts on them. An attempt ends exactly once: by its answer, time-out,
+ * The connections to nodes and the attempts on them. An attempt ends exactly once: by its answer, timeout,
  * cancellation, or the end of its connection. An answer is matched by connection, sub-request id and attempt index
  * only.
  *
  * <p>The outcome tells whether an attempt may have been executed, and so whether a retry is safe:
  * <ul>
+ * <li>OK, ERROR: the node answered so;
+ * <li>OVERLOADED: the node's queue is full, so it was not executed;
+ * <li>NOT_STARTED: the node does not serve the shard or the version of the extent, so it was not executed;
+ * <li>CANCELLED: it was cancelled, and if it had been sent, it may have been executed;
  * <li>CONNECT_FAILED: its request was never passed to a ready connection, so it was not executed;
  * <li>RESET: the connection ended after the request was passed to it, so it may have been executed;
  * <li>TIMEOUT: there was no answer in time, so it may have been executed. An answer that arrives later matches no
  *     attempt and is counted as late.
  * </ul>
+ *
+ * <p>A health check ends as NOT_STARTED if there is no connection for it or too many checks are in flight, and as
+ * CONNECT_FAILED if the connection is not ready yet.
  */
 public final class NodeConnectionPool implements ConnectionHandler {
     /** Is notified of the ends of attempts and health checks. */
@@ -160,7 +167,7 @@
     /** Closes the connections to a node that have no attempts. */
     public void closeIdle(String node) {
         for (NodeConnection connection : connections.of(node)) {
-            if (connection.load() == 0) {
+            if (connection.openAttempts() == 0) {
                 close(connection, false);
             }
         }
@@ -204,8 +211,8 @@
             handshakeCompleted(connection, welcome);
         } else if (message instanceof Answer answer) {
             answered(connection, answer);
-        } else if (message instanceof ProbeReply probed) {
-            healthCheckAnswered(probed);
+        } else if (message instanceof ProbeReply reply) {
+            healthCheckAnswered(reply);
         } else {
             throw new ProtocolException(
                     "unexpected message " + message.getClass().getSimpleName());
@@ -240,10 +247,10 @@
         };
     }
 
-    private void healthCheckAnswered(ProbeReply probed) {
-        HealthCheck check = healthChecks.complete(probed.id());
+    private void healthCheckAnswered(ProbeReply reply) {
+        HealthCheck check = healthChecks.complete(reply.id());
         if (check != null) {
-            endHealthCheck(check, Outcome.OK, probed.load());
+            endHealthCheck(check, Outcome.OK, reply.load());
         }
     }
 
--- a/core/src/main/java/garnetreel/core/connection/NodeConnectionTable.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnectionTable.java
@@ -56,11 +56,12 @@
         }
     }
 
-    /** The least loaded ready connection with capacity, else the least loaded one being opened; null if none. */
+    /** The least loaded connection with capacity, ready ones before those being opened; null if there is none. */
     NodeConnection leastLoaded(String node) {
         NodeConnection best = null;
         for (NodeConnection connection : byNode.getOrDefault(node, List.of())) {
-            if (connection.load() < settings.maxAttempts() && (best == null || isPreferable(connection, best))) {
+            if (connection.openAttempts() < settings.maxAttempts()
+                    && (best == null || isPreferable(connection, best))) {
                 best = connection;
             }
         }
@@ -71,7 +72,7 @@
         if (candidate.ready() != best.ready()) {
             return candidate.ready();
         }
-        return candidate.load() < best.load();
+        return candidate.openAttempts() < best.openAttempts();
     }
 
     /** Whether another connection to a node may be opened. */
--- a/core/src/main/java/garnetreel/core/io/NetAction.java
+++ b/core/src/main/java/garnetreel/core/io/NetAction.java
@@ -8,8 +8,8 @@
     /**
      * Binds a listener; answered by {@link NetEvent.Listening} or {@link NetEvent.ListenFailed}.
      *
-     * @param maxConnections maximum of open connections of this listener, including those being closed; further ones
-     *     are not accepted until one has ended. 0 for no limit
+     * @param maxConnections maximum number of open connections of this listener, including those being closed; further
+     *     ones are not accepted until one has ended. 0 for no limit
      */
     record Listen(String listener, String address, int maxConnections) implements NetAction {
         /** A listener without a limit on its connections. */
@@ -64,7 +64,7 @@
     /** Writes a line to the log. */
     record Log(Level level, String text) implements NetAction {}
 
-    /** The state machine has stopped as commanded. The driver completes graceful closes first. */
+    /** The state machine has stopped as commanded. The driver stops once all graceful closes are complete. */
     record Stopped() implements NetAction {}
 
     /** Severity of a {@link Log}. */
--- a/core/src/main/java/garnetreel/core/io/StateMachine.java
+++ b/core/src/main/java/garnetreel/core/io/StateMachine.java
@@ -14,7 +14,7 @@
      * Handles the events since the last turn. The first turn has no events; in it, the state machine starts to listen
      * and connect.
      *
-     * @param now microseconds since the epoch, so that hosts can compare times, by a clock that never goes back
+     * @param now microseconds since the epoch, as the start times in the node list are, by a clock that never goes back
      * @param actions receives the requested actions, in order
      */
     void handle(long now, List<NetEvent> events, List<NetAction> actions);
--- a/core/src/main/java/garnetreel/core/request/BlockBackend.java
+++ b/core/src/main/java/garnetreel/core/request/BlockBackend.java
@@ -42,7 +42,7 @@
     }
 
     /** A range of bytes with the same block status, for example zeroes or a hole. */
-    record ExtentStatus(int length, int flags) {}
+    record BlockStatusRange(int length, int flags) {}
 
     /**
      * The reply to an operation.
@@ -59,7 +59,7 @@
             long errorOffset,
             String message,
             ByteBuffer data,
-            List<ExtentStatus> extents) {
+            List<BlockStatusRange> extents) {
         private static final Reply DONE = new Reply(ReplyStatus.SERVED, 0, -1, "", null, List.of());
 
         /** A successful reply without data. */
--- a/core/src/main/java/garnetreel/core/request/BlockOperation.java
+++ b/core/src/main/java/garnetreel/core/request/BlockOperation.java
@@ -8,9 +8,10 @@
 import java.util.List;
 
 /**
- * A client's request in progress, with its open sub-requests and the results of the completed ones. Sub-requests are
- * created gradually, as the number of open ones is limited. After the first one that is rejected or fails, no further
- * ones are created; the reply waits for those still open, so that none is executed after the reply.
+ * An operation, that is a client's request in progress, with its open sub-requests and the results of the completed
+ * ones. Sub-requests are created gradually, as the number of open ones is limited. After the first one that is rejected
+ * or fails, no further ones are created; the reply waits for those still open, so that no attempt is started after the
+ * reply.
  */
 final class BlockOperation implements BlockBackend.OperationHandle {
     final Volume volume;
--- a/core/src/main/java/garnetreel/core/request/NodeAnswerReader.java
+++ b/core/src/main/java/garnetreel/core/request/NodeAnswerReader.java
@@ -1,7 +1,7 @@
 package garnetreel.core.request;
 
 import garnetreel.codec.node.NodeMessage.Op;
-import garnetreel.core.request.BlockBackend.ExtentStatus;
+import garnetreel.core.request.BlockBackend.BlockStatusRange;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +13,9 @@
 
     private NodeAnswerReader() {}
 
-    /** Stores a block status result in the sub-request; returns false if the answer does not match the request. */
+    /**
+     * Validates an answer and stores a block status result in the sub-request; false if it does not match the request.
+     */
     static boolean read(SubRequest subRequest, ByteBuffer data) {
         Op op = subRequest.operation.op;
         if (op == Op.READ) {
@@ -23,10 +25,10 @@
     }
 
     private static boolean readStatus(SubRequest subRequest, ByteBuffer data) {
-        List<ExtentStatus> extents = new ArrayList<>();
+        List<BlockStatusRange> extents = new ArrayList<>();
         long covered = 0;
         while (data.remaining() >= STATUS_BYTES) {
-            ExtentStatus extent = new ExtentStatus(data.getInt(), data.getInt());
+            BlockStatusRange extent = new BlockStatusRange(data.getInt(), data.getInt());
             if (extent.length() <= 0) {
                 return false;
             }
--- a/core/src/main/java/garnetreel/core/request/PendingEvents.java
+++ b/core/src/main/java/garnetreel/core/request/PendingEvents.java
@@ -17,9 +17,9 @@
     }
 
     /** Removes and returns all events. Events added while these are handled go to a new list. */
-    List<SchedulerEvent> drain() {
-        List<SchedulerEvent> drained = events;
+    List<SchedulerEvent> takeAll() {
+        List<SchedulerEvent> taken = events;
         events = new ArrayList<>();
-        return drained;
+        return taken;
     }
 }
--- a/core/src/main/java/garnetreel/core/request/ReplyComposer.java
+++ b/core/src/main/java/garnetreel/core/request/ReplyComposer.java
@@ -1,7 +1,7 @@
 package garnetreel.core.request;
 
 import garnetreel.codec.node.NodeMessage.Op;
-import garnetreel.core.request.BlockBackend.ExtentStatus;
+import garnetreel.core.request.BlockBackend.BlockStatusRange;
 import garnetreel.core.request.BlockBackend.Reply;
 import garnetreel.core.request.BlockBackend.ReplyStatus;
 import java.nio.ByteBuffer;
@@ -12,7 +12,7 @@
  * Composes the reply to an operation from the results of its sub-requests. The reply is
  * <ul>
  * <li>served, if all sub-requests were served;
- * <li>rejected, if the others were all rejected and, for an operation that changes data, none was served: the client
+ * <li>rejected, if some were rejected, none failed and, for an operation that changes data, none was served: the client
  *     retries the operation as a whole, and the retry must not repeat an effect;
  * <li>failed otherwise.
  * </ul>
@@ -91,23 +91,23 @@
     }
 
     /** The block status in order of offset; adjacent extents with the same flags are merged. */
-    private List<ExtentStatus> mergedExtents() {
+    private List<BlockStatusRange> mergedExtents() {
         if (op != Op.STATUS) {
             return List.of();
         }
         statusResults.sort((a, b) -> Long.compare(a.offset, b.offset));
-        List<ExtentStatus> merged = new ArrayList<>();
+        List<BlockStatusRange> merged = new ArrayList<>();
         for (SubRequest subRequest : statusResults) {
             subRequest.extents.forEach(extent -> append(merged, extent));
         }
         return merged;
     }
 
-    private static void append(List<ExtentStatus> merged, ExtentStatus extent) {
+    private static void append(List<BlockStatusRange> merged, BlockStatusRange extent) {
         int lastIndex = merged.size() - 1;
-        ExtentStatus last = merged.isEmpty() ? null : merged.get(lastIndex);
+        BlockStatusRange last = merged.isEmpty() ? null : merged.get(lastIndex);
         if (last != null && last.flags() == extent.flags()) {
-            merged.set(lastIndex, new ExtentStatus(last.length() + extent.length(), last.flags()));
+            merged.set(lastIndex, new BlockStatusRange(last.length() + extent.length(), last.flags()));
         } else {
             merged.add(extent);
         }
--- a/core/src/main/java/garnetreel/core/request/RequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/request/RequestRegistry.java
@@ -22,14 +22,21 @@
  * The block requests of a gateway. It splits operations into sub-requests at extent boundaries, reports each
  * sub-request to the scheduler, executes the scheduler's decisions, and gives one reply per operation.
  *
- * <p>The scheduler alone decides on sending, waiting, rejecting, retrying and node health. This class replies without
- * it only if the limit of concurrent operations is reached, if a request's deadline passed before it was read, or if a
- * deadline passes without a decision.
+ * <p>The scheduler alone decides on sending, waiting, rejecting, retrying and node health. Without it, this class
+ * <ul>
+ * <li>rejects an operation if the limit of concurrent operations is reached, or if its deadline passed before it was
+ *     read;
+ * <li>rejects a sub-request that still waits for a newer extent map at its deadline;
+ * <li>fails a sub-request without a decision at its deadline, and a flush whose node has lost writes in a restart.
+ * </ul>
  */
 public final class RequestRegistry implements BlockBackend {
-    /** Limit of sub-requests of one operation at the scheduler at a time, so that a trim of 4 GiB does not flood it. */
+    /**
+     * Maximum number of open sub-requests of one operation, so that a trim of 4 GiB does not flood the scheduler. A
+     * flush is exempt: it has one for each shard with unflushed writes.
+     */
     private static final int MAX_OPEN_SUB_REQUESTS = 32;
-    /** Limit of reroutes of a sub-request; after that a stale answer counts as any other failed attempt. */
+    /** Maximum number of reroutes of a sub-request; after that a stale answer counts as any other failed attempt. */
     private static final int MAX_REROUTES = 20;
 
     private final GatewaySettings settings;
@@ -41,7 +48,7 @@
     private final SubRequestTable subRequests = new SubRequestTable(events);
     private final UnflushedWrites unflushedWrites = new UnflushedWrites();
     private long now;
-    private long receivedAt;
+    private long earliestReceivedAt;
     private int operations;
     private long rejectedAtLimit;
     private long missedDeadlines;
@@ -61,16 +68,16 @@
      * Begins a turn.
      *
      * @param time the time of this turn
-     * @param earliestReceipt the earliest time at which the data read in this turn may have been received
+     * @param earliestReceived the earliest time at which the data read in this turn may have been received
      */
-    public void beginTurn(long time, long earliestReceipt) {
+    public void beginTurn(long time, long earliestReceived) {
         now = time;
-        receivedAt = earliestReceipt;
+        earliestReceivedAt = earliestReceived;
     }
 
     /** Removes and returns the events not yet passed to the scheduler. */
-    public List<SchedulerEvent> drainEvents() {
-        return events.drain();
+    public List<SchedulerEvent> takeEvents() {
+        return events.takeAll();
     }
 
     /** Adds an event for the scheduler that does not concern a request. */
@@ -93,7 +100,10 @@
         return rejectedAtLimit;
     }
 
-    /** Sub-requests for which the scheduler gave no result by their deadline; above 0 only if it has a defect. */
+    /**
+     * Sub-requests for which the scheduler gave no result by their deadline; above 0 only after a late turn or if the
+     * scheduler has a defect.
+     */
     public long missedDeadlines() {
         return missedDeadlines;
     }
@@ -116,7 +126,7 @@
             long tag,
             BlockBackend.Callback callback) {
         RequestClass requestClass = requestClass(volume, op);
-        long deadline = receivedAt + requestClass.timeLimit() - settings.replyMargin();
+        long deadline = earliestReceivedAt + requestClass.timeLimit() - settings.replyMargin();
         BlockOperation operation =
                 new BlockOperation(volume, op, offset, length, data, sync, tag, callback, requestClass, deadline);
         if (operations >= settings.bounds().gatewayRequests()) {
@@ -285,7 +295,7 @@
                 attempt.index(),
                 attempt.node(),
                 outcome,
-                now - attempt.sentAt(),
+                now - attempt.startedAt(),
                 completed,
                 answer == null ? 0 : answer.unitsFromOtherGateways(),
                 answer == null ? 0 : answer.usage(),
@@ -352,9 +362,9 @@
     }
 
     /**
-     * Reroutes the sub-requests that are due, and ends those for which the scheduler gave no result by their deadline.
-     * The latter ensures that every request is answered despite a defect in the scheduler or a late turn; it is
-     * harmless, as the client has given up by then.
+     * Reroutes all waiting sub-requests once the oldest has waited for {@link ReroutingQueue#REROUTE_AFTER_MICROS}, and
+     * ends those for which the scheduler gave no result by their deadline. The latter ensures that every request is
+     * answered despite a defect in the scheduler or a late turn; it is harmless, as the client has given up by then.
      */
     public void expire() {
         if (now >= subRequests.nextReroute()) {
--- a/core/src/main/java/garnetreel/core/request/RequestSplitter.java
+++ b/core/src/main/java/garnetreel/core/request/RequestSplitter.java
@@ -6,7 +6,10 @@
 
 /** Splits operations into sub-requests, at extent boundaries and by the largest request that the scheduler accepts. */
 final class RequestSplitter {
-    /** Limit of extents that a block status reply covers; NBD allows it to cover less than was requested. */
+    /**
+     * A block status operation ends with the sub-request after which it covers at least this many times that
+     * sub-request's bytes, usually an extent each; NBD allows the reply to cover less than was requested.
+     */
     private static final int MAX_STATUS_EXTENTS = 32;
     /**
      * A key holds the volume in its upper and the block in its lower bits; the wire protocol requires keys below 2^53.
@@ -41,7 +44,7 @@
         long end = Math.min(operation.offset + operation.length, location.end());
         boolean carriesData = operation.op == Op.READ || operation.op == Op.WRITE;
         if (carriesData) {
-            // Cut at unit boundaries, so that adjacent sub-requests within a block share its key.
+            // Cut at multiples of the maximum size, so that the cuts do not depend on where an operation begins.
             end = Math.min(end, (offset / maxSubRequestBytes + 1) * maxSubRequestBytes);
         }
         int length = (int) Math.min(Integer.MAX_VALUE, end - offset);
@@ -63,7 +66,10 @@
                 operation.deadline);
     }
 
-    /** Creates a flush of one shard; the sub-request has the shard number in place of an offset. */
+    /**
+     * Creates a flush of one shard. The sub-request has the shard number in place of an offset, so the reply to a
+     * failed flush has the message of the lowest shard that failed, and its number as the error offset.
+     */
     static SubRequest flush(BlockOperation operation, int shard, long lastWriteCovered, long id) {
         SubRequest flush = new SubRequest(id, operation, shard, 0, shard, 0, 1, SubRequest.NO_KEY, operation.deadline);
         flush.lastWriteCovered = lastWriteCovered;
--- a/core/src/main/java/garnetreel/core/request/ReroutingQueue.java
+++ b/core/src/main/java/garnetreel/core/request/ReroutingQueue.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Sub-requests that wait for a newer extent map because their extent has moved, in the order of creation. */
+/**
+ * Sub-requests that wait for a newer extent map because their extent has moved, or because they must follow one that
+ * waits, in the order of creation.
+ */
 final class ReroutingQueue {
     /** Microseconds after which waiting sub-requests are rerouted even without a newer map. */
     static final long REROUTE_AFTER_MICROS = 50_000;
@@ -27,11 +30,11 @@
     }
 
     /** Removes and returns all sub-requests, oldest first. */
-    List<SubRequest> drain() {
+    List<SubRequest> takeAll() {
         rerouteAt = Long.MAX_VALUE;
-        List<SubRequest> drained = List.copyOf(waiting.values());
+        List<SubRequest> taken = List.copyOf(waiting.values());
         waiting.clear();
-        return drained;
+        return taken;
     }
 
     /** When the waiting sub-requests are to be rerouted at the latest; {@link Long#MAX_VALUE} for never. */
--- a/core/src/main/java/garnetreel/core/request/SubRequest.java
+++ b/core/src/main/java/garnetreel/core/request/SubRequest.java
@@ -10,7 +10,10 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** One request to the scheduler: the part of an operation that lies within one extent. */
+/**
+ * One request to the scheduler: a part of an operation that one shard executes. It lies within one extent; only a flush
+ * concerns the whole shard.
+ */
 final class SubRequest {
     /** Key of a flush, which does not concern a single block. */
     static final long NO_KEY = -1;
@@ -39,7 +42,7 @@
     /** Its result is known; attempts of it may still be in flight. */
     boolean completed;
     /** The result of a block status. */
-    List<BlockBackend.ExtentStatus> extents = List.of();
+    List<BlockBackend.BlockStatusRange> extents = List.of();
 
     private int attemptsStarted;
     private int attemptsInFlight;
--- a/core/src/main/java/garnetreel/core/request/SubRequestTable.java
+++ b/core/src/main/java/garnetreel/core/request/SubRequestTable.java
@@ -83,7 +83,7 @@
 
     /** Reroutes the waiting sub-requests in the order of creation; to the scheduler each is a new request. */
     void reroute(ExtentRouter router) {
-        for (SubRequest subRequest : rerouting.drain()) {
+        for (SubRequest subRequest : rerouting.takeAll()) {
             ExtentLayout.ExtentLocation location = router.locate(subRequest.operation.volume, subRequest.offset);
             // The set's comparator uses the id, so the sub-request must not be in the set while the id changes.
             byDeadline.remove(subRequest);
--- a/core/src/main/java/garnetreel/core/request/UnflushedWrites.java
+++ b/core/src/main/java/garnetreel/core/request/UnflushedWrites.java
@@ -10,10 +10,10 @@
  * Writes acknowledged by nodes that may not be durable yet, by volume and shard. They determine to which shards a flush
  * is sent, and whether one of these writes has been lost in the meantime.
  *
- * <p>Without this check, a node could acknowledge a write, lose it in a restart and then acknowledge a flush, so that
- * the client would take the lost write for durable. Each answer of a node therefore carries the node's incarnation, and
- * a flush fails if it covers a write that another incarnation acknowledged. A node that keeps its unflushed writes over
- * a restart must keep its incarnation too; otherwise flushes fail although no write was lost.
+ * <p>Without the check for lost writes, a node could acknowledge a write, lose it in a restart and then acknowledge a
+ * flush, so that the client would take the lost write for durable. Each answer of a node therefore carries the node's
+ * incarnation, and a flush fails if it covers a write that another incarnation acknowledged. A node that keeps its
+ * unflushed writes over a restart must keep its incarnation too; otherwise flushes fail although no write was lost.
  *
  * <p>Memory is bounded: there is one entry per volume, shard and incarnation with unflushed writes. Further
  * incarnations of a shard beyond {@link #MAX_INCARNATIONS} share one entry, whose writes count as lost.
--- a/core/src/main/java/garnetreel/core/server/ByteBudget.java
+++ b/core/src/main/java/garnetreel/core/server/ByteBudget.java
@@ -9,8 +9,8 @@
  * connection that finds no capacity waits in line, and its socket is not read meanwhile.
  *
  * <p>A connection that holds no bytes may exceed the limit with one request while less than twice the limit is
- * reserved, so that a request larger than the limit is served eventually. The excess is at most one payload per
- * connection.
+ * reserved, so that a request larger than the limit is served eventually. So requests find less than twice the limit
+ * reserved and add one payload at most; the bytes of replies are reserved even beyond that.
  */
 public final class ByteBudget {
     /** Is notified when capacity may be available. */
@@ -55,7 +55,8 @@
     }
 
     /**
-     * Releases bytes. A negative number reserves them unconditionally, for replies, whose size their requests bound.
+     * Releases bytes. A negative number reserves bytes even beyond the limit: for replies, whose size is bounded by
+     * their requests.
      */
     public void release(long bytes) {
         reserved -= bytes;
--- a/core/src/main/java/garnetreel/core/server/NbdRequest.java
+++ b/core/src/main/java/garnetreel/core/server/NbdRequest.java
@@ -72,7 +72,7 @@
         session.write(NbdWriter.simpleReply(0, header.cookie(), 0).flip());
     }
 
-    private List<NbdWriter.Extent> extents(List<BlockBackend.ExtentStatus> statuses) {
+    private List<NbdWriter.Extent> extents(List<BlockBackend.BlockStatusRange> statuses) {
         List<NbdWriter.Extent> extents = statuses.stream()
                 .map(s -> new NbdWriter.Extent(s.length(), s.flags()))
                 .toList();
--- a/core/src/main/java/garnetreel/core/server/NbdServer.java
+++ b/core/src/main/java/garnetreel/core/server/NbdServer.java
@@ -35,7 +35,7 @@
     }
 
     @Override
-    protected NbdSession open(long conn, boolean rejected, long handshakeDeadline) {
-        return new NbdSession(this, conn, rejected, handshakeDeadline);
+    protected NbdSession open(long connectionId, boolean rejected, long handshakeDeadline) {
+        return new NbdSession(this, connectionId, rejected, handshakeDeadline);
     }
 }
--- a/core/src/main/java/garnetreel/core/server/NbdSession.java
+++ b/core/src/main/java/garnetreel/core/server/NbdSession.java
@@ -21,7 +21,7 @@
  * answered with an error and the connection stays open; a connection whose stream can no longer be parsed is closed.
  */
 final class NbdSession extends ProtocolServer.Session {
-    /** Limit of options, after which the connection is closed; a client that queries every export sends fewer. */
+    /** Maximum number of options, after which the connection is closed; clients send a few, or a few per export. */
     private static final int MAX_OPTIONS = 2048;
     /** Bytes reserved in the byte budget for each request in addition to its payload. */
     private static final int REQUEST_OVERHEAD_BYTES = 64;
@@ -60,14 +60,14 @@
     private Header header;
 
     private boolean reading = true;
-    private boolean pumping;
+    private boolean processing;
     /** Bytes reserved in the byte budget for requests in progress. */
     private long reserved;
     /** Bytes written and not yet sent, which are reserved in the byte budget too. */
     private long outbound;
 
-    NbdSession(NbdServer server, long conn, boolean rejected, long handshakeDeadline) {
-        super(conn, rejected, handshakeDeadline);
+    NbdSession(NbdServer server, long connectionId, boolean rejected, long handshakeDeadline) {
+        super(connectionId, rejected, handshakeDeadline);
         this.server = server;
         this.byteBudget = server.byteBudget();
         this.bounds = server.settings().bounds();
@@ -82,19 +82,19 @@
     @Override
     public void received(ByteBuffer data) {
         receivedBytes.add(data);
-        pump();
+        processReceived();
     }
 
     @Override
     public void drained(int bytes) {
         outbound -= bytes;
         byteBudget.release(bytes);
-        pump();
+        processReceived();
     }
 
     @Override
     public void capacityAvailable() {
-        pump();
+        processReceived();
     }
 
     // ---------------------------------------------------------------- end of the connection
@@ -143,17 +143,17 @@
     void write(ByteBuffer data) {
         int bytes = data.remaining();
         outbound += bytes;
-        // Replies are bounded by their requests, so their bytes are reserved unconditionally.
+        // A negative release reserves the bytes even beyond the limit: replies are bounded by their requests.
         byteBudget.release(-bytes);
         server.emit(new NetAction.Write(connectionId, data));
     }
 
     /** Processes received bytes as far as the limits allow, then updates whether the socket is read. */
-    private void pump() {
-        if (pumping || phase == Phase.ENDED) {
-            return; // called again by a reply written within the loop below, or by the end of the connection
+    private void processReceived() {
+        if (processing || phase == Phase.ENDED) {
+            return; // a nested call, from a reply written within the loop below, or the connection has ended
         }
-        pumping = true;
+        processing = true;
         try {
             boolean advanced;
             do {
@@ -164,7 +164,7 @@
                     new NetAction.Log(NetAction.Level.DEBUG, "NBD client: " + e.getMessage() + "; connection closed"));
             end(true);
         } finally {
-            pumping = false;
+            processing = false;
         }
         endIfIdle();
         if (phase != Phase.ENDED) {
@@ -344,7 +344,7 @@
         inProgress.remove(request);
         reserved -= request.reservedBytes;
         byteBudget.release(request.reservedBytes);
-        pump();
+        processReceived();
         endIfIdle();
     }
 
--- a/core/src/main/java/garnetreel/core/server/OptionHandler.java
+++ b/core/src/main/java/garnetreel/core/server/OptionHandler.java
@@ -15,7 +15,7 @@
     private static final int PREFERRED_BLOCK_BYTES = 4096;
 
     private static final int MIN_BLOCK_BYTES = 1;
-    /** Limit of queries in an option; there are fewer contexts to query. */
+    /** Maximum number of queries in an option; there is one context only, so clients send few. */
     private static final int MAX_QUERIES = 64;
 
     private final NbdServer server;
--- a/core/src/main/java/garnetreel/core/server/ProtocolServer.java
+++ b/core/src/main/java/garnetreel/core/server/ProtocolServer.java
@@ -85,12 +85,12 @@
     /**
      * Creates the session of a connection.
      *
-     * @param full whether the connection limit is reached, which the session has to report to the client
+     * @param rejected whether the connection exceeds the limit, which the session has to report to the client
      * @param handshakeDeadline when the connection is closed unless its handshake is complete
      */
-    protected abstract S open(long conn, boolean full, long handshakeDeadline);
+    protected abstract S open(long connectionId, boolean rejected, long handshakeDeadline);
 
-    /** Begins a turn of the event loop, with its time and the list that collects its actions. */
+    /** Begins a turn at this time, whose actions are added to {@code turnActions}. */
     public void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
@@ -112,8 +112,8 @@
     }
 
     @Override
-    public final boolean owns(long conn) {
-        return sessions.containsKey(conn);
+    public final boolean owns(long connectionId) {
+        return sessions.containsKey(connectionId);
     }
 
     /** Connections of clients, rejected ones included. */
@@ -127,11 +127,11 @@
     }
 
     /** A client has connected. */
-    public final void accepted(long conn, String peer) {
+    public final void accepted(long connectionId, String peer) {
         int maxConnections = settings.bounds().connections();
         boolean full = sessions.size() - rejected >= maxConnections;
         if (draining || full && rejected >= MAX_REJECTED) {
-            emit(new NetAction.Close(conn, true));
+            emit(new NetAction.Close(connectionId, true));
             return;
         }
         if (full) {
@@ -140,25 +140,25 @@
                     NetAction.Level.WARN,
                     "connection limit of " + maxConnections + " reached; client " + peer + " is rejected"));
         }
-        S session = open(conn, full, now + settings.bounds().handshakeTimeout());
-        sessions.put(conn, session);
+        S session = open(connectionId, full, now + settings.bounds().handshakeTimeout());
+        sessions.put(connectionId, session);
         handshaking.add(session);
         session.greet();
     }
 
     @Override
-    public final void connected(long conn) {
+    public final void connected(long connectionId) {
         // The server opens no connections itself.
     }
 
     @Override
-    public final void received(long conn, ByteBuffer data) {
-        sessions.get(conn).received(data);
+    public final void received(long connectionId, ByteBuffer data) {
+        sessions.get(connectionId).received(data);
     }
 
     @Override
-    public final void drained(long conn, int bytes) {
-        sessions.get(conn).drained(bytes);
+    public final void drained(long connectionId, int bytes) {
+        sessions.get(connectionId).drained(bytes);
     }
 
     @Override
--- a/core/src/main/java/garnetreel/core/server/RequestValidator.java
+++ b/core/src/main/java/garnetreel/core/server/RequestValidator.java
@@ -4,7 +4,7 @@
 import garnetreel.codec.nbd.NbdRequestParser.Header;
 import garnetreel.core.Volume;
 
-/** Validates a request against the specification before it is processed. */
+/** Validates a request against the specification, the export and the payload limit before it is processed. */
 final class RequestValidator {
     private final Volume volume;
     private final int maxPayload;
--- a/core/src/test/java/garnetreel/core/request/NodeAnswerReaderTest.java
+++ b/core/src/test/java/garnetreel/core/request/NodeAnswerReaderTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetreel.codec.node.NodeMessage.Op;
-import garnetreel.core.request.BlockBackend.ExtentStatus;
+import garnetreel.core.request.BlockBackend.BlockStatusRange;
 import java.nio.ByteBuffer;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -33,7 +33,7 @@
     @Test
     void statusAnswerMustCoverTheRequestedRange() {
         assertTrue(NodeAnswerReader.read(status, encoded(4, 0, 6, 3)));
-        assertEquals(List.of(new ExtentStatus(4, 0), new ExtentStatus(6, 3)), status.extents);
+        assertEquals(List.of(new BlockStatusRange(4, 0), new BlockStatusRange(6, 3)), status.extents);
         assertFalse(NodeAnswerReader.read(status, encoded(4, 0, 5, 3)));
         assertFalse(NodeAnswerReader.read(status, encoded(10, 0, 0, 0)));
         assertFalse(NodeAnswerReader.read(status, encoded()));
--- a/core/src/test/java/garnetreel/core/request/ReplyComposerTest.java
+++ b/core/src/test/java/garnetreel/core/request/ReplyComposerTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import garnetreel.codec.node.NodeMessage.Op;
-import garnetreel.core.request.BlockBackend.ExtentStatus;
+import garnetreel.core.request.BlockBackend.BlockStatusRange;
 import garnetreel.core.request.BlockBackend.Reply;
 import garnetreel.core.request.BlockBackend.ReplyStatus;
 import java.nio.ByteBuffer;
@@ -72,13 +72,13 @@
 
     @Test
     void blockStatusIsSortedAndAdjacentExtentsWithTheSameFlagsAreMerged() {
-        first.extents = List.of(new ExtentStatus(3, 0), new ExtentStatus(1, 1));
-        second.extents = List.of(new ExtentStatus(2, 1), new ExtentStatus(2, 0));
+        first.extents = List.of(new BlockStatusRange(3, 0), new BlockStatusRange(1, 1));
+        second.extents = List.of(new BlockStatusRange(2, 1), new BlockStatusRange(2, 0));
         ReplyComposer status = new ReplyComposer(Op.STATUS, 100, 8);
         status.served(second, NO_DATA);
         status.served(first, NO_DATA);
         assertEquals(
-                List.of(new ExtentStatus(3, 0), new ExtentStatus(3, 1), new ExtentStatus(2, 0)),
+                List.of(new BlockStatusRange(3, 0), new BlockStatusRange(3, 1), new BlockStatusRange(2, 0)),
                 status.compose().extents());
     }
 }
--- a/core/src/test/java/garnetreel/core/request/SubRequestTableTest.java
+++ b/core/src/test/java/garnetreel/core/request/SubRequestTableTest.java
@@ -33,7 +33,7 @@
 
     /** The events since the last call: the id of each received request, the negated id of each cancelled one. */
     private List<Long> drainedIds() {
-        return events.drain().stream().map(SubRequestTableTest::signedId).toList();
+        return events.takeAll().stream().map(SubRequestTableTest::signedId).toList();
     }
 
     private static long signedId(SchedulerEvent event) {
--- a/map/src/main/java/garnetreel/map/Adoption.java
+++ b/map/src/main/java/garnetreel/map/Adoption.java
@@ -12,9 +12,9 @@
  *
  * <p>The nodes' entries determine the holder of each extent: an extent is served by one node at a time, under a version
  * that only grows; a migration durably fences the old holder before the switch, and the old holder drops its data only
- * when the new one serves. So the holder is the node that serves the extent under the highest version. If no node
- * serves it, a migration that is missing from the journal has fenced the holder. It still has all acknowledged writes,
- * since no node has served the extent after it, and is made to serve again.
+ * when the new one serves. So the holder is the node that serves the extent, or has fenced it, under the highest
+ * version. If that node has fenced it, a migration that is missing from the journal (a lost migration) did so. The node
+ * still has all acknowledged writes, since no node has served the extent after it, and is made to serve again.
  */
 public final class Adoption {
     /** State of an extent at a node. The codes are those of the node protocol (docs/node-protocol.md). */
@@ -61,10 +61,12 @@
      *
      * @param changes extents whose shard or version differs from the map
      * @param highestVersion highest version that any node reported
-     * @param lost migrations to roll back: their old holder is fenced, or their new holder is still receiving pages
+     * @param lostMigrations migrations to roll back: their old holder is fenced, or their new holder is still receiving
+     *     pages
      * @param missing extents whose holder is not among the nodes that answered; the map keeps its entry for them
-     * @param conflicts entries of nodes that claim an extent beside a node with a newer version, which becomes the
-     *     holder; a correct system has none
+     * @param conflicts entries of nodes that serve or have fenced an extent beside a node with a newer version, which
+     *     becomes the holder; in a correct system only those of old holders that a switched migration has not released
+     *     yet
      */
     public record Reconciliation(
             List<Change> changes,
@@ -103,7 +105,7 @@
 
     private static void examineExtent(ExtentMap map, ExtentId id, List<ReportedExtent> entries, Reconciliation found) {
         ReportedExtent holder = null;
-        ReportedExtent receiver = null;
+        ReportedExtent newHolder = null;
         ReportedExtent newestGone = null;
         for (ReportedExtent held : entries) {
             switch (held.state()) {
@@ -113,13 +115,13 @@
                     }
                     holder = newer(holder, held);
                 }
-                case RECEIVING -> receiver = held;
+                case RECEIVING -> newHolder = held;
                 case GONE -> newestGone = newer(newestGone, held);
             }
         }
         if (holder == null || newestGone != null && newestGone.version() > holder.version()) {
             // The extent was dropped only once its new holder served it; that node has not answered.
-            ReportedExtent newest = newestGone == null ? receiver : newestGone;
+            ReportedExtent newest = newestGone == null ? newHolder : newestGone;
             boolean neverMigrated = newest.version() == 0 && map.version(id.extent()) == ExtentMap.INITIAL_VERSION;
             if (!neverMigrated) {
                 found.missing().add(newest);
@@ -129,8 +131,8 @@
         if (map.shard(id.extent()) != holder.shard() || map.version(id.extent()) != holder.version()) {
             found.changes().add(new Change(id.volume(), id.extent(), holder.shard(), holder.version()));
         }
-        if (holder.state() == State.FENCED || receiver != null) {
-            found.lostMigrations().add(rollback(id, holder, receiver));
+        if (holder.state() == State.FENCED || newHolder != null) {
+            found.lostMigrations().add(rollback(id, holder, newHolder));
         }
     }
 
@@ -138,9 +140,9 @@
         return current == null || other.version() > current.version() ? other : current;
     }
 
-    /** The lost migration in state ABORTING: its holder serves again, and its receiver, if any, drops the pages. */
-    private static Migration rollback(ExtentId id, ReportedExtent holder, ReportedExtent receiver) {
-        int to = receiver == null ? holder.shard() : receiver.shard();
+    /** The lost migration in state ABORTING: its holder serves again, and its new holder, if any, drops the pages. */
+    private static Migration rollback(ExtentId id, ReportedExtent holder, ReportedExtent newHolder) {
+        int to = newHolder == null ? holder.shard() : newHolder.shard();
         return new Migration(
                 0, id.volume(), id.extent(), holder.shard(), to, holder.version(), 0, Migration.State.ABORTING);
     }
--- a/map/src/main/java/garnetreel/map/MapState.java
+++ b/map/src/main/java/garnetreel/map/MapState.java
@@ -22,8 +22,8 @@
  * <p>Methods that return a {@link Transaction} only build it; it takes effect through {@link #apply}, once it is
  * durable.
  *
- * <p>The last {@link #HISTORY_LIMIT} transactions are retained for deltas and for the history shown to operators; a gateway
- * whose version is older than these is sent a snapshot.
+ * <p>The last {@link #HISTORY_LIMIT} transactions are retained for the changes sent to gateways and for the history
+ * shown to operators; a gateway whose version precedes the oldest of them is sent a snapshot.
  */
 public final class MapState {
     /** Number of transactions retained. */
@@ -219,7 +219,8 @@
     }
 
     /**
-     * A new migration that begins as ABORTING: it rolls back what a migration missing from the journal left on nodes.
+     * A new migration that begins as ABORTING: it rolls back what a lost migration, one missing from the journal, left
+     * on nodes.
      */
     public Migration newRollbackMigration(Migration lost) {
         return new Migration(
--- a/map/src/main/java/garnetreel/map/Migration.java
+++ b/map/src/main/java/garnetreel/map/Migration.java
@@ -7,7 +7,7 @@
 /**
  * Durable description of a migration of one extent from one shard to another.
  *
- * @param id number of the migration, from 1
+ * @param id id of the migration, counted from 1
  * @param from shard that holds the extent when the migration begins
  * @param to shard that is to hold the extent
  * @param oldVersion version under which {@code from} holds the extent
@@ -27,8 +27,8 @@
         /** The old holder is being fenced and the remaining pages are copied. The fence can still be lifted. */
         FENCING(1, "fencing"),
         /**
-         * The map names the new holder. This cannot be undone: the new holder begins to serve and the old one drops its
-         * data.
+         * The map names the new holder. This cannot be undone, as the new holder may have accepted writes from then on
+         * and the old one drops its data.
          */
         SWITCHED(2, "switched"),
         /** Being aborted: the old holder is made to serve again, and the new one to drop the pages. */
@@ -104,7 +104,7 @@
         return new Migration(id, volume, extent, from, to, oldVersion, newVersion, next);
     }
 
-    /** The same migration after the switch, with the version under which the new shard holds the extent. */
+    /** The same migration after the switch, with the version under which the new holder holds the extent. */
     Migration switched(long version) {
         return new Migration(id, volume, extent, from, to, oldVersion, version, State.SWITCHED);
     }
--- a/map/src/main/java/garnetreel/map/MigrationStateMachine.java
+++ b/map/src/main/java/garnetreel/map/MigrationStateMachine.java
@@ -15,8 +15,8 @@
  * <li>At most one node serves an extent at a time: the old holder until its fence is durable, the new holder once the
  *     switch is durable at the service, which happens only after the fence was reported.
  * <li>A node reports a fence only when no request for the extent is being executed. So the old holder's pages then hold
- *     all acknowledged writes, and the pages not yet copied are taken after that report and durably put before the
- *     switch.
+ *     all acknowledged writes, and the pages not yet copied are read after that report, and durable at the new holder
+ *     before the switch.
  * <li>A request that reaches a fenced extent, or has the wrong version, is answered STALE and has not been executed.
  * <li>An old holder that cannot be reached cannot be fenced, so the migration waits or is aborted: it never switches.
  * </ul>
@@ -24,7 +24,10 @@
 public final class MigrationStateMachine {
     /** Maximum bytes of pages that one TAKE returns. */
     public static final int BATCH_BYTES = 256 << 10;
-    /** Failed steps before the switch after which the migration is aborted. */
+    /**
+     * Failed steps after which a migration that has not switched is aborted; counted since its last durable state or
+     * successful fence.
+     */
     private static final int MAX_FAILURES = 40;
     /**
      * Polls, some milliseconds apart, of a fence that waits for requests to finish; after these the fence counts as
@@ -32,7 +35,8 @@
      */
     private static final int MAX_FENCE_POLLS = 2_000;
     /**
-     * Maximum batches copied before the fence: an extent that changes as fast as it is copied would never be fenced.
+     * Maximum number of batches copied before the fence, over all restarts of the copy: an extent that changes as fast
+     * as it is copied would never be fenced. A copy that restarts at the maximum is fenced after one more batch.
      */
     private static final int MAX_BATCHES = 4_096;
 
@@ -47,13 +51,16 @@
      */
     public record SendCommand(int shard, Step step, long version, int room, ByteBuffer data) implements NextStep {}
 
-    /** Make a state durable, and then call {@link #durable}. SWITCHED also assigns the extent to the new shard. */
+    /** Make a state durable, and then call {@link #durable}. SWITCHED also assigns the extent to the new holder. */
     public record Commit(Migration.State state, String why) implements NextStep {}
 
     /** The migration has ended. */
     public record Finished() implements NextStep {}
 
-    /** Steps within the durable states; after a restart a state begins again from {@link #firstPhase}. */
+    /**
+     * Phases of the durable states; in most, the {@link Step} of the same name is sent to a node. After a restart a
+     * state begins again from {@link #firstPhase}.
+     */
     private enum Phase {
         TRACK,
         RECEIVE,
@@ -74,7 +81,7 @@
     private Phase phase;
     private ByteBuffer pages = NodeMessage.noData();
     private boolean morePages;
-    private long receiverIncarnation;
+    private long newHolderIncarnation;
     private int failures;
     private int fencePolls;
     private int batches;
@@ -174,7 +181,7 @@
         switch (phase) {
             case TRACK -> phase = Phase.RECEIVE;
             case RECEIVE -> {
-                receiverIncarnation = report.incarnation();
+                newHolderIncarnation = report.incarnation();
                 phase = Phase.TAKE;
             }
             case TAKE -> {
@@ -206,8 +213,8 @@
     }
 
     private void pagesPut(CommandReport report) {
-        if (report.incarnation() != receiverIncarnation) {
-            // The receiver has restarted and may have lost the pages that it was sent before.
+        if (report.incarnation() != newHolderIncarnation) {
+            // The new holder has restarted and may have lost the pages that it was sent before.
             restartCopy();
         } else if (phase == Phase.PUT) {
             // Pages that change during the copy are copied again; past the limit the extent is fenced with some left to
@@ -223,7 +230,7 @@
         switch (phase) {
                 // The command is repeated: its failure can only be temporary.
             case TRACK, RECEIVE, SERVE, RELEASE, UNFENCE, FORGET -> {}
-                // One of the two nodes no longer knows the migration.
+                // One of the two nodes no longer knows the migration, or the fence waited too long.
             default -> restartCopy();
         }
     }
@@ -237,6 +244,7 @@
     /** Handles a command whose node could not be reached, or whose connection ended before the report. */
     public void failed() {
         failures++;
+        // A fence may be in force although its report is missing; it is repeated, as a restarted copy would lift it.
         if (phase != Phase.FENCE && beforeSwitch()) {
             restartCopy();
         }
--- a/map/src/main/java/garnetreel/map/Rebalancer.java
+++ b/map/src/main/java/garnetreel/map/Rebalancer.java
@@ -13,9 +13,9 @@
  * Proposes migrations from the load that nodes report. Without I/O and randomness: the same reports give the same
  * proposals.
  *
- * <p>Draining shards are emptied first. Their busiest extents come last, when little other work is left, so that these
- * are fenced for the shortest time. Then extents are moved from the busiest shard to the least busy one, if their
- * utilization differs enough.
+ * <p>Draining shards are emptied first, those extents last that are passed with the highest load: when their shard has
+ * little other load left, they are fenced for a shorter time. Then extents are moved from the busiest shard to the
+ * least busy one, if their utilization differs enough.
  */
 public final class Rebalancer {
     /** Lower bound of a capacity, which avoids a division by zero. */
@@ -24,8 +24,8 @@
     /**
      * Limits on proposals.
      *
-     * @param maxMigrations most migrations in progress at a time
-     * @param maxMigrationsPerNode most migrations in progress that have a node as source or target
+     * @param maxMigrations maximum number of migrations in progress
+     * @param maxMigrationsPerNode maximum number of migrations in progress from or to one shard, which has one node
      * @param minImbalance difference between the utilization of the busiest and of the least busy shard below which
      *     nothing migrates
      * @param restPeriod microseconds after a migration during which its extent does not migrate again
@@ -100,7 +100,7 @@
     /**
      * Proposes migrations to begin now.
      *
-     * @param extents extents with load, and all extents of draining shards
+     * @param extents extents with load, and some or all of those of draining shards
      * @param inProgress migrations in progress
      */
     public List<Proposal> propose(long now, List<Shard> shards, List<Extent> extents, List<Migration> inProgress) {
@@ -135,14 +135,16 @@
         private final Map<Integer, Shard> shards = new TreeMap<>();
         private final Map<Integer, Double> load = new TreeMap<>();
         private final Map<Integer, Integer> migrations = new HashMap<>();
-        private final Map<Integer, Long> reservedBytes = new HashMap<>();
+        /** Bytes of the extents proposed for a shard. */
+        private final Map<Integer, Long> plannedBytes = new HashMap<>();
+
         private final Set<ExtentId> proposed = new HashSet<>();
         private final List<Proposal> proposals = new ArrayList<>();
 
-        Planner(long now, List<Shard> nodes, List<Migration> inProgress) {
+        Planner(long now, List<Shard> reported, List<Migration> inProgress) {
             this.now = now;
             this.maxProposals = limits.maxMigrations() - inProgress.size();
-            for (Shard shard : nodes) {
+            for (Shard shard : reported) {
                 shards.put(shard.shard(), shard);
                 load.put(shard.shard(), shard.load());
             }
@@ -175,7 +177,7 @@
         private Shard busiest() {
             Shard busiest = null;
             for (Shard shard : shards.values()) {
-                if (canBalance(shard) && (busiest == null || utilization(shard) > utilization(busiest))) {
+                if (isEligible(shard) && (busiest == null || utilization(shard) > utilization(busiest))) {
                     busiest = shard;
                 }
             }
@@ -225,7 +227,7 @@
             load.merge(extent.shard(), -extent.load(), Double::sum);
             migrations.merge(target.shard(), 1, Integer::sum);
             migrations.merge(extent.shard(), 1, Integer::sum);
-            reservedBytes.merge(target.shard(), extent.bytes(), Long::sum);
+            plannedBytes.merge(target.shard(), extent.bytes(), Long::sum);
             proposed.add(extent.id());
             proposals.add(new Proposal(extent.volume(), extent.extent(), target.shard(), why));
             return true;
@@ -242,7 +244,7 @@
             Shard target = null;
             for (Shard shard : shards.values()) {
                 if (shard.shard() != extent.shard()
-                        && canBalance(shard)
+                        && isEligible(shard)
                         && hasFreeSpace(shard, extent)
                         && (target == null || utilization(shard) < utilization(target))) {
                     target = shard;
@@ -251,8 +253,8 @@
             return target;
         }
 
-        /** Whether a shard can be given extents, and can be relieved by balancing. */
-        private boolean canBalance(Shard shard) {
+        /** Whether a shard can be given extents, by draining or balancing, and can give extents by balancing. */
+        private boolean isEligible(Shard shard) {
             return shard.reachable() && !shard.draining() && !shard.warmingUp() && belowMigrationLimit(shard.shard());
         }
 
@@ -265,7 +267,7 @@
         }
 
         private boolean hasFreeSpace(Shard shard, Extent extent) {
-            long free = shard.freeBytes() - reservedBytes.getOrDefault(shard.shard(), 0L);
+            long free = shard.freeBytes() - plannedBytes.getOrDefault(shard.shard(), 0L);
             return free - extent.bytes() >= limits.reservedBytes();
         }
     }
--- a/mapservice/src/main/java/garnetreel/mapservice/AdoptionCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/AdoptionCoordinator.java
@@ -14,7 +14,7 @@
 
 /** Polls all nodes for the extents they hold, and starts a new epoch with maps rebuilt from their reports. */
 final class AdoptionCoordinator {
-    /** Maximum bytes of entries in one report; a node with more is polled again, from the last entry on. */
+    /** Maximum bytes of entries in one report; a node with more is polled again, starting after the last entry. */
     private static final int MAX_REPORT_BYTES = 1 << 20;
     /** Size of an entry in bytes: volume, extent, extent bytes, state and version (docs/node-protocol.md). */
     private static final int ENTRY_BYTES = 29;
@@ -36,7 +36,7 @@
     private final Set<Integer> pendingShards = new HashSet<>();
     private final TreeSet<Integer> unresponsive = new TreeSet<>();
     private List<Adoption.ReportedExtent> entries = new ArrayList<>();
-    /** Null while no adoption is in progress. */
+    /** Null unless nodes are being polled for an adoption. */
     private Completion completion;
 
     private String initiator;
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Starts an adoption; fails if one is in progress.
+     * Starts an adoption; fails while nodes are being polled for another one.
      *
      * @param operator recorded in the history as the one who requested it
      * @param ignoreUnresponsive proceed without nodes that do not answer; extents that only they hold keep their map
@@ -91,7 +91,8 @@
     }
 
     private void poll(NodeCommandClient.Node node, long volume, long extent) {
-        nodes.send(node, StepCommand.holds(volume, extent, MAX_REPORT_BYTES), report -> handleReport(node, report));
+        nodes.send(
+                node, StepCommand.listExtents(volume, extent, MAX_REPORT_BYTES), report -> handleReport(node, report));
     }
 
     private void handleReport(NodeCommandClient.Node node, CommandReport report) {
--- a/mapservice/src/main/java/garnetreel/mapservice/SubscriberRegistry.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/ClientConnections.java
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 
 /** The connections of gateways, which subscribe to the map, and of operators, who send commands. */
-final class SubscriberRegistry {
+final class ClientConnections {
     private static final long KEEP_ALIVE_INTERVAL = 1_000_000;
     /** Retry delay sent to a gateway above the subscription rate; the gateway multiplies it by a random factor. */
     private static final long RETRY_AFTER = 500_000;
@@ -29,14 +29,15 @@
         void execute(Command command, Consumer<Result> answer);
     }
 
-    private static final class Subscriber {
-        private final long conn;
+    /** A connection; an operator's never subscribes. */
+    private static final class ClientConnection {
+        private final long connectionId;
         private final ByteQueue received = new ByteQueue();
         private boolean subscribed;
         private long version;
 
-        Subscriber(long conn) {
-            this.conn = conn;
+        ClientConnection(long connectionId) {
+            this.connectionId = connectionId;
         }
     }
 
@@ -44,11 +45,11 @@
     private final MapState state;
     private final RollbackDetector rollbacks;
     private final CommandHandler commandHandler;
-    private final RateBudget subscribeBudget;
-    private final Map<Long, Subscriber> subscribers = new TreeMap<>();
+    private final TokenBucket subscribeBudget;
+    private final Map<Long, ClientConnection> clients = new TreeMap<>();
     private long nextKeepAlive;
 
-    SubscriberRegistry(
+    ClientConnections(
             TurnContext turn,
             MapState state,
             RollbackDetector rollbacks,
@@ -58,7 +59,7 @@
         this.state = state;
         this.rollbacks = rollbacks;
         this.commandHandler = commandHandler;
-        this.subscribeBudget = new RateBudget(subscribesPerSecond, subscribesPerSecond);
+        this.subscribeBudget = new TokenBucket(subscribesPerSecond, subscribesPerSecond);
     }
 
     void start() {
@@ -70,38 +71,38 @@
         subscribeBudget.refill(turn.now());
     }
 
-    boolean owns(long conn) {
-        return subscribers.containsKey(conn);
+    boolean owns(long connectionId) {
+        return clients.containsKey(connectionId);
     }
 
-    void accepted(long conn) {
-        subscribers.put(conn, new Subscriber(conn));
+    void accepted(long connectionId) {
+        clients.put(connectionId, new ClientConnection(connectionId));
     }
 
-    void closed(long conn) {
-        subscribers.remove(conn);
+    void closed(long connectionId) {
+        clients.remove(connectionId);
     }
 
-    void received(long conn, ByteBuffer data) {
-        Subscriber subscriber = subscribers.get(conn);
-        subscriber.received.add(data);
+    void received(long connectionId, ByteBuffer data) {
+        ClientConnection client = clients.get(connectionId);
+        client.received.add(data);
         try {
             MapMessage message;
-            while ((message = MapCodec.next(subscriber.received)) != null) {
-                handle(subscriber, message);
+            while ((message = MapCodec.next(client.received)) != null) {
+                handle(client, message);
             }
         } catch (ProtocolException e) {
-            turn.warn("client connection " + conn + ": " + e.getMessage());
-            turn.add(new NetAction.Close(conn, true));
-            subscribers.remove(conn);
+            turn.warn("client connection " + connectionId + ": " + e.getMessage());
+            turn.add(new NetAction.Close(connectionId, true));
+            clients.remove(connectionId);
         }
     }
 
-    private void handle(Subscriber subscriber, MapMessage message) throws ProtocolException {
+    private void handle(ClientConnection client, MapMessage message) throws ProtocolException {
         if (message instanceof Subscribe subscribe) {
-            subscribe(subscriber, subscribe);
+            subscribe(client, subscribe);
         } else if (message instanceof Command command) {
-            commandHandler.execute(command, result -> send(subscriber, result));
+            commandHandler.execute(command, result -> send(client, result));
         } else {
             throw new ProtocolException(
                     "unexpected message " + message.getClass().getSimpleName());
@@ -109,35 +110,35 @@
     }
 
     /**
-     * Protects the service when all gateways reconnect at once: subscriptions above the configured rate are told to
-     * retry later. A gateway without any map waits longer for its first one; until then it routes by the initial
-     * placement, and nodes refuse requests for migrated extents.
+     * Protects the service when all gateways reconnect at once: those that subscribe above the configured rate are told
+     * to retry later. One of them that has no map routes by the initial placement meanwhile, and nodes reject requests
+     * for migrated extents.
      */
-    private void subscribe(Subscriber subscriber, Subscribe subscribe) {
+    private void subscribe(ClientConnection client, Subscribe subscribe) {
         if (subscribeBudget.available() < 1) {
-            send(subscriber, new Busy(RETRY_AFTER));
+            send(client, new Busy(RETRY_AFTER));
             return;
         }
         subscribeBudget.take(1);
         rollbacks.observe(subscribe.epoch(), subscribe.version(), "gateway " + subscribe.gatewayId());
-        subscriber.subscribed = true;
-        subscriber.version = state.version();
-        send(subscriber, state.updateSince(subscribe.epoch(), subscribe.version()));
+        client.subscribed = true;
+        client.version = state.version();
+        send(client, state.updateSince(subscribe.epoch(), subscribe.version()));
     }
 
     /** Sends a message unless the connection has been closed, as it may be when a late answer arrives. */
-    private void send(Subscriber subscriber, MapMessage message) {
-        if (subscribers.get(subscriber.conn) == subscriber) {
-            turn.add(new NetAction.Write(subscriber.conn, MapCodec.frame(message)));
+    private void send(ClientConnection client, MapMessage message) {
+        if (clients.get(client.connectionId) == client) {
+            turn.add(new NetAction.Write(client.connectionId, MapCodec.frame(message)));
         }
     }
 
     /** Updates all subscribers after a transaction that changed maps or started a new epoch. */
     void publishChanges(long epochBefore) {
-        for (Subscriber subscriber : subscribers.values()) {
-            if (subscriber.subscribed) {
-                send(subscriber, state.updateSince(epochBefore, subscriber.version));
-                subscriber.version = state.version();
+        for (ClientConnection client : clients.values()) {
+            if (client.subscribed) {
+                send(client, state.updateSince(epochBefore, client.version));
+                client.version = state.version();
             }
         }
     }
@@ -149,16 +150,16 @@
         }
         nextKeepAlive = turn.now() + KEEP_ALIVE_INTERVAL;
         Changes noChanges = new Changes(state.epoch(), state.version(), state.version(), List.of());
-        for (Subscriber subscriber : subscribers.values()) {
-            if (subscriber.subscribed) {
-                send(subscriber, noChanges);
+        for (ClientConnection client : clients.values()) {
+            if (client.subscribed) {
+                send(client, noChanges);
             }
         }
     }
 
     /** Number of subscribed connections. */
     int subscriberCount() {
-        return (int) subscribers.values().stream().filter(s -> s.subscribed).count();
+        return (int) clients.values().stream().filter(s -> s.subscribed).count();
     }
 
     long nextDeadline() {
--- a/mapservice/src/main/java/garnetreel/mapservice/MapService.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MapService.java
@@ -25,11 +25,12 @@
     public static final String LISTENER = "map";
 
     /**
-     * Initiators in the history: the service itself, and commands from its own process. Both are stored in the journal.
+     * Initiators in the history: the service itself, and commands submitted to the event loop within its process, such
+     * as {@link MigrateCommand}. Both are stored in the journal.
      */
     private static final String SERVICE_INITIATOR = "mapd";
 
-    private static final String SCRIPT_INITIATOR = "script";
+    private static final String IN_PROCESS_INITIATOR = "script";
     private static final long NODE_LIST_RETRY_DELAY = 1_000_000;
 
     /** Starts a migration, like the operator command {@code move}. */
@@ -48,7 +49,7 @@
     private final NodeCommandClient nodes;
     private final RollbackDetector rollbacks;
     private final TransactionLog log;
-    private final SubscriberRegistry subscribers;
+    private final ClientConnections clients;
     private final MigrationCoordinator migrations;
     private final RebalanceCoordinator rebalancing;
     private final AdoptionCoordinator adoption;
@@ -78,8 +79,7 @@
         nodeList = new NodeListClient(settings.nodeListClient(), connectionIds, this::nodeListUpdated);
         rollbacks = new RollbackDetector(turn, state);
         log = new TransactionLog(turn, state, settings.snapshotInterval(), this::applied);
-        subscribers =
-                new SubscriberRegistry(turn, state, rollbacks, settings.subscribesPerSecond(), this::operatorCommand);
+        clients = new ClientConnections(turn, state, rollbacks, settings.subscribesPerSecond(), this::operatorCommand);
         migrations = new MigrationCoordinator(
                 turn, state, nodes, log, rollbacks, settings.copyBytesPerSecond(), this::extentSwitched);
         rebalancing = new RebalanceCoordinator(
@@ -89,7 +89,7 @@
                 nodes,
                 p -> migrations.begin(p.volume(), p.extent(), p.to(), "rebalancer", p.why(), migration -> {}));
         adoption = new AdoptionCoordinator(turn, state, nodes, log, rollbacks, migrations);
-        commands = new OperatorCommands(turn, state, log, subscribers, nodes, rollbacks, migrations, adoption);
+        commands = new OperatorCommands(turn, state, log, clients, nodes, rollbacks, migrations, adoption);
     }
 
     /**
@@ -105,7 +105,7 @@
         if (!started) {
             start();
         }
-        subscribers.refill();
+        clients.refill();
         migrations.refill();
         events.forEach(this::dispatch);
         nodeList.expire();
@@ -119,25 +119,25 @@
             renumberCommands();
         }
         log.write();
-        subscribers.keepAlive();
+        clients.keepAlive();
     }
 
     private void start() {
         started = true;
-        subscribers.start();
+        clients.start();
         migrations.start();
         rebalancing.start();
         turn.add(new NetAction.Listen(LISTENER, settings.listen()));
         log.submit(() -> state.emptyTransaction(SERVICE_INITIATOR, turn.now(), "started"), t -> {
             nodes.startNumbering(t.epoch(), t.seq());
             migrations.resume();
-            restoreRestTimes();
+            restoreRestPeriods();
             ready = true;
         });
     }
 
-    /** Restores the rest times of recently migrated extents after a restart. */
-    private void restoreRestTimes() {
+    /** Restores the rest periods of recently migrated extents after a restart. */
+    private void restoreRestPeriods() {
         for (Transaction t : state.history()) {
             if (t.migration() != null && t.migration().state() == Migration.State.SWITCHED) {
                 rebalancing.migrated(t.migration().volume(), t.migration().extent(), t.when());
@@ -165,7 +165,7 @@
         if (event instanceof NetEvent.Received received) {
             received(received.connectionId(), received.data());
         } else if (event instanceof NetEvent.Accepted accepted) {
-            subscribers.accepted(accepted.connectionId());
+            clients.accepted(accepted.connectionId());
         } else if (event instanceof NetEvent.Closed closed) {
             closed(closed.connectionId());
         } else if (event instanceof NetEvent.Connected connected) {
@@ -177,30 +177,30 @@
         }
     }
 
-    private void received(long conn, ByteBuffer data) {
-        if (subscribers.owns(conn)) {
-            subscribers.received(conn, data);
-        } else if (nodes.owns(conn)) {
-            nodes.received(conn, data);
-        } else if (nodeList.owns(conn)) {
+    private void received(long connectionId, ByteBuffer data) {
+        if (clients.owns(connectionId)) {
+            clients.received(connectionId, data);
+        } else if (nodes.owns(connectionId)) {
+            nodes.received(connectionId, data);
+        } else if (nodeList.owns(connectionId)) {
             nodeList.received(data);
         }
     }
 
-    private void closed(long conn) {
-        if (subscribers.owns(conn)) {
-            subscribers.closed(conn);
-        } else if (nodes.owns(conn)) {
-            nodes.closed(conn);
-        } else if (nodeList.owns(conn)) {
+    private void closed(long connectionId) {
+        if (clients.owns(connectionId)) {
+            clients.closed(connectionId);
+        } else if (nodes.owns(connectionId)) {
+            nodes.closed(connectionId);
+        } else if (nodeList.owns(connectionId)) {
             nodeList.closed();
         }
     }
 
-    private void connected(long conn) {
-        if (nodes.owns(conn)) {
-            nodes.connected(conn);
-        } else if (nodeList.owns(conn)) {
+    private void connected(long connectionId) {
+        if (nodes.owns(connectionId)) {
+            nodes.connected(connectionId);
+        } else if (nodeList.owns(connectionId)) {
             nodeList.connected();
         }
     }
@@ -213,11 +213,16 @@
     private void processCommand(NetEvent.Command command) {
         if (command instanceof MigrateCommand migrate) {
             migrations.begin(
-                    migrate.volume(), migrate.extent(), migrate.to(), SCRIPT_INITIATOR, "asked for", migration -> {});
+                    migrate.volume(),
+                    migrate.extent(),
+                    migrate.to(),
+                    IN_PROCESS_INITIATOR,
+                    "asked for",
+                    migration -> {});
         } else if (command instanceof DrainShardCommand drain) {
-            log.submit(() -> state.drain(drain.shard(), drain.on(), SCRIPT_INITIATOR, turn.now()), t -> {});
+            log.submit(() -> state.drain(drain.shard(), drain.on(), IN_PROCESS_INITIATOR, turn.now()), t -> {});
         } else if (command instanceof AdoptCommand) {
-            adoption.begin(SCRIPT_INITIATOR, false, (ok, findings) -> {
+            adoption.begin(IN_PROCESS_INITIATOR, false, (ok, findings) -> {
                 Level level = ok ? Level.INFO : Level.WARN;
                 turn.add(new NetAction.Log(level, findings.toString()));
             });
@@ -226,7 +231,7 @@
 
     private void applied(Transaction transaction, long epochBefore) {
         if (!transaction.changes().isEmpty() || state.epoch() != epochBefore) {
-            subscribers.publishChanges(epochBefore);
+            clients.publishChanges(epochBefore);
         }
         if (transaction.drain() != null && transaction.drain().on()) {
             migrations.shardDraining(transaction.drain().shard());
@@ -261,7 +266,7 @@
         if (!started) {
             return turn.now();
         }
-        long next = Math.min(subscribers.nextDeadline(), Math.min(nodes.nextDeadline(), nodeList.nextDeadline()));
+        long next = Math.min(clients.nextDeadline(), Math.min(nodes.nextDeadline(), nodeList.nextDeadline()));
         if (!subscribedToNodeList) {
             next = Math.min(next, nodeListRetryAt);
         }
--- a/mapservice/src/main/java/garnetreel/mapservice/MapServiceSettings.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MapServiceSettings.java
@@ -7,7 +7,8 @@
  * Settings of the map service. Durations are in microseconds.
  *
  * @param listen address to listen at for gateways and operators
- * @param nodeListClient settings of the node list client, which subscribes as a gateway with a number of its own
+ * @param nodeListClient settings of the node list client, which is the same as a gateway's: its gateway number stands
+ *     for this service at the node list, but not at nodes, to which the service says that it is no gateway
  * @param copyBytesPerSecond bytes per second that all migrations together may copy
  * @param subscribesPerSecond subscriptions of gateways accepted per second; a gateway above that is told to retry later
  * @param commandTimeout time after which a node command without a report is failed
--- a/mapservice/src/main/java/garnetreel/mapservice/MigrationCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MigrationCoordinator.java
@@ -46,7 +46,7 @@
     private final TransactionLog log;
     private final RollbackDetector rollbacks;
     private final Consumer<Migration> switchListener;
-    private final RateBudget copyBudget;
+    private final TokenBucket copyBudget;
     private final Map<Long, ActiveMigration> inProgress = new TreeMap<>();
     private long copiedBytes;
 
@@ -65,7 +65,7 @@
         this.log = log;
         this.rollbacks = rollbacks;
         this.switchListener = switchListener;
-        this.copyBudget = new RateBudget(copyBytesPerSecond, 2 * MigrationStateMachine.BATCH_BYTES);
+        this.copyBudget = new TokenBucket(copyBytesPerSecond, 2 * MigrationStateMachine.BATCH_BYTES);
     }
 
     void start() {
@@ -247,7 +247,7 @@
         return copiedBytes;
     }
 
-    /** When the next step is due that waits only for its delay. */
+    /** When the next step is due, of migrations that do not wait for a report or commit. */
     long nextDeadline() {
         long next = Long.MAX_VALUE;
         for (ActiveMigration active : inProgress.values()) {
--- a/mapservice/src/main/java/garnetreel/mapservice/NodeCommandClient.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/NodeCommandClient.java
@@ -26,19 +26,19 @@
     private static final long RECONNECT_DELAY = 200_000;
     /** Sent in place of a gateway number in the service's hello to a node. */
     private static final int NOT_A_GATEWAY = -1;
-    /** Command numbers have 11 bits for the epoch, 28 for a transaction and 24 for commands since that transaction. */
+    /** Sequence numbers of commands have 11 bits for the epoch, 28 for a transaction, 24 for commands since then. */
     private static final int EPOCH_SHIFT = 52;
 
     private static final int COMMAND_BITS = 24;
     private static final long COMMAND_MASK = (1L << COMMAND_BITS) - 1;
-    /** A new transaction is due when three quarters of the numbers after the last one are used. */
+    /** A new transaction is due when three quarters of the sequence numbers after the last one are used. */
     private static final long RENUMBER_AT = 3L << (COMMAND_BITS - 2);
 
     /** A node of the node list. */
     static final class Node {
         private final EndpointEntry entry;
-        /** Connection number; 0 while not connected. */
-        private long conn;
+        /** Id of the connection; 0 while not connected. */
+        private long connectionId;
 
         private boolean ready;
         private long reconnectAt;
@@ -62,7 +62,7 @@
         }
     }
 
-    private record InFlight(long conn, long deadline, Consumer<CommandReport> completion) {}
+    private record InFlight(long connectionId, long deadline, Consumer<CommandReport> completion) {}
 
     private final TurnContext turn;
     private final ConnectionIdAllocator connectionIds;
@@ -71,7 +71,7 @@
     private final Map<String, Node> nodes = new TreeMap<>();
     private final Map<Long, Node> byConnection = new HashMap<>();
     private final TreeMap<Long, InFlight> inFlight = new TreeMap<>();
-    private long lastSeq;
+    private long lastSequence;
 
     NodeCommandClient(TurnContext turn, ConnectionIdAllocator connectionIds, long incarnation, long timeout) {
         this.turn = turn;
@@ -81,18 +81,18 @@
     }
 
     /**
-     * Sets the prefix of the following command numbers. Numbers increase across all incarnations of the service, so
-     * that nodes recognize a command of an earlier incarnation as outdated. Each incarnation, and each one that runs
-     * low on numbers, writes a transaction whose number becomes the prefix. The epoch precedes it, since a restore from
-     * a backup may set transaction numbers back.
+     * Sets the prefix of the following commands' sequence numbers. These increase across all incarnations of the
+     * service, so that nodes recognize a command of an earlier incarnation as outdated. At its start, and whenever its
+     * sequence numbers run low, an incarnation writes a transaction whose number becomes the prefix. The epoch precedes
+     * it, since a restore from a backup may set transaction numbers back.
      */
     void startNumbering(long epoch, long transaction) {
-        lastSeq = epoch << EPOCH_SHIFT | transaction << COMMAND_BITS;
+        lastSequence = epoch << EPOCH_SHIFT | transaction << COMMAND_BITS;
     }
 
-    /** Whether the command numbers after the last transaction are running low. */
+    /** Whether the sequence numbers after the last transaction are running low. */
     boolean numbersRunLow() {
-        return (lastSeq & COMMAND_MASK) > RENUMBER_AT;
+        return (lastSequence & COMMAND_MASK) > RENUMBER_AT;
     }
 
     /** Applies an update of the node list. */
@@ -121,23 +121,23 @@
         Node node = new Node(entry);
         Node old = nodes.put(entry.name(), node);
         if (old != null) {
-            node.conn = old.conn;
+            node.connectionId = old.connectionId;
             node.ready = old.ready;
             node.received = old.received;
-            byConnection.replace(node.conn, node);
+            byConnection.replace(node.connectionId, node);
         }
     }
 
     private void remove(Node node) {
         nodes.remove(node.entry.name());
-        if (node.conn != 0) {
-            turn.add(new NetAction.Close(node.conn, true));
+        if (node.connectionId != 0) {
+            turn.add(new NetAction.Close(node.connectionId, true));
             disconnected(node);
         }
     }
 
-    boolean owns(long conn) {
-        return byConnection.containsKey(conn);
+    boolean owns(long connectionId) {
+        return byConnection.containsKey(connectionId);
     }
 
     /** All nodes of the node list, ordered by address. */
@@ -162,7 +162,7 @@
      */
     void send(Node node, StepCommand command, Consumer<CommandReport> completion) {
         ControlCommand message = new ControlCommand(
-                ++lastSeq,
+                ++lastSequence,
                 command.step(),
                 command.volume(),
                 command.extent(),
@@ -170,43 +170,43 @@
                 command.version(),
                 command.maxBytes(),
                 command.data());
-        inFlight.put(message.seq(), new InFlight(node.conn, turn.now() + timeout, completion));
-        turn.add(new NetAction.Write(node.conn, NodeCodec.frame(message)));
+        inFlight.put(message.seq(), new InFlight(node.connectionId, turn.now() + timeout, completion));
+        turn.add(new NetAction.Write(node.connectionId, NodeCodec.frame(message)));
     }
 
-    void connected(long conn) {
-        turn.add(new NetAction.Write(conn, NodeCodec.frame(new Hello(NOT_A_GATEWAY, incarnation))));
+    void connected(long connectionId) {
+        turn.add(new NetAction.Write(connectionId, NodeCodec.frame(new Hello(NOT_A_GATEWAY, incarnation))));
     }
 
-    void closed(long conn) {
-        disconnected(byConnection.get(conn));
+    void closed(long connectionId) {
+        disconnected(byConnection.get(connectionId));
     }
 
     private void disconnected(Node node) {
-        long conn = node.conn;
-        byConnection.remove(conn);
-        node.conn = 0;
+        long connectionId = node.connectionId;
+        byConnection.remove(connectionId);
+        node.connectionId = 0;
         node.ready = false;
         node.received = new ByteQueue();
         node.reconnectAt = turn.now() + RECONNECT_DELAY;
         for (long seq : List.copyOf(inFlight.keySet())) {
-            if (inFlight.get(seq).conn() == conn) {
+            if (inFlight.get(seq).connectionId() == connectionId) {
                 inFlight.remove(seq).completion().accept(null);
             }
         }
     }
 
-    void received(long conn, ByteBuffer data) {
-        Node node = byConnection.get(conn);
+    void received(long connectionId, ByteBuffer data) {
+        Node node = byConnection.get(connectionId);
         node.received.add(data);
         try {
             NodeMessage message;
-            while (node.conn == conn && (message = NodeCodec.next(node.received)) != null) {
+            while (node.connectionId == connectionId && (message = NodeCodec.next(node.received)) != null) {
                 handle(node, message);
             }
         } catch (ProtocolException e) {
             turn.warn("node " + node.entry.name() + ": " + e.getMessage());
-            turn.add(new NetAction.Close(conn, true));
+            turn.add(new NetAction.Close(connectionId, true));
             disconnected(node);
         }
     }
@@ -225,10 +225,10 @@
     /** Connects to listed nodes whose reconnect delay has passed, and fails commands whose report is overdue. */
     void expire() {
         for (Node node : nodes.values()) {
-            if (node.conn == 0 && turn.now() >= node.reconnectAt) {
-                node.conn = connectionIds.next();
-                byConnection.put(node.conn, node);
-                turn.add(new NetAction.Connect(node.conn, node.entry.name()));
+            if (node.connectionId == 0 && turn.now() >= node.reconnectAt) {
+                node.connectionId = connectionIds.next();
+                byConnection.put(node.connectionId, node);
+                turn.add(new NetAction.Connect(node.connectionId, node.entry.name()));
             }
         }
         while (!inFlight.isEmpty() && inFlight.firstEntry().getValue().deadline() <= turn.now()) {
@@ -241,7 +241,7 @@
                 ? Long.MAX_VALUE
                 : inFlight.firstEntry().getValue().deadline();
         for (Node node : nodes.values()) {
-            if (node.conn == 0) {
+            if (node.connectionId == 0) {
                 next = Math.min(next, node.reconnectAt);
             }
         }
--- a/mapservice/src/main/java/garnetreel/mapservice/OperatorCommands.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/OperatorCommands.java
@@ -26,7 +26,7 @@
     private final TurnContext turn;
     private final MapState state;
     private final TransactionLog log;
-    private final SubscriberRegistry subscribers;
+    private final ClientConnections clients;
     private final NodeCommandClient nodes;
     private final RollbackDetector rollbacks;
     private final MigrationCoordinator migrations;
@@ -36,7 +36,7 @@
             TurnContext turn,
             MapState state,
             TransactionLog log,
-            SubscriberRegistry subscribers,
+            ClientConnections clients,
             NodeCommandClient nodes,
             RollbackDetector rollbacks,
             MigrationCoordinator migrations,
@@ -44,7 +44,7 @@
         this.turn = turn;
         this.state = state;
         this.log = log;
-        this.subscribers = subscribers;
+        this.clients = clients;
         this.nodes = nodes;
         this.rollbacks = rollbacks;
         this.migrations = migrations;
@@ -74,7 +74,7 @@
 
         void run() throws InvalidCommandException {
             switch (tokens[0]) {
-                case "status" -> accept(OperatorReports.status(state, subscribers, migrations, rollbacks.rolledBack()));
+                case "status" -> accept(OperatorReports.status(state, clients, migrations, rollbacks.rolledBack()));
                 case "show" -> accept(OperatorReports.extents(volume(1), tokens.length > 2 ? number(2) : 0));
                 case "history" -> accept(
                         OperatorReports.history(state, tokens.length > 1 ? (int) number(1) : DEFAULT_HISTORY_ROWS));
--- a/mapservice/src/main/java/garnetreel/mapservice/OperatorReports.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/OperatorReports.java
@@ -42,13 +42,13 @@
     }
 
     static ObjectNode status(
-            MapState state, SubscriberRegistry subscribers, MigrationCoordinator migrations, boolean rolledBack) {
+            MapState state, ClientConnections clients, MigrationCoordinator migrations, boolean rolledBack) {
         ObjectNode json = JSON.objectNode()
                 .put("epoch", state.epoch())
                 .put("version", state.version())
                 .put("horizon", state.horizon())
                 .put("transactions", state.seq())
-                .put("heads", subscribers.subscriberCount())
+                .put("heads", clients.subscriberCount())
                 .put("moves", migrations.inProgress())
                 .put("copied_bytes", migrations.copiedBytes())
                 .put("went_back", rolledBack);
--- a/mapservice/src/main/java/garnetreel/mapservice/RebalanceCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/RebalanceCoordinator.java
@@ -63,7 +63,7 @@
         return nextPoll;
     }
 
-    /** Records that an extent has switched to a new node; it is not proposed again until its rest time is over. */
+    /** Records that an extent has switched to a new node; it is not proposed again until its rest period is over. */
     void migrated(long volume, long extent, long time) {
         rebalancer.migrated(volume, extent, time);
     }
--- a/mapservice/src/main/java/garnetreel/mapservice/RollbackDetector.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/RollbackDetector.java
@@ -5,8 +5,8 @@
 /**
  * Detects that the service was restored from an old backup, where its decisions would rely on outdated extent
  * locations. Once a gateway or node reports a newer version, no migration starts or advances until the maps are adopted
- * from the nodes. A reported version that never existed has the same effect; adoption resolves that too, since the
- * nodes are authoritative.
+ * from the nodes. A version that this service never had, reported in error, has the same effect; adoption resolves that
+ * too, since the nodes are authoritative.
  */
 final class RollbackDetector {
     private final TurnContext turn;
--- a/mapservice/src/main/java/garnetreel/mapservice/StepCommand.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/StepCommand.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 
 /**
- * A command to a node that has not been assigned a number yet.
+ * A command, without its sequence number yet, to a node.
  *
  * @param extentBytes size of the volume's extents
  * @param version version of the extent that the step refers to
@@ -20,7 +20,7 @@
     }
 
     /** A command that polls the extents that a node holds, starting after the given one. */
-    static StepCommand holds(long volume, long extent, int maxBytes) {
+    static StepCommand listExtents(long volume, long extent, int maxBytes) {
         return new StepCommand(Step.LIST_EXTENTS, volume, extent, 0, 0, maxBytes, NodeMessage.noData());
     }
 }
--- a/mapservice/src/main/java/garnetreel/mapservice/RateBudget.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/TokenBucket.java
@@ -1,13 +1,13 @@
 package garnetreel.mapservice;
 
-/** A token bucket that may be overdrawn: it is refilled at a constant rate up to its capacity. */
-final class RateBudget {
+/** A token bucket that may be overdrawn; it is refilled at a constant rate up to its capacity. */
+final class TokenBucket {
     private final double perSecond;
     private final double capacity;
     private double available;
     private long refilledAt;
 
-    RateBudget(double perSecond, double capacity) {
+    TokenBucket(double perSecond, double capacity) {
         this.perSecond = perSecond;
         this.capacity = capacity;
     }
--- a/mapservice/src/main/java/garnetreel/mapservice/TransactionLog.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/TransactionLog.java
@@ -17,7 +17,10 @@
 final class TransactionLog {
     /** Size of a migrated extent in a snapshot, in bytes. */
     private static final int BYTES_PER_MIGRATED_EXTENT = 20;
-    /** A snapshot is worth its cost after at least one transaction per this many migrated extents. */
+    /**
+     * A snapshot is written after at least one transaction per this many migrated extents, so that snapshots of a large
+     * map add at most about 20 * 20 = 400 bytes to the writing of each transaction.
+     */
     private static final int EXTENTS_PER_TRANSACTION = 20;
 
     /** Is notified of each applied transaction, before the completion callback of its submitter. */
@@ -88,8 +91,8 @@
     }
 
     /**
-     * Bounds how much of the journal a restart has to read. The cost of a snapshot grows with the map, so a large map
-     * is written less often; the records in between take at most as many bytes as the snapshot.
+     * Bounds how much of the journal a restart has to read. The cost of a snapshot grows with the map, so that of a
+     * large map is written less often, see {@link #EXTENTS_PER_TRANSACTION}.
      */
     private void writeSnapshotWhenDue() {
         if (state.seq() < nextSnapshotSeq) {
--- a/mapservice/src/test/java/garnetreel/mapservice/SubscriberRegistryTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/ClientConnectionsTest.java
@@ -20,33 +20,33 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-class SubscriberRegistryTest {
+class ClientConnectionsTest {
     private static final long SECOND = 1_000_000;
 
     private final ServiceFixture fixture = new ServiceFixture();
     private final List<String> commands = new ArrayList<>();
     private final List<Consumer<Result>> answers = new ArrayList<>();
-    private final SubscriberRegistry subscribers =
-            new SubscriberRegistry(fixture.turn, fixture.state, fixture.rollbacks, 2, (command, answer) -> {
+    private final ClientConnections clients =
+            new ClientConnections(fixture.turn, fixture.state, fixture.rollbacks, 2, (command, answer) -> {
                 commands.add(command.text());
                 answers.add(answer);
             });
 
-    SubscriberRegistryTest() {
-        subscribers.start();
+    ClientConnectionsTest() {
+        clients.start();
         advanceTo(SECOND);
     }
 
     private void advanceTo(long time) {
         fixture.beginTurnAt(time);
-        subscribers.refill();
+        clients.refill();
     }
 
-    private void receive(long conn, MapMessage message) {
-        if (!subscribers.owns(conn)) {
-            subscribers.accepted(conn);
+    private void receive(long connectionId, MapMessage message) {
+        if (!clients.owns(connectionId)) {
+            clients.accepted(connectionId);
         }
-        subscribers.received(conn, MapCodec.frame(message));
+        clients.received(connectionId, MapCodec.frame(message));
     }
 
     private List<Sent<MapMessage>> sent() {
@@ -63,18 +63,18 @@
     @Test
     void subscriberReceivesASnapshotAndThenChanges() {
         receive(1, new Subscribe(0, 0, 0));
-        subscribers.accepted(2);
+        clients.accepted(2);
         assertEquals(List.of(new Sent<MapMessage>(1, ServiceFixture.INITIAL)), sent());
-        assertEquals(1, subscribers.subscriberCount());
+        assertEquals(1, clients.subscriberCount());
         switchExtent(4, 1);
-        subscribers.publishChanges(1);
+        clients.publishChanges(1);
         Changes changes = new Changes(1, 1, 2, List.of(new Change(ServiceFixture.VOLUME, 4, 1, 2)));
         assertEquals(
                 List.of(new Sent<MapMessage>(1, changes)),
                 sent(),
                 "connections that have not subscribed receive nothing");
         switchExtent(6, 1);
-        subscribers.publishChanges(1);
+        clients.publishChanges(1);
         changes = new Changes(1, 2, 3, List.of(new Change(ServiceFixture.VOLUME, 6, 1, 3)));
         assertEquals(List.of(new Sent<MapMessage>(1, changes)), sent());
     }
@@ -84,20 +84,20 @@
         receive(1, new Subscribe(0, 1, 1));
         sent();
         fixture.state.apply(fixture.state.newEpoch("test", 0, ""));
-        subscribers.publishChanges(1);
+        clients.publishChanges(1);
         assertEquals(List.of(new Sent<MapMessage>(1, fixture.state.mapSnapshot())), sent());
     }
 
     @Test
     void subscribersAboveTheRateAreToldToRetry() {
-        for (int conn = 1; conn <= 3; conn++) {
-            receive(conn, new Subscribe(conn, 1, 1));
+        for (int connectionId = 1; connectionId <= 3; connectionId++) {
+            receive(connectionId, new Subscribe(connectionId, 1, 1));
         }
         Changes noChanges = new Changes(1, 1, 1, List.of());
         assertEquals(
                 List.of(new Sent<>(1, noChanges), new Sent<>(2, noChanges), new Sent<MapMessage>(3, new Busy(500_000))),
                 sent());
-        assertEquals(2, subscribers.subscriberCount());
+        assertEquals(2, clients.subscriberCount());
         advanceTo(SECOND + 499_999);
         receive(3, new Subscribe(3, 1, 1));
         advanceTo(SECOND + 500_000);
@@ -108,14 +108,14 @@
     @Test
     void keepAliveGoesToSubscribersOnceASecond() {
         receive(1, new Subscribe(0, 1, 1));
-        subscribers.accepted(2);
+        clients.accepted(2);
         sent();
-        assertEquals(SECOND, subscribers.nextDeadline());
-        subscribers.keepAlive();
+        assertEquals(SECOND, clients.nextDeadline());
+        clients.keepAlive();
         assertEquals(List.of(new Sent<MapMessage>(1, new Changes(1, 1, 1, List.of()))), sent());
-        assertEquals(2 * SECOND, subscribers.nextDeadline());
+        assertEquals(2 * SECOND, clients.nextDeadline());
         advanceTo(2 * SECOND - 1);
-        subscribers.keepAlive();
+        clients.keepAlive();
         assertEquals(List.of(), sent());
     }
 
@@ -136,11 +136,11 @@
         receive(1, new Command("somebody", "status"));
         receive(2, new Command("somebody", "history"));
         assertEquals(List.of("status", "history"), commands);
-        subscribers.closed(1);
+        clients.closed(1);
         answers.forEach(answer -> answer.accept(new Result(true, "{}")));
         assertEquals(List.of(new Sent<MapMessage>(2, new Result(true, "{}"))), sent());
         // Connection numbers are never reused; even if one were, the answer must not go to the new connection.
-        subscribers.accepted(1);
+        clients.accepted(1);
         answers.get(0).accept(new Result(true, "{}"));
         assertEquals(List.of(), sent());
     }
@@ -148,7 +148,7 @@
     @Test
     void clientThatViolatesTheProtocolIsDisconnected() {
         receive(1, new Busy(5));
-        assertFalse(subscribers.owns(1));
+        assertFalse(clients.owns(1));
         assertEquals(
                 List.of(
                         new NetAction.Log(NetAction.Level.WARN, "client connection 1: unexpected message Busy"),
--- a/mapservice/src/test/java/garnetreel/mapservice/MigrationCoordinatorTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/MigrationCoordinatorTest.java
@@ -65,7 +65,7 @@
     }
 
     private static String step(Sent<NodeMessage> command) {
-        return ((ControlCommand) command.message()).step() + "@" + (-1 - command.conn());
+        return ((ControlCommand) command.message()).step() + "@" + (-1 - command.connectionId());
     }
 
     private List<String> history() {
--- a/mapservice/src/test/java/garnetreel/mapservice/NodeCommandClientTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/NodeCommandClientTest.java
@@ -32,7 +32,7 @@
                 StepCommand.load(),
                 report -> completions.add(report == null ? "no report" : "report " + report.seq()));
         Sent<NodeMessage> sent = ServiceFixture.toNodes(fixture.actions()).get(0);
-        assertEquals(ServiceFixture.connection(shard), sent.conn());
+        assertEquals(ServiceFixture.connection(shard), sent.connectionId());
         return ((ControlCommand) sent.message()).seq();
     }
 
--- a/mapservice/src/test/java/garnetreel/mapservice/OperatorCommandsTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/OperatorCommandsTest.java
@@ -17,14 +17,14 @@
     private final List<Result> answers = new ArrayList<>();
     private final TransactionLog log =
             new TransactionLog(fixture.turn, fixture.state, 1_000, (transaction, epochBefore) -> {});
-    private final SubscriberRegistry subscribers =
-            new SubscriberRegistry(fixture.turn, fixture.state, fixture.rollbacks, 2, (command, answer) -> {});
+    private final ClientConnections clients =
+            new ClientConnections(fixture.turn, fixture.state, fixture.rollbacks, 2, (command, answer) -> {});
     private final MigrationCoordinator migrations = new MigrationCoordinator(
             fixture.turn, fixture.state, fixture.nodes, log, fixture.rollbacks, 1_000, migration -> {});
     private final AdoptionCoordinator adoption =
             new AdoptionCoordinator(fixture.turn, fixture.state, fixture.nodes, log, fixture.rollbacks, migrations);
     private final OperatorCommands commands = new OperatorCommands(
-            fixture.turn, fixture.state, log, subscribers, fixture.nodes, fixture.rollbacks, migrations, adoption);
+            fixture.turn, fixture.state, log, clients, fixture.nodes, fixture.rollbacks, migrations, adoption);
 
     /** Executes a command, makes its transactions durable and returns its answer. */
     private Result execute(String text) {
--- a/mapservice/src/test/java/garnetreel/mapservice/RebalanceCoordinatorTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/RebalanceCoordinatorTest.java
@@ -38,7 +38,7 @@
         coordinator.run();
         for (Sent<NodeMessage> command : ServiceFixture.toNodes(fixture.actions())) {
             assertEquals(Step.LOAD, ((ControlCommand) command.message()).step());
-            boolean busy = command.conn() == ServiceFixture.connection(0);
+            boolean busy = command.connectionId() == ServiceFixture.connection(0);
             fixture.report(command, true, false, 0, busy ? load(90, 0.9, 4, 30) : load(10, 0.1, 5, 10));
         }
     }
--- a/mapservice/src/test/java/garnetreel/mapservice/ServiceFixture.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/ServiceFixture.java
@@ -84,7 +84,7 @@
         return sent(taken, -1, NodeCodec::next);
     }
 
-    record Sent<T>(long conn, T message) {}
+    record Sent<T>(long connectionId, T message) {}
 
     private interface Decoder<T> {
         T next(ByteQueue in) throws ProtocolException;
@@ -130,6 +130,7 @@
     void report(Sent<NodeMessage> command, boolean ok, boolean more, long known, ByteBuffer data) {
         ControlCommand order = (ControlCommand) command.message();
         nodes.received(
-                command.conn(), NodeCodec.frame(new CommandReport(order.seq(), ok, more, 1, known, data.duplicate())));
+                command.connectionId(),
+                NodeCodec.frame(new CommandReport(order.seq(), ok, more, 1, known, data.duplicate())));
     }
 }
--- a/net/src/main/java/garnetreel/net/BackgroundJournalWriter.java
+++ b/net/src/main/java/garnetreel/net/BackgroundJournalWriter.java
@@ -19,7 +19,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(BackgroundJournalWriter.class);
     /** Delay before a failed write is retried. */
     private static final long RETRY_MILLIS = 200;
-    /** Most retries after {@link #close} was called. */
+    /** Maximum number of retries after {@link #close} was called. */
     private static final int MAX_RETRIES_AT_CLOSE = 25;
 
     /** A journal record, or if {@code durable} is null a snapshot that retains some records. */
--- a/net/src/main/java/garnetreel/net/Clock.java
+++ b/net/src/main/java/garnetreel/net/Clock.java
@@ -7,9 +7,9 @@
     long currentMicros();
 
     /**
-     * A clock that starts at the wall-clock time of this call and is advanced by the monotonic clock. The clocks of all
-     * processes on a host agree within a few milliseconds; a step of the host's wall clock has no effect on a running
-     * process.
+     * A clock that starts at the wall-clock time of this call and is advanced by the monotonic clock. A step of the
+     * host's wall clock has no effect on a running process. The clocks of all processes on a host agree within a few
+     * milliseconds unless the wall clock was stepped between their starts.
      */
     static Clock system() {
         long base = System.currentTimeMillis() * 1000;
--- a/net/src/main/java/garnetreel/net/ConnectionTable.java
+++ b/net/src/main/java/garnetreel/net/ConnectionTable.java
@@ -14,7 +14,10 @@
  * {@link #size} and {@link #abortAll}.
  */
 final class ConnectionTable implements SocketConnection.CloseListener {
-    /** Most connections that await their peer's end of stream; beyond it the one that has waited longest is aborted. */
+    /**
+     * Maximum number of connections that await their peer's end of stream; beyond it the one that has waited longest is
+     * aborted.
+     */
     private static final int MAX_LINGERING = 24;
 
     private final EventLoop loop;
@@ -22,9 +25,9 @@
     private final Map<Long, SocketConnection> connections = new ConcurrentHashMap<>();
     /** Connections with writes that were queued since the last flush. */
     private final Set<SocketConnection> unflushed = new LinkedHashSet<>();
-    /** Connections in an orderly close. They would be reset if the process exited before they are closed. */
+    /** Connections in a graceful close. They would be reset if the process exited before they are closed. */
     private final Set<SocketConnection> closing = new LinkedHashSet<>();
-    /** Connections in an orderly close that await their peer's end of stream, the longest wait first. */
+    /** Connections in a graceful close that await their peer's end of stream, the longest wait first. */
     private final Set<SocketConnection> lingering = new LinkedHashSet<>();
     /** Connections on which the state machine has paused reading. */
     private final Set<Long> readPaused = new LinkedHashSet<>();
@@ -45,7 +48,7 @@
         return connections.size();
     }
 
-    /** Whether no connection is in an orderly close. */
+    /** Whether no connection is in a graceful close. */
     boolean allClosesComplete() {
         return closing.isEmpty();
     }
--- a/net/src/main/java/garnetreel/net/EventLoop.java
+++ b/net/src/main/java/garnetreel/net/EventLoop.java
@@ -17,8 +17,8 @@
 /**
  * Runs one {@link StateMachine} on sockets. One XNIO I/O thread reads, writes and calls it: all sockets that are ready
  * in one selection are read first, then their events are handled in one turn (call of {@code handle}). Bytes are never
- * handed from thread to thread (the alternatives, with figures, are in docs/gateway.md). All decisions are made by the
- * state machine.
+ * handed from thread to thread (the alternatives, with figures, are in docs/gateway.md). What is sent to whom is
+ * decided by the state machine; how listeners are bound and connections accepted and closed, here.
  */
 public final class EventLoop implements AutoCloseable {
     /** Durable storage of a state machine; called on the event loop's thread, so it must not wait for a disk. */
@@ -27,18 +27,22 @@
         /** Persists a named state, in place of the previous one of that name. */
         void persist(String name, byte[] data);
 
-        /** Appends a record to the journal, and runs {@code durable} on any thread once it is durable. */
+        /**
+         * Appends a record to the journal, and runs {@code durable} on any thread once it is durable. The default
+         * stores nothing and runs it at once.
+         */
         default void append(long sequence, byte[] data, Runnable durable) {
             durable.run();
         }
 
         /**
          * Persists a snapshot; of the journal records that it covers, the last {@code retainedRecords} are retained.
+         * The default stores nothing.
          */
         default void snapshot(long sequence, byte[] data, int retainedRecords) {}
     }
 
-    /** Most turns in a row of a state machine whose deadline is due; then the sockets are read again. */
+    /** Maximum number of turns in a row of a state machine whose deadline is due; then the sockets are read again. */
     private static final int MAX_TURNS_IN_A_ROW = 16;
 
     private final String name;
@@ -54,7 +58,7 @@
     private final OutgoingConnections outgoing;
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final List<NetAction> actions = new ArrayList<>();
-    /** The state machine has stopped; connections in an orderly close may still have bytes to send. */
+    /** The state machine has stopped; connections in a graceful close may still have bytes to send. */
     private boolean stopping;
 
     private volatile boolean closed;
@@ -91,7 +95,7 @@
     }
 
     /**
-     * Completes when the state machine has stopped and its orderly closes are complete, or when the loop is closed;
+     * Completes when the state machine has stopped and its graceful closes are complete, or when the loop is closed;
      * completes exceptionally if the state machine failed.
      */
     public CompletableFuture<Void> stopped() {
@@ -105,10 +109,10 @@
 
     /** Runs no turn for a time, as if the process were paused. For tests. */
     public void simulatePause(long micros) {
-        turns.stall(micros);
+        turns.simulatePause(micros);
     }
 
-    /** Ends immediately, as a killed process would: no turn follows, sockets are closed without an orderly close. */
+    /** Ends immediately, as a killed process would: no turn follows, sockets are closed without a graceful close. */
     @Override
     public void close() {
         closed = true;
@@ -180,8 +184,8 @@
     }
 
     private void runTurn() {
-        while (!closed && turns.isStalled()) {
-            turns.parkWhileStalled();
+        while (!closed && turns.isPauseSimulated()) {
+            turns.parkDuringPause();
         }
         List<NetEvent> handled = events.take();
         stateMachine.handle(turns.beginTurn(), handled, actions);
@@ -231,7 +235,7 @@
         }
     }
 
-    /** Completes the stop of the state machine once its orderly closes are complete and its listeners closed. */
+    /** Completes the stop of the state machine once its graceful closes are complete and its listeners closed. */
     void completeStopIfDrained() {
         if (stopping && connections.allClosesComplete() && listeners.allStopsComplete()) {
             stopped.complete(null);
--- a/net/src/main/java/garnetreel/net/EventQueue.java
+++ b/net/src/main/java/garnetreel/net/EventQueue.java
@@ -6,9 +6,10 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Events that wait for the state machine's next turn. Its length is bounded: a connection has at most
- * {@link SocketConnection#MAX_UNHANDLED_CHUNKS} received, one drained and one closed event in it, and no connection is
- * accepted while {@link #isFull()}. Thread-safe.
+ * Events that wait for the state machine's next turn. Peers can't fill it: a connection has at most
+ * {@link SocketConnection#MAX_UNHANDLED_CHUNKS} received events in it, one closed event and few others, and no
+ * connection is accepted while {@link #isFull()}. Events of commands and durable records are not limited here.
+ * Thread-safe.
  */
 final class EventQueue {
     /** Number of queued events at which connections are no longer accepted. */
--- a/net/src/main/java/garnetreel/net/Listeners.java
+++ b/net/src/main/java/garnetreel/net/Listeners.java
@@ -31,8 +31,8 @@
      * are reset when the listener is closed, though a client may already have sent a request.
      */
     private static final long STOP_DELAY_MILLIS = 5;
-    /** Longest time for which a failed accept keeps a listener from accepting. */
-    private static final long ACCEPT_PAUSE_CHECK_MILLIS = 20;
+    /** Interval at which XNIO's backoffs after failed accepts are ended; one lasts no longer than this. */
+    private static final long BACKOFF_CHECK_MILLIS = 20;
     /**
      * Retries of binding an address, 8 s in all. Without them a restart fails while the previous process, or a
      * connection from its port, is not completely gone.
@@ -97,7 +97,7 @@
             listeners.put(listen.listener(), server);
             binding.remove(listen.listener());
             server.resumeAccepts();
-            keepAccepting(listen.listener(), server, AcceptPauseWorkaround.of(server));
+            keepAccepting(listen.listener(), server, AcceptBackoffWorkaround.of(server));
             String text = Addresses.format(server.getLocalAddress(InetSocketAddress.class));
             events.add(new NetEvent.Listening(listen.listener(), text));
             address.complete(text);
@@ -144,15 +144,15 @@
     // ---------------------------------------------------------------- accepting
 
     private void keepAccepting(
-            String listener, AcceptingChannel<StreamConnection> server, AcceptPauseWorkaround workaround) {
+            String listener, AcceptingChannel<StreamConnection> server, AcceptBackoffWorkaround workaround) {
         ioThread.executeAfter(
                 () -> {
                     if (!loop.isClosed() && listeners.get(listener) == server) {
-                        workaround.endBackOffs();
+                        workaround.endBackoffs();
                         keepAccepting(listener, server, workaround);
                     }
                 },
-                ACCEPT_PAUSE_CHECK_MILLIS,
+                BACKOFF_CHECK_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
--- a/net/src/main/java/garnetreel/net/OutboundQueue.java
+++ b/net/src/main/java/garnetreel/net/OutboundQueue.java
@@ -7,7 +7,7 @@
 
 /** Buffers of one connection that are not written to its socket yet, in order. Guarded by the connection's lock. */
 final class OutboundQueue {
-    /** Most buffers in one gathering write. */
+    /** Maximum number of buffers in one gathering write. */
     private static final int MAX_GATHERED_BUFFERS = 64;
 
     private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
--- a/net/src/main/java/garnetreel/net/SocketConnection.java
+++ b/net/src/main/java/garnetreel/net/SocketConnection.java
@@ -15,20 +15,21 @@
  * yet, so that a slow state machine exerts backpressure on its peer. Writes are attempted at the end of a turn, as most
  * fit into the send buffer of the socket; the rest is written when the socket becomes writable.
  *
- * <p>How a connection ends is decided here alone. An orderly close sends all queued bytes, shuts down the sending side,
- * then reads and discards until the peer's end of stream (RFC 9112, 9.6). A close while received bytes are unread, or
- * while bytes arrive, would be a reset, and a reset can destroy a response that the peer has not read yet.
+ * <p>The state machine decides whether a connection is closed, this class how. A graceful close sends all queued bytes,
+ * shuts down the sending side, then reads and discards until the peer's end of stream (RFC 9112, 9.6). A close while
+ * received bytes are unread, or while bytes arrive, would be a reset, and a reset can destroy a response that the peer
+ * has not read yet.
  */
 final class SocketConnection {
     /** Number of received chunks that the state machine has not handled at which the socket is no longer read. */
     static final int MAX_UNHANDLED_CHUNKS = 4;
     /** Largest chunk; also the size of the read buffer of an I/O thread. */
     static final int MAX_CHUNK_BYTES = 128 << 10;
-    /** Longest time to send the queued bytes in an orderly close; then the connection is aborted. */
+    /** Maximum time to send the queued bytes in a graceful close; then the connection is aborted. */
     private static final long SEND_TIMEOUT_MILLIS = 5_000;
-    /** Longest wait for the peer's end of stream after the shutdown of the sending side. */
+    /** Maximum wait for the peer's end of stream after the shutdown of the sending side. */
     static final long LINGER_TIMEOUT_MILLIS = 1_000;
-    /** Most bytes discarded while waiting for the peer's end of stream. */
+    /** Maximum number of bytes discarded while waiting for the peer's end of stream. */
     private static final int MAX_LINGER_BYTES = 1 << 20;
 
     private static final ThreadLocal<ByteBuffer> READ_BUFFER =
@@ -64,7 +65,9 @@
     private final OutboundQueue outbound = new OutboundQueue();
 
     private Phase phase = Phase.OPEN;
+    /** Number of chunks that may be read before the state machine has handled another one. */
     private int readCredits = MAX_UNHANDLED_CHUNKS;
+
     private boolean readInterest = true;
     private boolean awaitingWritable;
     private boolean peerEnded;
@@ -142,7 +145,9 @@
         return true;
     }
 
-    /** Notes that the state machine has handled a chunk, and resumes reading if all read credits were in use. */
+    /**
+     * Called when the state machine has handled a chunk: returns its read credit, and resumes reading if none was left.
+     */
     synchronized void releaseReadCredit() {
         if (readCredits++ == 0 && readInterest && phase == Phase.OPEN) {
             source.resumeReads();
@@ -226,7 +231,7 @@
 
     // ---------------------------------------------------------------- closing
 
-    /** Closes the connection for the state machine: in an orderly close, or with {@code abort} immediately. */
+    /** Closes the connection for the state machine: gracefully, or with {@code abort} immediately. */
     synchronized void close(boolean abort) {
         if (abort) {
             abort();
@@ -269,7 +274,7 @@
 
     /**
      * Closes the socket immediately, if it is open. If all received bytes are read and all queued bytes sent, the peer
-     * can't distinguish this from an orderly close.
+     * can't distinguish this from a graceful close.
      */
     void abort() {
         synchronized (this) {
@@ -300,7 +305,7 @@
     }
 
     /** Handles the end of the connection by its peer or the network. */
-    private void fail(boolean orderly, String reason) {
+    private void fail(boolean endOfStream, String reason) {
         boolean wasOpen;
         synchronized (this) {
             wasOpen = phase == Phase.OPEN;
@@ -311,7 +316,7 @@
             }
         }
         if (wasOpen) {
-            events.add(new NetEvent.Closed(id, true, orderly, reason == null ? "broken" : reason));
+            events.add(new NetEvent.Closed(id, true, endOfStream, reason == null ? "broken" : reason));
         } else {
             abort();
         }
--- a/settings/src/main/java/garnetreel/settings/Json.java
+++ b/settings/src/main/java/garnetreel/settings/Json.java
@@ -106,7 +106,7 @@
     }
 
     /**
-     * Returns this object.
+     * Checks that a field is present, and returns this object.
      *
      * @throws JsonException if the field is absent
      */
@@ -127,7 +127,10 @@
         return get(name, String.class, defaultValue);
     }
 
-    /** The number in a field without its fraction, or the default if it is absent. */
+    /**
+     * The number in a field without its fraction, or the default if it is absent. A number beyond the range of a long
+     * gives the end of that range.
+     */
     public long integer(String name, long defaultValue) throws JsonException {
         return get(name, Number.class, defaultValue).longValue();
     }
--- a/settings/src/main/java/garnetreel/settings/SettingsReader.java
+++ b/settings/src/main/java/garnetreel/settings/SettingsReader.java
@@ -13,7 +13,7 @@
 public final class SettingsReader {
     private SettingsReader() {}
 
-    /** Reads the settings. An absent field disables its feature or has a neutral value. */
+    /** Reads the settings. An absent field has the default that is given where the field is read. */
     public static SchedulerSettings read(Json json) throws JsonException {
         Json limits = json.child("limits");
         Json specifics = json.child("specifics");
--- a/settings/src/main/java/garnetreel/settings/package-info.java
+++ b/settings/src/main/java/garnetreel/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the JSON settings of a scheduler. */
+/** Reads JSON input, and from it the settings of a scheduler. */
 package garnetreel.settings;
--- a/store/src/main/java/garnetreel/store/Journal.java
+++ b/store/src/main/java/garnetreel/store/Journal.java
@@ -16,10 +16,10 @@
  * one. A snapshot and the removal of the records that it covers are in one chunk, so they become visible together.
  *
  * <p>A disk may fail temporarily (ENOSPC, EIO). A change whose call failed is either durable or not; the caller repeats
- * the call, which has no further effect on a durable change. MVStore closes its file after a failed write, so the next
- * call reopens it. Before that it opens the file and closes it regularly once, which rewrites the header: MVStore finds
- * chunks by starting at the header and following the position of the next chunk that each chunk stores. A failed write
- * breaks this chain, so without a new header the next opening would miss all chunks after the break.
+ * the call, which is safe if the change is durable already. MVStore closes its file after a failed write, so the next
+ * call reopens it. It does so twice, with a normal close in between, which rewrites the header: MVStore finds chunks by
+ * starting at the header and following the position of the next chunk that each chunk stores. A failed write breaks
+ * this chain, so without a new header the next opening would miss all chunks after the break.
  *
  * <p>Thread safe: calls are serialized.
  */
@@ -28,7 +28,7 @@
     private static final int COMPACT_MS = 50;
 
     private final Path file;
-    /** Null after a failure, until the file is reopened, and after {@link #close}. */
+    /** Null after a failure and after {@link #close}; the next call reopens the file. */
     private MVStore store;
 
     /**
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Appends a record, which is durable on return. Numbers are consecutive; the last record may be appended again,
-     * which replaces it.
+     * Appends a record, which is durable on return. Its number must follow that of the last retained record, if any, or
+     * be the same, which replaces it.
      *
      * @throws IOException if writing fails; the record may be durable or not, and may be appended again
      */
