--- a/core/src/main/java/garnetreel/core/server/ProtocolServer.java
+++ b/core/src/main/java/garnetreel/core/server/ProtocolServer.java
@@ -73,7 +73,7 @@
 
     private List<NetAction> actions = new ArrayList<>();
     private long now;
-    private int rejected;
+    private int rejectedSessions;
     private boolean draining;
 
     /** Creates a server without connections. */
@@ -129,18 +129,18 @@
     /** A client has connected. */
     public final void accepted(long connectionId, String peer) {
         int maxConnections = settings.bounds().connections();
-        boolean full = sessions.size() - rejected >= maxConnections;
-        if (draining || full && rejected >= MAX_REJECTED) {
+        boolean rejected = sessions.size() - rejectedSessions >= maxConnections;
+        if (draining || rejected && rejectedSessions >= MAX_REJECTED) {
             emit(new NetAction.Close(connectionId, true));
             return;
         }
-        if (full) {
-            rejected++;
+        if (rejected) {
+            rejectedSessions++;
             emit(new NetAction.Log(
                     NetAction.Level.WARN,
                     "connection limit of " + maxConnections + " reached; client " + peer + " is rejected"));
         }
-        S session = open(connectionId, full, now + settings.bounds().handshakeTimeout());
+        S session = open(connectionId, rejected, now + settings.bounds().handshakeTimeout());
         sessions.put(connectionId, session);
         handshaking.add(session);
         session.greet();
@@ -177,7 +177,7 @@
         handshaking.remove(session);
         byteBudget.removeListener(session);
         if (session.rejected) {
-            rejected--;
+            rejectedSessions--;
         }
     }
 
--- a/core/src/test/java/garnetreel/core/request/RequestFixtures.java
+++ b/core/src/test/java/garnetreel/core/request/RequestFixtures.java
@@ -27,7 +27,7 @@
 
     private RequestFixtures() {}
 
-    /** A router that locates extents by the volume's initial layout. */
+    /** A router that locates extents by the volume's initial placement. */
     static ExtentRouter fixedRouter() {
         return new ExtentRouter() {
             @Override
--- a/map/src/main/java/garnetreel/map/MapState.java
+++ b/map/src/main/java/garnetreel/map/MapState.java
@@ -62,8 +62,8 @@
      *
      * @param initial the maps of a service that has never run
      * @param snapshot the latest snapshot; null for none
-     * @param records transactions in order, without gaps; those that the snapshot covers are kept only for history and
-     *     deltas
+     * @param records transactions in order, without gaps; those that the snapshot covers are kept only for the history
+     *     and the changes sent to gateways
      * @throws CorruptJournalException if a record is missing or damaged; the message says which
      */
     public static MapState recover(Snapshot initial, byte[] snapshot, List<byte[]> records) {
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Adds a transaction that the snapshot covers to the history; the first one of an epoch sets the horizon for
-     * deltas.
+     * Adds a transaction that the snapshot covers to the history; the first one of an epoch sets the horizon, the
+     * lowest version since which changes can be sent.
      */
     private void retain(Transaction t) {
         if (history.isEmpty() || t.epoch() != history.peekLast().epoch()) {
