--- a/map/src/main/java/garnetreel/map/MapState.java
+++ b/map/src/main/java/garnetreel/map/MapState.java
@@ -22,8 +22,8 @@
  * <p>Methods that return a {@link Transaction} only build it; it takes effect through {@link #apply}, once it is
  * durable.
  *
- * <p>The last {@link #HISTORY_LIMIT} transactions are retained for deltas and for the history shown to operators; a gateway
- * whose version is older than these is sent a snapshot.
+ * <p>The last {@link #HISTORY_LIMIT} transactions are retained for the changes sent to gateways and for the history
+ * shown to operators; a gateway whose version precedes the oldest of them is sent a snapshot.
  */
 public final class MapState {
     /** Number of transactions retained. */
@@ -62,8 +62,8 @@
      *
      * @param initial the maps of a service that has never run
      * @param snapshot the latest snapshot; null for none
-     * @param records transactions in order, without gaps; those that the snapshot covers are kept only for history and
-     *     deltas
+     * @param records transactions in order, without gaps; those that the snapshot covers are kept only for the history
+     *     and the changes sent to gateways
      * @throws CorruptJournalException if a record is missing or damaged; the message says which
      */
     public static MapState recover(Snapshot initial, byte[] snapshot, List<byte[]> records) {
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Adds a transaction that the snapshot covers to the history; the first one of an epoch sets the horizon for
-     * deltas.
+     * Adds a transaction that the snapshot covers to the history; the first one of an epoch sets the horizon, the
+     * lowest version since which changes can be sent.
      */
     private void retain(Transaction t) {
         if (history.isEmpty() || t.epoch() != history.peekLast().epoch()) {
@@ -219,7 +219,8 @@
     }
 
     /**
-     * A new migration that begins as ABORTING: it rolls back what a migration missing from the journal left on nodes.
+     * A new migration that begins as ABORTING: it rolls back what a lost migration, one missing from the journal, left
+     * on nodes.
      */
     public Migration newRollbackMigration(Migration lost) {
         return new Migration(
