--- a/core/src/main/java/garnetreel/core/platform/HttpClientConnection.java
+++ b/core/src/main/java/garnetreel/core/platform/ClientConnection.java
@@ -8,9 +8,9 @@
 
 /**
  * The connection of one client: its state, the buffered input, and the count of requests received over the limit on
- * buffered input. Only {@link HttpClientConnectionTable} changes the state, because it orders connections by it.
+ * buffered input. Only {@link ClientConnectionTable} changes the state, because it orders connections by it.
  */
-final class HttpClientConnection {
+final class ClientConnection {
     /** The states, in the order in which their time limits are checked. */
     enum State {
         /** Accepted; nothing has been received yet. */
@@ -31,7 +31,7 @@
     private record ReceivedBytes(ByteBuffer data, long receivedAt) {}
 
     final long id;
-    /** No further request is read, and the connection is closed after the response. */
+    /** Whether the connection is closed after the response; no further request on it is parsed. */
     boolean closeAfterResponse;
     /** Bytes of the response that have not been written to the client's socket. */
     int unsentBytes;
@@ -41,8 +41,8 @@
     private State state = State.AWAITING_REQUEST;
     private long stateSince;
     /**
-     * When the first bytes of the partial request were received; they may have waited for another request since. Over
-     * the input limit, when its latest bytes were received.
+     * When the first bytes of the partial request were received, possibly during another request. Over the input limit:
+     * when the latest bytes were received.
      */
     private long partialRequestSince;
 
@@ -55,7 +55,7 @@
     private int requestsToReject;
     private String malformedInputReason;
 
-    HttpClientConnection(long id) {
+    ClientConnection(long id) {
         this.id = id;
     }
 
@@ -117,7 +117,6 @@
         return request;
     }
 
-    /** Whether part of a request has been parsed. */
     boolean hasPartialRequest() {
         return parser.hasPartialMessage();
     }
--- a/core/src/main/java/garnetreel/core/platform/HttpClientConnections.java
+++ b/core/src/main/java/garnetreel/core/platform/ClientConnections.java
@@ -6,9 +6,9 @@
 import garnetreel.core.io.ConnectionHandler;
 import garnetreel.core.io.NetAction;
 import garnetreel.core.io.NetEvent;
+import garnetreel.core.platform.ClientConnection.State;
 import garnetreel.core.platform.GatewayCounters.Event;
 import garnetreel.core.platform.GatewayCounters.Invariant;
-import garnetreel.core.platform.HttpClientConnection.State;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -17,11 +17,11 @@
 /**
  * The HTTP connections of clients. Each has at most one request in progress. Bytes of pipelined requests are buffered
  * up to a limit; beyond it requests are only counted and then rejected in order, since every received request must get
- * a response, except those behind the last one on a connection that is closed after it. A connection is always read,
- * because a close by the client would otherwise go unnoticed. Malformed input is answered with an error, after which
- * the connection is closed.
+ * a response, except requests that follow one after whose response the connection is closed. Bytes are read even when
+ * no further request is parsed, because a close by the client would otherwise go unnoticed. Malformed input is answered
+ * with an error, after which the connection is closed.
  */
-final class HttpClientConnections implements ConnectionHandler {
+final class ClientConnections implements ConnectionHandler {
     /** Limit on the buffered input of one connection: hundreds of small pipelined requests, or a few of the largest. */
     private static final int MAX_PENDING_INPUT_BYTES = 256 << 10;
 
@@ -44,30 +44,31 @@
         void clientDisconnected(long connectionId);
     }
 
-    private final ResourceBounds bounds;
+    private final ResourceLimits limits;
     private final GatewayCounters counters;
     private final Listener listener;
-    private final HttpClientConnectionTable connections;
+    private final ClientConnectionTable connections;
     private List<NetAction> actions = new ArrayList<>();
     private long now;
     /** The time at which the input of this turn counts as received; after a process pause, earlier than now. */
     private long receivedAt;
     /** Total response bytes that have not been written to the clients' sockets. */
     private int unsentBytes;
-    /** Total bytes of buffered input. */
+
     private int pendingInputBytes;
 
-    HttpClientConnections(ResourceBounds bounds, GatewayCounters counters, Listener listener) {
-        this.bounds = bounds;
+    ClientConnections(ResourceLimits limits, GatewayCounters counters, Listener listener) {
+        this.limits = limits;
         this.counters = counters;
         this.listener = listener;
-        this.connections = new HttpClientConnectionTable(bounds.maxClients());
+        this.connections = new ClientConnectionTable(limits.maxClients());
     }
 
     /**
      * Starts a turn, that is one call of {@link PlatformGateway#handle}.
      *
-     * @param inputReceivedAt the time at which the input of this turn counts as received
+     * @param inputReceivedAt earliest time at which the input of this turn may have been received; it counts as
+     *     received then
      * @param turnActions receives the actions of this turn
      */
     void beginTurn(long time, long inputReceivedAt, List<NetAction> turnActions) {
@@ -95,12 +96,12 @@
 
     /** Adds a connection; the limit on connections is applied once all input of this turn has been read. */
     void accepted(long connectionId) {
-        connections.add(new HttpClientConnection(connectionId), now);
+        connections.add(new ClientConnection(connectionId), now);
     }
 
     @Override
     public void closed(NetEvent.Closed event) {
-        HttpClientConnection connection = connections.get(event.connectionId());
+        ClientConnection connection = connections.get(event.connectionId());
         remove(connection);
         if (connection.state() == State.PROCESSING) {
             listener.clientDisconnected(connection.id);
@@ -112,7 +113,7 @@
      * before a pending response: to the request in progress, or to one that was only counted. A close is no violation
      * if the client does not read its responses.
      */
-    private void close(HttpClientConnection connection, boolean abort, Event reason) {
+    private void close(ClientConnection connection, boolean abort, Event reason) {
         counters.count(reason);
         boolean responsePending = connection.state() == State.PROCESSING || connection.hasRequestsToReject();
         if (responsePending && reason != Event.CLOSED_RESPONSE_UNREAD) {
@@ -122,14 +123,14 @@
         remove(connection);
     }
 
-    private void remove(HttpClientConnection connection) {
+    private void remove(ClientConnection connection) {
         unsentBytes -= connection.unsentBytes;
         connection.unsentBytes = 0;
         discardInput(connection);
         connections.remove(connection);
     }
 
-    private void discardInput(HttpClientConnection connection) {
+    private void discardInput(ClientConnection connection) {
         pendingInputBytes -= connection.pendingInputBytes();
         connection.discardInput();
     }
@@ -138,7 +139,7 @@
 
     @Override
     public void received(long connectionId, ByteBuffer data) {
-        HttpClientConnection connection = connections.get(connectionId);
+        ClientConnection connection = connections.get(connectionId);
         if (connection.closeAfterResponse) {
             return; // no further request on this connection is answered
         }
@@ -149,14 +150,14 @@
         pendingInputBytes += data.remaining();
         connection.addInput(data, receivedAt);
         readRequests(connection);
-        if (connection.pendingInputBytes() > MAX_PENDING_INPUT_BYTES || pendingInputBytes > bounds.maxBufferedBytes()) {
+        if (connection.pendingInputBytes() > MAX_PENDING_INPUT_BYTES || pendingInputBytes > limits.maxBufferedBytes()) {
             pendingInputBytes -= connection.pendingInputBytes();
             connection.enterOverInputLimit(receivedAt);
         }
     }
 
     /** Parses requests from the buffered input until one is in progress. */
-    private void readRequests(HttpClientConnection connection) {
+    private void readRequests(ClientConnection connection) {
         try {
             while (connection.acceptsNextRequest()
                     && connection.hasPendingInput()
@@ -164,11 +165,11 @@
                 readNextRequest(connection);
             }
         } catch (ProtocolException e) {
-            rejectMalformed(connection, e.getMessage());
+            answerMalformed(connection, e.getMessage());
         }
     }
 
-    private void readNextRequest(HttpClientConnection connection) throws ProtocolException {
+    private void readNextRequest(ClientConnection connection) throws ProtocolException {
         long inputReceivedAt = connection.nextInputReceivedAt();
         int bytesBefore = connection.pendingInputBytes();
         HttpRequest request = connection.parseNext();
@@ -187,7 +188,7 @@
     }
 
     /** Rejects the next counted request, or malformed input after them; false if nothing remains to be rejected. */
-    private boolean rejectNextCounted(HttpClientConnection connection) {
+    private boolean rejectNextCounted(ClientConnection connection) {
         if (connection.hasRequestsToReject()) {
             connection.decrementRequestsToReject();
             connections.move(connection, State.PROCESSING, now);
@@ -196,13 +197,13 @@
         }
         connection.leaveOverInputLimit();
         if (connection.malformedInputReason() != null) {
-            rejectMalformed(connection, connection.malformedInputReason());
+            answerMalformed(connection, connection.malformedInputReason());
             return true;
         }
         return false;
     }
 
-    private void rejectMalformed(HttpClientConnection connection, String reason) {
+    private void answerMalformed(ClientConnection connection, String reason) {
         connection.closeAfterResponse = true;
         write(connection, HttpWriter.response(HttpResponses.BAD_REQUEST), reason.getBytes(StandardCharsets.UTF_8));
     }
@@ -211,7 +212,7 @@
 
     /** Answers the request in progress on a connection; does nothing if the connection has been closed. */
     void respond(long connectionId, HttpWriter response, byte[] body) {
-        HttpClientConnection connection = connections.get(connectionId);
+        ClientConnection connection = connections.get(connectionId);
         if (connection == null) {
             return;
         }
@@ -222,7 +223,7 @@
         }
     }
 
-    private void write(HttpClientConnection connection, HttpWriter response, byte[] body) {
+    private void write(ClientConnection connection, HttpWriter response, byte[] body) {
         // While draining, the connection is closed after this response unless further requests were received, whose
         // responses the client waits for.
         boolean lastResponse = connection.closeAfterResponse
@@ -249,8 +250,8 @@
      */
     private void limitUnsentBytes() {
         for (State state : WRITING_STATES) {
-            HttpClientConnection oldest = connections.oldest(state);
-            while (unsentBytes > bounds.maxBufferedBytes() && oldest != null) {
+            ClientConnection oldest = connections.oldest(state);
+            while (unsentBytes > limits.maxBufferedBytes() && oldest != null) {
                 close(oldest, true, Event.CLOSED_RESPONSE_UNREAD);
                 oldest = connections.oldest(state);
             }
@@ -259,7 +260,7 @@
 
     @Override
     public void drained(long connectionId, int bytes) {
-        HttpClientConnection connection = connections.get(connectionId);
+        ClientConnection connection = connections.get(connectionId);
         connection.unsentBytes -= bytes;
         unsentBytes -= bytes;
         if (connection.unsentBytes > 0) {
@@ -272,7 +273,7 @@
         }
     }
 
-    private void responseWritten(HttpClientConnection connection) {
+    private void responseWritten(ClientConnection connection) {
         connections.move(connection, State.IDLE, now);
         if (connection.overInputLimit() && rejectNextCounted(connection)) {
             return;
@@ -295,12 +296,12 @@
      */
     void startDraining() {
         connections.startDraining();
-        HttpClientConnection idle = connections.oldest(State.IDLE);
+        ClientConnection idle = connections.oldest(State.IDLE);
         while (idle != null) {
             close(idle, false, Event.CLOSED_AT_SHUTDOWN);
             idle = connections.oldest(State.IDLE);
         }
-        for (HttpClientConnection connection : connections.allIn(State.READING_REQUEST)) {
+        for (ClientConnection connection : connections.allIn(State.READING_REQUEST)) {
             connections.move(connection, State.READING_REQUEST, now);
         }
     }
@@ -314,7 +315,7 @@
     void expire() {
         evictOverLimit();
         for (State state : STATES) {
-            HttpClientConnection expired = connections.oldestExpired(state, now);
+            ClientConnection expired = connections.oldestExpired(state, now);
             while (expired != null) {
                 handleTimeout(expired);
                 expired = connections.oldestExpired(state, now);
@@ -325,7 +326,7 @@
     /** Closes connections without a pending response until their number is within the limit or none of them is left. */
     private void evictOverLimit() {
         while (connections.overLimit()) {
-            HttpClientConnection candidate = connections.evictionCandidate(now);
+            ClientConnection candidate = connections.evictionCandidate(now);
             if (candidate == null) {
                 return;
             }
@@ -333,7 +334,7 @@
         }
     }
 
-    private void handleTimeout(HttpClientConnection connection) {
+    private void handleTimeout(ClientConnection connection) {
         State state = connection.state();
         if (state == State.WRITING_RESPONSE || state == State.CLOSING) {
             close(connection, true, Event.CLOSED_RESPONSE_UNREAD);
--- a/core/src/main/java/garnetreel/core/platform/ConnectionsByAge.java
+++ b/core/src/main/java/garnetreel/core/platform/ConnectionsByAge.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 
 /**
- * Connections in one state, in the order in which they entered it, and the time that they may stay in it after their
- * last transition. Because the limit is the same for all, the first connection is the next to expire. This is
- * approximate for a connection to which a health check was assigned while it was being established: its time counts
- * from the write of the request, so those behind it may expire late.
+ * Connections in one state, in the order in which they entered it, and the time that they may stay in it, from
+ * {@link UpstreamConnection#lastTransitionAt}. As the limit is the same for all, the first connection is the next to
+ * expire. A health check assigned to a connection that is being established is an exception: its time restarts at the
+ * write of its request, so those behind it may expire late.
  */
 final class ConnectionsByAge {
     private final long maxAgeMicros;
@@ -22,7 +22,6 @@
         byId.put(connection.id, connection);
     }
 
-    /** Removes a connection if it is present. */
     void remove(UpstreamConnection connection) {
         byId.remove(connection.id);
     }
--- a/core/src/main/java/garnetreel/core/platform/DecimalText.java
+++ b/core/src/main/java/garnetreel/core/platform/DecimalText.java
@@ -7,7 +7,7 @@
     private static final int MILLIS_PER_SECOND = 1_000;
     private static final int MICROS_PER_SECOND = 1_000_000;
     /**
-     * Decimals of a number of seconds down to one microsecond; further ones are truncated, and a number with more than
+     * Number of decimals of a time in seconds that are read; further ones are truncated, and a number with more than
      * {@link #MAX_LONG_DIGITS} decimals is malformed.
      */
     private static final int MICRO_DIGITS = 6;
--- a/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryCall.java
@@ -17,7 +17,7 @@
      * Maximum time to wait for the first data of a response, in microseconds. Discovery handles calls one after the
      * other; it rejects a call with status 503 after 1 to 2 s in its queue. A caller that gives up earlier wastes its
      * place in the queue and calls again, so that an overloaded discovery makes no progress: with a time of 1.3 s, a
-     * trial with nineteen gateways had 239 futile calls, compared with 21 that were enough.
+     * trial with nineteen gateways had 239 futile calls where 21 calls were enough.
      */
     private static final long RESPONSE_TIMEOUT_MICROS = 2_600_000;
 
--- a/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
@@ -29,8 +29,8 @@
  *
  * <p>The platform considers a gateway notified of a change 6 s after discovery had the change and could be reached.
  * Therefore the first response has to arrive within 6 s after a watch stops receiving data, or after discovery becomes
- * available again, including the scheduler's backoff (docs/platform.md itemises this budget). Each gateway adds random
- * jitter, so that gateways whose watches fail at the same time do not all call at the same time.
+ * available again, including the scheduler's backoff (docs/platform.md lists the parts of the 6 s). Each gateway adds
+ * random jitter, so that gateways whose watches fail at the same time do not all call at the same time.
  */
 final class DiscoveryClient implements ConnectionHandler {
     /**
@@ -81,7 +81,7 @@
     /**
      * Starts a turn, that is one call of {@link PlatformGateway#handle}.
      *
-     * @param earliestReceivedAt earliest time at which data that is handled in this turn may have been received
+     * @param earliestReceivedAt earliest time at which the input of this turn may have been received
      * @param turnActions the list to which the actions of this turn are added
      */
     void beginTurn(long time, long earliestReceivedAt, List<NetAction> turnActions) {
@@ -91,7 +91,7 @@
     }
 
     /** Starts with the endpoint list cached before this gateway's start. */
-    void restore(ListUpdate cached) {
+    void restore(EndpointListUpdate cached) {
         listReceiver.restore(cached, now);
     }
 
@@ -124,7 +124,7 @@
         }
         actions.add(new NetAction.Log(Level.INFO, "discovery moves from " + address + " to " + newAddress));
         address = newAddress;
-        listReceiver.requireSnapshot();
+        listReceiver.requireCompleteList();
         // Calls to the old address are aborted, since it could respond later than the new one. The new calls start
         // without a backoff, because the backoff applied to the old address.
         abort(watch);
@@ -234,7 +234,7 @@
 
     private void applyUpdates(DiscoveryCall call, List<byte[]> objects) throws JsonException, ProtocolException {
         for (byte[] object : objects) {
-            listReceiver.apply(ListUpdate.read(Json.parse(object, 0, object.length, "list")), now);
+            listReceiver.apply(EndpointListUpdate.read(Json.parse(object, 0, object.length, "list")), now);
             if (!call.isUpdateReceived()) {
                 call.markUpdateReceived();
                 String text = "discovery: endpoint list has " + pool.endpointCount() + " endpoints, version "
@@ -276,7 +276,6 @@
         return call == null ? Long.MAX_VALUE : call.deadline();
     }
 
-    /** Fails the calls whose deadline has passed. */
     void expire() {
         expire(watch);
         expire(poll);
--- a/core/src/main/java/garnetreel/core/platform/EndpointIncarnations.java
+++ b/core/src/main/java/garnetreel/core/platform/EndpointIncarnations.java
@@ -15,8 +15,8 @@
  *
  * <ul>
  * <li>A start in the future counts as now, since it is safer to treat an endpoint as less warmed up than it is.
- * <li>An incarnation that was absent from the previous list started no earlier than the time at which that list was
- * last known to be current, less the time that discovery may take to report a start.
+ * <li>An incarnation that was not reported before, or is no longer remembered, started no earlier than the time at
+ * which the previous list was last known to be current, less the time that discovery may take to report a start.
  * </ul>
  */
 final class EndpointIncarnations {
@@ -42,15 +42,17 @@
      * @param now current time on this process's clock, in microseconds
      * @param listCurrentAt time at which the previous list was last known to be current; negative if there was none
      */
-    ListUpdate resolve(ListUpdate update, long now, long listCurrentAt) {
-        List<ListUpdate.Entry> entries = new ArrayList<>(update.entries().size());
-        for (ListUpdate.Entry entry : update.entries()) {
-            entries.add(new ListUpdate.Entry(entry.address(), resolve(entry.endpoint(), now, listCurrentAt)));
+    EndpointListUpdate withEstimatedStarts(EndpointListUpdate update, long now, long listCurrentAt) {
+        List<EndpointListUpdate.Entry> entries =
+                new ArrayList<>(update.entries().size());
+        for (EndpointListUpdate.Entry entry : update.entries()) {
+            entries.add(new EndpointListUpdate.Entry(
+                    entry.address(), withEstimatedStarts(entry.endpoint(), now, listCurrentAt)));
         }
-        return new ListUpdate(update.version(), update.complete(), entries);
+        return new EndpointListUpdate(update.version(), update.complete(), entries);
     }
 
-    private EndpointEntry resolve(EndpointEntry endpoint, long now, long listCurrentAt) {
+    private EndpointEntry withEstimatedStarts(EndpointEntry endpoint, long now, long listCurrentAt) {
         if (endpoint.state() == EndpointState.REMOVED) {
             return endpoint;
         }
--- a/core/src/main/java/garnetreel/core/platform/EndpointListReceiver.java
+++ b/core/src/main/java/garnetreel/core/platform/EndpointListReceiver.java
@@ -18,7 +18,7 @@
 
     private long version;
     /** Whether the next update has to be a complete list, which is then accepted regardless of its version. */
-    private boolean snapshotRequired;
+    private boolean completeListRequired;
 
     EndpointListReceiver(UpstreamConnectionPool pool, Consumer<SchedulerEvent> events) {
         this.pool = pool;
@@ -30,9 +30,9 @@
      * Until then it is all that the gateway has, so it is reported to the scheduler as current at the start, which
      * limits the time for which it is trusted.
      */
-    void restore(ListUpdate cached, long now) {
-        snapshotRequired = true;
-        ListUpdate resolved = incarnations.resolve(cached, now, listCurrentAt);
+    void restore(EndpointListUpdate cached, long now) {
+        completeListRequired = true;
+        EndpointListUpdate resolved = incarnations.withEstimatedStarts(cached, now, listCurrentAt);
         pool.applyUpdate(resolved);
         events.accept(new EndpointListConfirmed(now));
         events.accept(resolved.toEvent(EndpointUpdateKind.CACHED));
@@ -42,8 +42,8 @@
      * Requires the next update to be a complete list, because the versions of different discovery instances are not
      * comparable.
      */
-    void requireSnapshot() {
-        snapshotRequired = true;
+    void requireCompleteList() {
+        completeListRequired = true;
     }
 
     /** Version of the last update that was accepted. */
@@ -54,7 +54,7 @@
     /** The request target of a watch: for the changes since the last accepted version, or for a complete list first. */
     String watchTarget() {
         String target = HttpHeaders.ENDPOINT_LIST_PATH + "?watch=1";
-        return snapshotRequired ? target : target + "&from=" + version;
+        return completeListRequired ? target : target + "&from=" + version;
     }
 
     /**
@@ -62,20 +62,20 @@
      *
      * <p>An update with an older version than the last one is rejected, because it would restore endpoints that are
      * known to be removed. The next update then has to be a complete list, which is accepted regardless of its version,
-     * so that a discovery whose versions were reset is accepted at the second attempt.
+     * so that a discovery service whose versions were reset is accepted at the second attempt.
      *
      * @throws ProtocolException if the version is older, or a complete list is required and the update is not one
      */
-    void apply(ListUpdate received, long now) throws ProtocolException {
-        ListUpdate update = incarnations.resolve(received, now, listCurrentAt);
-        if (!snapshotRequired && update.version() < version) {
-            snapshotRequired = true;
+    void apply(EndpointListUpdate received, long now) throws ProtocolException {
+        EndpointListUpdate update = incarnations.withEstimatedStarts(received, now, listCurrentAt);
+        if (!completeListRequired && update.version() < version) {
+            completeListRequired = true;
             throw new ProtocolException("version went back from " + version + " to " + update.version());
         }
-        if (snapshotRequired && !update.complete()) {
+        if (completeListRequired && !update.complete()) {
             throw new ProtocolException("expected a complete endpoint list, got changes");
         }
-        snapshotRequired = false;
+        completeListRequired = false;
         version = update.version();
         pool.applyUpdate(update);
         events.accept(update.toEvent(update.complete() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA));
--- a/core/src/main/java/garnetreel/core/platform/ListUpdate.java
+++ b/core/src/main/java/garnetreel/core/platform/EndpointListUpdate.java
@@ -15,14 +15,14 @@
  * @param version version of the endpoint list after this update
  * @param complete true for the complete list, false for the entries that changed
  */
-record ListUpdate(long version, boolean complete, List<Entry> entries) {
+record EndpointListUpdate(long version, boolean complete, List<Entry> entries) {
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
      * One endpoint.
      *
      * @param address the network address to which this gateway connects
-     * @param endpoint the endpoint as passed to the scheduler; its {@code address} is its name
+     * @param endpoint the endpoint for the scheduler
      */
     record Entry(String address, EndpointEntry endpoint) {}
 
@@ -31,12 +31,12 @@
      *
      * @throws JsonException if a field is missing or malformed
      */
-    static ListUpdate read(Json json) throws JsonException {
+    static EndpointListUpdate read(Json json) throws JsonException {
         List<Entry> entries = new ArrayList<>();
         for (Json entry : json.children("hosts")) {
             entries.add(readEntry(entry));
         }
-        return new ListUpdate(json.require("seq").integer("seq", 0), json.flag("whole", false), entries);
+        return new EndpointListUpdate(json.require("seq").integer("seq", 0), json.flag("whole", false), entries);
     }
 
     private static Entry readEntry(Json json) throws JsonException {
@@ -61,7 +61,6 @@
         };
     }
 
-    /** Converts the update to an event for the scheduler. */
     EndpointUpdate toEvent(EndpointUpdateKind kind) {
         return new EndpointUpdate(kind, entries.stream().map(Entry::endpoint).toList());
     }
--- a/core/src/main/java/garnetreel/core/platform/GatewayCounters.java
+++ b/core/src/main/java/garnetreel/core/platform/GatewayCounters.java
@@ -23,13 +23,16 @@
         ATTEMPT_RETRIED("attempt_again"),
         ATTEMPT_WITHDRAWN("attempt_withdrawn"),
         ATTEMPT_START_DEADLINE_PASSED("attempt_too_late"),
+        /** Aborted connections to changed endpoints, with an attempt or not. */
         ATTEMPT_ENDPOINT_CHANGED("attempt_server_left"),
+        /** Includes connections without an attempt that failed locally. */
         ATTEMPT_NO_CONNECTION("attempt_no_connection"),
         RESPONSE_MALFORMED("answer_spoilt"),
         CLOSED_OVER_LIMIT("closed_to_make_room"),
         CLOSED_IDLE("closed_idle"),
         CLOSED_AT_SHUTDOWN("closed_at_end"),
         CLOSED_RESPONSE_UNREAD("closed_unread"),
+        /** Clients that sent no complete request in time. */
         REQUEST_TIMED_OUT("request_timed_out");
 
         /** The printed form. */
@@ -46,12 +49,12 @@
          * An attempt starts only while its client waits for the response. Counts attempts that {@link SendGuard}
          * prevented.
          */
-        SENT_WITHOUT_WAITING_CLIENT("sent_for_nobody"),
+        SEND_WITHOUT_WAITING_CLIENT("sent_for_nobody"),
         /**
          * An attempt starts only on an endpoint that is listed as up at the address of its connection. Counts attempts
          * that {@link SendGuard} prevented.
          */
-        SENT_TO_UNLISTED_ENDPOINT("sent_to_unlisted"),
+        SEND_TO_UNLISTED_ENDPOINT("sent_to_unlisted"),
         /**
          * The gateway closes a connection only if no response is pending on it, unless the client does not read its
          * responses.
@@ -85,7 +88,6 @@
         return events.getOrDefault(event, 0L);
     }
 
-    /** The total number of violations of all invariants. */
     long violations() {
         long sum = 0;
         for (long count : violations.values()) {
@@ -94,7 +96,6 @@
         return sum;
     }
 
-    /** The log line with the violations of invariants. */
     String invariantsLine() {
         StringBuilder line = new StringBuilder("invariant violations: ").append(violations());
         for (Map.Entry<Invariant, Long> violation : violations.entrySet()) {
--- a/core/src/main/java/garnetreel/core/platform/HealthChecks.java
+++ b/core/src/main/java/garnetreel/core/platform/HealthChecks.java
@@ -12,8 +12,8 @@
  */
 final class HealthChecks {
     /**
-     * A check that has no complete response within this time of the write of its request fails, in microseconds.
-     * Connecting has its own time limit.
+     * A check without a complete response fails this long, in microseconds, after the write of its request or, before
+     * that, after the start of connecting, which also has its own time limit.
      */
     private static final long TIMEOUT_MICROS = 1_000_000;
 
@@ -22,13 +22,11 @@
 
     private final ConnectionsByAge inFlight = new ConnectionsByAge(TIMEOUT_MICROS);
 
-    /** Assigns a check to a connection. */
     void assign(UpstreamConnection connection) {
         connection.assignHealthCheck();
         inFlight.add(connection);
     }
 
-    /** Ends the check on a connection. */
     void release(UpstreamConnection connection) {
         connection.release();
         inFlight.remove(connection);
--- a/core/src/main/java/garnetreel/core/platform/HttpHeaders.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpHeaders.java
@@ -21,18 +21,18 @@
     static final String LOAD_REPORT = "X-Backend-Load";
     /** "1" on a response whose request was not executed. */
     static final String UNPROCESSED = "X-Unprocessed";
-    /** Units that an endpoint has served for other gateways. */
+    /** Units that the endpoint served for the volume through other gateways since its last response to this gateway. */
     static final String UNITS_FROM_OTHER_GATEWAYS = "Other-Hosts";
     /** Time after which a rejected client may retry, in seconds with decimals. */
     static final String RETRY_AFTER = "Retry-After";
 
-    /** Value of the {@code Host} header in requests to endpoints and to the service discovery. */
+    /** Value of the {@code Host} header in requests to endpoints and to the discovery service. */
     static final String HOST = "service.internal";
     /** Path of this gateway's readiness check. */
     static final String READINESS_PATH = "/health/ready";
     /** Path of an endpoint's health check, answered with its load report. */
     static final String STATS_PATH = "/stats";
-    /** Path of the endpoint list of the service discovery. */
+    /** Path of the endpoint list of the discovery service. */
     static final String ENDPOINT_LIST_PATH = "/registry/instances";
 
     private HttpHeaders() {}
--- a/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
@@ -26,7 +26,7 @@
 
 /**
  * Tracks each request from the receipt of its last byte to its final response and the end of its last attempt. Each
- * request gets exactly one response, unless its client disconnects before. The scheduler decides on it; only an invalid
+ * request gets exactly one response, unless its client disconnects before. The scheduler decides which; only an invalid
  * request, one over a limit or one received at shutdown is answered without passing it to the scheduler.
  */
 final class HttpRequestRegistry {
@@ -38,16 +38,17 @@
     /** A number of units with more digits is ignored. */
     private static final int MAX_UNITS_DIGITS = 9;
 
-    /** A request without a final response, or with an attempt in flight. */
+    /** A request without a final response, or with an attempt in flight; called pending in the scheduler. */
     private static final class ActiveRequest {
         final long id;
         final String correlationId;
         final long connectionId;
         final HttpRequest message;
         final long deadline;
-        int attemptsStarted;
+        int attemptsSent;
+        /** Including attempts without a connection. */
         int attemptsInFlight;
-        /** The response has been passed to the client connection, or the client has disconnected. */
+        /** Whether it has been answered or its client has disconnected. */
         boolean completed;
 
         ActiveRequest(long id, String correlationId, long connectionId, HttpRequest message, long deadline) {
@@ -60,9 +61,9 @@
     }
 
     private final long maxRetryAfter;
-    private final ResourceBounds bounds;
+    private final ResourceLimits limits;
     private final UpstreamConnectionPool upstreams;
-    private final HttpClientConnections clients;
+    private final ClientConnections clients;
     private final Consumer<SchedulerEvent> schedulerEvents;
     private final GatewayCounters counters;
     private final RequestDecoder decoder;
@@ -74,18 +75,17 @@
             Comparator.<ActiveRequest>comparingLong(r -> r.deadline).thenComparingLong(r -> r.id));
     private List<NetAction> actions = new ArrayList<>();
     private long now;
-    /** Total size of the bodies of all active requests. */
     private int bodyBytes;
 
     HttpRequestRegistry(
             PlatformSettings settings,
-            ResourceBounds bounds,
+            ResourceLimits limits,
             UpstreamConnectionPool upstreams,
-            HttpClientConnections clients,
+            ClientConnections clients,
             GatewayCounters counters,
             Consumer<SchedulerEvent> schedulerEvents) {
         this.maxRetryAfter = settings.scheduling().maxRetryAfter();
-        this.bounds = bounds;
+        this.limits = limits;
         this.upstreams = upstreams;
         this.clients = clients;
         this.schedulerEvents = schedulerEvents;
@@ -128,7 +128,7 @@
                     e.getMessage().getBytes(StandardCharsets.UTF_8));
             return;
         }
-        if (byId.size() >= bounds.maxRequests() || bodyBytes + message.body().length > bounds.maxBufferedBytes()) {
+        if (byId.size() >= limits.maxRequests() || bodyBytes + message.body().length > limits.maxBufferedBytes()) {
             reject(connectionId, GatewayCounters.Event.REQUEST_REJECTED_OVER_LIMIT);
             return;
         }
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Rejects a request that has not been passed to the scheduler. It asks for the longest delay that clients honour,
-     * like a rejection by the scheduler.
+     * Rejects a request that has not been passed to the scheduler. The response asks for the longest delay that clients
+     * honour, like a rejection by the scheduler.
      */
     void reject(long connectionId, GatewayCounters.Event reason) {
         counters.count(reason);
@@ -166,7 +166,6 @@
 
     // ---------------------------------------------------------------- scheduler decisions
 
-    /** Sends an attempt as decided by the scheduler. */
     void send(SendAttempt action) {
         ActiveRequest request = byId.get(action.id());
         if (request == null || request.completed) {
@@ -176,10 +175,10 @@
         long deadline = earlierDeadline(request.deadline, action.timeout());
         long startDeadline = earlierDeadline(deadline, action.startWithin());
         request.attemptsInFlight++;
-        if (request.attemptsStarted > 0) {
+        if (request.attemptsSent > 0) {
             counters.count(GatewayCounters.Event.ATTEMPT_RETRIED);
         }
-        int attempt = request.attemptsStarted++;
+        int attempt = request.attemptsSent++;
         upstreams.send(new UpstreamAttempt(
                 request.id, attempt, action.endpoint(), now, deadline, startDeadline, request.message));
     }
@@ -189,12 +188,10 @@
         return within > 0 ? Math.min(latest, now + within) : latest;
     }
 
-    /** Rejects a request as decided by the scheduler. */
     void reject(RejectRequest action) {
         respond(byId.get(action.id()), responses.rejected(action.retryAfter()), GatewayCounters.Event.REQUEST_REJECTED);
     }
 
-    /** Fails a request as decided by the scheduler. */
     void fail(FailRequest action) {
         respond(byId.get(action.id()), responses.failed(), GatewayCounters.Event.REQUEST_FAILED);
     }
@@ -230,7 +227,6 @@
 
     // ---------------------------------------------------------------- attempts
 
-    /** Whether the client of an attempt's request still waits for the response. */
     boolean isClientWaiting(UpstreamAttempt attempt) {
         ActiveRequest request = byId.get(attempt.requestId);
         return request != null && !request.completed;
--- a/core/src/main/java/garnetreel/core/platform/IdleConnections.java
+++ b/core/src/main/java/garnetreel/core/platform/IdleConnections.java
@@ -23,7 +23,6 @@
         byAge.add(connection);
     }
 
-    /** Removes a connection if it is idle. */
     void remove(UpstreamConnection connection) {
         byAge.remove(connection);
         ArrayDeque<UpstreamConnection> connections = byEndpoint.get(connection.endpoint);
--- a/core/src/main/java/garnetreel/core/platform/InFlightAttempts.java
+++ b/core/src/main/java/garnetreel/core/platform/InFlightAttempts.java
@@ -9,7 +9,7 @@
 
 /**
  * The attempts that have been assigned a connection, whether they have started or not, ordered by deadline. Attempts
- * that still have to be completed because they got no connection are pending, but not among them.
+ * that got no connection and still have to be completed are not among them.
  */
 final class InFlightAttempts {
     private final Map<UpstreamAttempt, UpstreamConnection> connections = new HashMap<>();
--- a/core/src/main/java/garnetreel/core/platform/InvalidRequestException.java
+++ b/core/src/main/java/garnetreel/core/platform/InvalidRequestException.java
@@ -6,7 +6,7 @@
 
     private final int status;
 
-    /** Has no stack trace, so that an invalid request costs no more than a valid one. */
+    /** Creates an exception without a stack trace, so that an invalid request costs no more than a valid one. */
     InvalidRequestException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
--- a/core/src/main/java/garnetreel/core/platform/JsonObjectSplitter.java
+++ b/core/src/main/java/garnetreel/core/platform/JsonObjectSplitter.java
@@ -51,7 +51,7 @@
     /** Appends a byte to the current object. Returns true if the byte completes the object. */
     private boolean append(byte b) throws ProtocolException {
         if (object.size() == maxObjectBytes) {
-            throw new ProtocolException("a JSON object of more than " + maxObjectBytes + " bytes");
+            throw new ProtocolException("JSON object exceeds " + maxObjectBytes + " bytes");
         }
         object.write(b);
         if (escaped) {
--- a/core/src/main/java/garnetreel/core/platform/MalformedResponseLog.java
+++ b/core/src/main/java/garnetreel/core/platform/MalformedResponseLog.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Logs malformed responses at a limited rate. The reason shows a defect of the gateway's parser that rejects valid
- * responses; the counter of malformed responses alone would not show it.
+ * Logs malformed responses at a limited rate. The logged reason can reveal that the gateway's parser rejects valid
+ * responses, which the counter of malformed responses can't.
  */
 final class MalformedResponseLog {
     /** Minimum time between two messages, in microseconds, so that one faulty endpoint can't flood the log. */
--- a/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
@@ -26,7 +26,7 @@
 import java.util.List;
 
 /**
- * The gateway on the HTTP platform: speaks HTTP/1.1 with clients, endpoints and service discovery. The scheduler
+ * The gateway on the HTTP platform: speaks HTTP/1.1 with clients, endpoints and the discovery service. The scheduler
  * decides what is sent, rejected or failed; this class executes its decisions.
  */
 public final class PlatformGateway implements StateMachine, SchedulerDriver.ActionHandler {
@@ -40,7 +40,7 @@
 
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** Command: finish the active requests, then stop. */
+    /** Command: answer the clients' requests, then stop. */
     public record Shutdown() implements NetEvent.Command {}
 
     /**
@@ -50,11 +50,11 @@
     public record Reconfigure(PlatformSettings settings) implements NetEvent.Command {}
 
     private final PlatformSettings settings;
-    private final ResourceBounds bounds;
+    private final ResourceLimits limits;
     private final SchedulerDriver scheduler;
     private final ProcessPauseDetector pauseDetector = new ProcessPauseDetector();
     private final GatewayCounters counters = new GatewayCounters();
-    private final HttpClientConnections clients;
+    private final ClientConnections clients;
     private final UpstreamConnectionPool upstreams;
     private final DiscoveryClient discovery;
     private final HttpRequestRegistry requests;
@@ -66,7 +66,7 @@
     private long stopAcceptingAt = NEVER;
     private boolean started;
     private boolean shutdownRequested;
-    /** New requests are rejected; active ones are finished. */
+    /** Whether new requests are rejected while active ones are finished. */
     private boolean draining;
 
     private boolean stopped;
@@ -75,17 +75,17 @@
     public PlatformGateway(PlatformSettings settings, Scheduler scheduler) {
         this.settings = settings;
         this.scheduler = new SchedulerDriver(scheduler, this);
-        this.bounds = ResourceBounds.of(settings.limits());
+        this.limits = ResourceLimits.of(settings.limits());
         ConnectionIdAllocator connectionIds = new ConnectionIdAllocator();
-        clients = new HttpClientConnections(bounds, counters, new ClientListener());
-        upstreams = new UpstreamConnectionPool(settings, bounds, connectionIds, counters, new UpstreamListener());
+        clients = new ClientConnections(limits, counters, new ClientListener());
+        upstreams = new UpstreamConnectionPool(settings, limits, connectionIds, counters, new UpstreamListener());
         discovery = new DiscoveryClient(settings, connectionIds, upstreams, event -> schedulerEvents.add(event));
         requests = new HttpRequestRegistry(
-                settings, bounds, upstreams, clients, counters, event -> schedulerEvents.add(event));
+                settings, limits, upstreams, clients, counters, event -> schedulerEvents.add(event));
         connectionDispatcher = new ConnectionDispatcher(clients, upstreams, discovery);
     }
 
-    private final class ClientListener implements HttpClientConnections.Listener {
+    private final class ClientListener implements ClientConnections.Listener {
         @Override
         public void requestReceived(long connectionId, HttpRequest request, long receivedAt) {
             PlatformGateway.this.requestReceived(connectionId, request, receivedAt);
@@ -150,7 +150,7 @@
     private void start(List<NetAction> actions) {
         started = true;
         discovery.restore(settings.cachedEndpoints());
-        actions.add(new NetAction.Listen(CLIENT_LISTENER, settings.listenAddress(), bounds.maxAccepted()));
+        actions.add(new NetAction.Listen(CLIENT_LISTENER, settings.listenAddress(), limits.maxAccepted()));
     }
 
     private void handleEvent(NetEvent event, List<NetAction> actions) {
@@ -211,7 +211,8 @@
     }
 
     /**
-     * Advances the shutdown: first connections are still accepted, then active requests are finished, then it stops.
+     * Advances the shutdown: connections are still accepted for a while, then clients' requests are answered, then the
+     * gateway stops.
      */
     private void continueShutdown(List<NetAction> actions) {
         if (now >= stopAcceptingAt) {
@@ -290,7 +291,6 @@
 
     // ---------------------------------------------------------------- monitoring
 
-    /** Counters of outcomes and of violated invariants. */
     GatewayCounters counters() {
         return counters;
     }
--- a/core/src/main/java/garnetreel/core/platform/PlatformSettings.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformSettings.java
@@ -11,7 +11,7 @@
  *
  * @param name the gateway's name
  * @param listenAddress the only address at which client connections are accepted, host:port
- * @param discoveryAddress the address of the service discovery, host:port
+ * @param discoveryAddress the address of the discovery service, host:port
  * @param seed random seed of this gateway
  * @param limits resource limits of the process
  * @param cachedEndpoints the endpoint list that this gateway last received; it may be long out of date
@@ -25,7 +25,7 @@
         String discoveryAddress,
         long seed,
         Limits limits,
-        ListUpdate cachedEndpoints,
+        EndpointListUpdate cachedEndpoints,
         SchedulerSettings scheduling,
         long upstreamIdleTimeout,
         boolean retryAfterAllowed) {
@@ -54,8 +54,10 @@
                 address(json, "listen"),
                 address(json, "discovery"),
                 seed(json.text("seed", "0")),
-                new Limits(atLeast(limits, "memory_mb", 1), atLeast(limits, "sockets", ResourceBounds.MIN_DESCRIPTORS)),
-                json.has("known") ? ListUpdate.read(json.child("known")) : new ListUpdate(0, true, List.of()),
+                new Limits(atLeast(limits, "memory_mb", 1), atLeast(limits, "sockets", ResourceLimits.MIN_DESCRIPTORS)),
+                json.has("known")
+                        ? EndpointListUpdate.read(json.child("known"))
+                        : new EndpointListUpdate(0, true, List.of()),
                 SettingsReader.read(settings),
                 settings.child("limits").micros("idle-close", 0),
                 settings.child("limits").flag("retry-after", false));
--- a/core/src/main/java/garnetreel/core/platform/RequestDecoder.java
+++ b/core/src/main/java/garnetreel/core/platform/RequestDecoder.java
@@ -22,7 +22,7 @@
     private static final String READ_METHOD = "GET";
     private static final String WRITE_METHOD = "PUT";
     private static final String RETRY_VALUE = "1";
-    /** Key of a request without one. */
+    /** Value of {@link RequestReceived#key} if the request has none. */
     private static final long NO_KEY = -1;
 
     private final Map<String, RequestClass> classes = new HashMap<>();
--- a/core/src/main/java/garnetreel/core/platform/RequestMetadata.java
+++ b/core/src/main/java/garnetreel/core/platform/RequestMetadata.java
@@ -3,13 +3,13 @@
 import garnetreel.codec.ProtocolException;
 
 /**
- * The client's description of the data that its request accesses, read from the header field {@link
- * HttpHeaders#METADATA}.
+ * The client's description of the data that its request accesses, read from the header field
+ * {@link HttpHeaders#METADATA}.
  *
  * @param volume id of the volume, 16 hexadecimal digits
  * @param units size of the request in units
- * @param shard the shard that holds the data; -1 for a new object
- * @param gateways number of gateways that handle requests for the volume; 0 if not specified
+ * @param shard the shard that holds the data; -1 for new data, which has no shard yet
+ * @param gateways number of gateways that receive requests for the volume; 0 if unknown
  */
 record RequestMetadata(String volume, int units, int shard, int gateways) {
     /** An id has 64 bits. */
--- a/core/src/main/java/garnetreel/core/platform/ResourceBounds.java
+++ b/core/src/main/java/garnetreel/core/platform/ResourceLimits.java
@@ -5,8 +5,8 @@
  * endpoints (upstream connections) and requests. When a limit is reached:
  *
  * <ul>
- * <li>Client connections: one on which nothing was received is closed, preferably; else an idle one; else one with a
- * partial request.
+ * <li>Client connections: one is closed, preferably one on which nothing was received, else an idle one, else one with
+ * a partial request.
  * <li>Upstream connections: an idle one is closed; if there is none, the attempt is not started.
  * <li>Requests: the new request is rejected.
  * </ul>
@@ -14,14 +14,14 @@
  * @param maxClients connections from clients
  * @param maxUpstreamConnections connections to endpoints, established or being established
  * @param maxRequests active requests, including those whose client has disconnected while an attempt is in flight
- * @param maxBufferedBytes bytes that may be buffered of each of four kinds: client input that waits to be parsed,
- *     request bodies, responses being received, and responses not yet read by clients. Above the limit, further
- *     requests on the connection are counted and rejected, the request is rejected, the response counts as malformed,
- *     or the client whose response has been waiting longest to be read is disconnected
+ * @param maxBufferedBytes bytes that may be buffered of each of four kinds: client input that waits to be parsed (above
+ *     the limit, further requests on the connection are counted and rejected), request bodies (the request is
+ *     rejected), responses being received (the response counts as malformed), and unread responses (the client whose
+ *     response has waited longest is disconnected)
  * @param maxResponseBytes bytes of one response; a larger one counts as malformed. The platform's documentation states
  *     64 KiB, but endpoints have been observed to send 400 KB
  */
-record ResourceBounds(
+record ResourceLimits(
         int maxClients, int maxUpstreamConnections, int maxRequests, int maxBufferedBytes, int maxResponseBytes) {
     /**
      * Descriptors reserved for everything else: about 20 files of the JVM, the selector, the listener, discovery,
@@ -31,8 +31,8 @@
     /** Part of the reserve that covers client connections above maxClients and those that are being closed. */
     private static final int MAX_CLIENTS_OVER_LIMIT = 36;
     /**
-     * Connections to endpoints get 1/3 of the remaining descriptors and clients the rest, because fewer attempts than
-     * maxRequests are in flight: an idle client and a held request have none.
+     * Connections to endpoints get 1/3 of the remaining descriptors and clients the rest, because an idle client, and a
+     * request that the scheduler holds back, have no attempt in flight.
      */
     private static final int UPSTREAM_DIVISOR = 3;
     /**
@@ -44,7 +44,7 @@
     private static final int MIN_CONNECTIONS = 8;
     /** Minimum number of descriptors that allows the minimum number of connections on both sides. */
     static final int MIN_DESCRIPTORS = RESERVED_DESCRIPTORS + 2 * MIN_CONNECTIONS;
-    /** Memory above this, MiB, does not raise the limits. */
+    /** Memory, in MiB, above which the limits no longer grow. */
     private static final int MAX_MEMORY_MB = 1024;
 
     private static final int MB_SHIFT = 20;
@@ -63,12 +63,12 @@
     }
 
     /** Computes the division from the limits of the process. */
-    static ResourceBounds of(PlatformSettings.Limits limits) {
+    static ResourceLimits of(PlatformSettings.Limits limits) {
         int availableDescriptors = limits.fileDescriptors() - RESERVED_DESCRIPTORS;
         int maxUpstreamConnections = Math.max(MIN_CONNECTIONS, availableDescriptors / UPSTREAM_DIVISOR);
         int maxClients = Math.max(MIN_CONNECTIONS, availableDescriptors - maxUpstreamConnections);
         int memoryBytes = Math.min(limits.memoryMb(), MAX_MEMORY_MB) << MB_SHIFT;
-        return new ResourceBounds(
+        return new ResourceLimits(
                 maxClients,
                 maxUpstreamConnections,
                 REQUESTS_PER_CLIENT * maxClients,
--- a/core/src/main/java/garnetreel/core/platform/SendGuard.java
+++ b/core/src/main/java/garnetreel/core/platform/SendGuard.java
@@ -9,19 +9,19 @@
  * attempts, retries, and those that had to wait for their connection to open. An attempt that is denied never starts.
  */
 final class SendGuard {
-    /** Looks up endpoints in the current endpoint list. */
+    /** Checks endpoints against the current endpoint list. */
     @FunctionalInterface
-    interface EndpointLookup {
+    interface EndpointCheck {
         /** Whether an endpoint accepts new requests and is listed at this address. */
         boolean acceptsRequests(String endpoint, String address);
     }
 
     private final GatewayCounters counters;
-    private final EndpointLookup endpoints;
+    private final EndpointCheck endpoints;
     private final Predicate<UpstreamAttempt> clientWaiting;
 
     /** @param clientWaiting whether the client of an attempt's request still waits for the response */
-    SendGuard(GatewayCounters counters, EndpointLookup endpoints, Predicate<UpstreamAttempt> clientWaiting) {
+    SendGuard(GatewayCounters counters, EndpointCheck endpoints, Predicate<UpstreamAttempt> clientWaiting) {
         this.counters = counters;
         this.endpoints = endpoints;
         this.clientWaiting = clientWaiting;
@@ -34,11 +34,11 @@
      */
     boolean mayStart(UpstreamAttempt attempt, String address, long now) {
         if (!clientWaiting.test(attempt)) {
-            counters.recordViolation(Invariant.SENT_WITHOUT_WAITING_CLIENT);
+            counters.recordViolation(Invariant.SEND_WITHOUT_WAITING_CLIENT);
             return false;
         }
         if (!endpoints.acceptsRequests(attempt.endpoint, address)) {
-            counters.recordViolation(Invariant.SENT_TO_UNLISTED_ENDPOINT);
+            counters.recordViolation(Invariant.SEND_TO_UNLISTED_ENDPOINT);
             return false;
         }
         if (now >= attempt.startDeadline) {
--- a/core/src/main/java/garnetreel/core/platform/UpstreamAttempt.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamAttempt.java
@@ -6,7 +6,10 @@
 
 /** One attempt to execute a request on an endpoint. Attempts are compared by identity. */
 final class UpstreamAttempt {
-    /** Minimum value of the {@code X-Time-Left} header in microseconds, used also when the deadline is closer. */
+    /**
+     * Minimum value of the {@code X-Time-Left} header in microseconds, even if the deadline is closer: less would be
+     * sent as 0.000.
+     */
     private static final long MIN_TIME_LEFT_MICROS = 1_000;
 
     /** Id of the request in scheduler events. */
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnection.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnection.java
@@ -76,7 +76,6 @@
         healthCheck = true;
     }
 
-    /** Makes the connection unassigned. */
     void release() {
         attempt = null;
         healthCheck = false;
@@ -89,7 +88,7 @@
     }
 
     /** Records that bytes of the request were passed to the socket. */
-    void drained(int bytes) {
+    void bytesWritten(int bytes) {
         unsentBytes -= bytes;
     }
 
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
@@ -20,16 +20,16 @@
  * time. The pool reports the completion of each attempt exactly once.
  *
  * <p>Only the pool knows whether an attempt has started: its bytes are encoded and written once its connection is open.
- * Until then it can be withdrawn, because its client disconnected, its request was answered, the endpoint drains or the
- * latest time at which it may start has passed. A withdrawn attempt never starts, or its connection is aborted before
- * its request was written completely.
+ * Until they are written completely it can be withdrawn, because its client disconnected or its request was answered,
+ * or while connecting because its endpoint changed. A withdrawn attempt never starts, or its connection is aborted.
+ * {@link SendGuard} denies a late start.
  *
  * <p>The outcome decides whether a retry is allowed. An attempt that was not completely written to an open connection
  * was not executed, on the assumption that endpoints execute a request only after its last byte. Its outcome is
- * {@link Outcome#CONNECT_FAILED} if the connection failed or the attempt timed out or was cancelled, and
- * {@link Outcome#NOT_STARTED} in all other cases. One that was completely written may have been executed, unless its
- * response shows that it was not. A connection is reused only after a complete response that is not followed by further
- * bytes.
+ * {@link Outcome#ERROR} if a premature or malformed response arrived, {@link Outcome#CONNECT_FAILED} if the connection
+ * failed at the endpoint or the attempt timed out or was cancelled, and {@link Outcome#NOT_STARTED} in all other cases.
+ * One that was completely written may have been executed, unless its response shows that it was not. A connection is
+ * reused only after a complete response that is not followed by further bytes.
  */
 final class UpstreamConnectionPool implements ConnectionHandler {
     /** Receives the results of attempts and health checks. */
@@ -52,7 +52,7 @@
     private final HealthChecks healthChecks = new HealthChecks();
     /**
      * Attempts for which no connection could be acquired. They complete in the next turn, because {@link #send} is
-     * called while the scheduler is still making its decisions.
+     * called while the scheduler's actions are being executed.
      */
     private final ArrayDeque<UpstreamAttempt> attemptsWithoutConnection = new ArrayDeque<>();
 
@@ -62,14 +62,14 @@
 
     UpstreamConnectionPool(
             PlatformSettings settings,
-            ResourceBounds bounds,
+            ResourceLimits limits,
             ConnectionIdAllocator connectionIds,
             GatewayCounters counters,
             Listener listener) {
         this.counters = counters;
         this.listener = listener;
         this.sendGuard = new SendGuard(counters, endpoints::acceptsRequests, listener::isClientWaiting);
-        this.connections = new UpstreamConnectionTable(settings, bounds, connectionIds, endpoints);
+        this.connections = new UpstreamConnectionTable(settings, limits, connectionIds, endpoints);
     }
 
     /**
@@ -104,11 +104,11 @@
 
     /**
      * Applies an update of the endpoint list. When an endpoint was removed or restarted, or its address or state
-     * changed, idle connections to it are closed, and connections that are being established to it are aborted. The
-     * attempts assigned to those end as not started. All of those connections are counted, whether an attempt is
-     * assigned or not.
+     * changed, idle connections to it are closed, and connections that are being established to it are aborted.
+     * Attempts assigned to the aborted connections end as not started. The aborted connections are counted, whether an
+     * attempt is assigned or not.
      */
-    void applyUpdate(ListUpdate update) {
+    void applyUpdate(EndpointListUpdate update) {
         Set<String> changedEndpoints = endpoints.apply(update);
         for (String endpoint : changedEndpoints) {
             connections.closeIdle(endpoint);
@@ -120,7 +120,6 @@
         }
     }
 
-    /** Closes the idle connections to an endpoint. */
     void closeIdle(String endpoint) {
         connections.closeIdle(endpoint);
     }
@@ -137,7 +136,6 @@
         writeRequest(connection);
     }
 
-    /** Starts a health check of an endpoint. */
     void checkHealth(String endpoint) {
         UpstreamConnection connection = connections.acquire(endpoint);
         if (connection == null) {
@@ -190,7 +188,11 @@
         }
     }
 
-    /** @param outcome the outcome if the request was sent completely; otherwise it is {@link Outcome#CONNECT_FAILED} */
+    /**
+     * Aborts the connection of an attempt and completes the attempt.
+     *
+     * @param outcome the outcome if the request was sent completely; otherwise it is {@link Outcome#CONNECT_FAILED}
+     */
     private void abortAttempt(UpstreamAttempt attempt, Outcome outcome) {
         UpstreamConnection connection = inFlight.connectionOf(attempt);
         boolean requestSent = connection.isRequestSent();
@@ -211,7 +213,7 @@
 
     @Override
     public void drained(long id, int bytes) {
-        connections.get(id).drained(bytes);
+        connections.get(id).bytesWritten(bytes);
     }
 
     @Override
@@ -235,6 +237,8 @@
     }
 
     /**
+     * Handles the end of a connection.
+     *
      * @param orderly true if the endpoint closed its side in order, which completes a response without a stated length;
      *     false for a reset, after which such a response may be truncated
      */
@@ -294,7 +298,10 @@
         }
     }
 
-    /** Completes the attempt or health check assigned to a connection, if any, and notifies the listener. */
+    /**
+     * Completes the attempt or health check assigned to a connection, if any, and notifies the listener; the connection
+     * is up to the caller.
+     */
     private void complete(UpstreamConnection connection, Outcome outcome, HttpResponse response) {
         UpstreamAttempt attempt = connection.attempt();
         if (attempt != null) {
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnectionTable.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnectionTable.java
@@ -47,21 +47,24 @@
 
     UpstreamConnectionTable(
             PlatformSettings settings,
-            ResourceBounds bounds,
+            ResourceLimits limits,
             ConnectionIdAllocator connectionIds,
             UpstreamEndpoints endpoints) {
         this.connectionIds = connectionIds;
         this.endpoints = endpoints;
-        this.maxConnections = bounds.maxUpstreamConnections();
-        this.maxResponseBytes = bounds.maxResponseBytes();
-        this.maxBufferedBytes = bounds.maxBufferedBytes();
+        this.maxConnections = limits.maxUpstreamConnections();
+        this.maxResponseBytes = limits.maxResponseBytes();
+        this.maxBufferedBytes = limits.maxBufferedBytes();
         this.connecting = new ConnectionsByAge(settings.scheduling().connectTimeout());
         long idleTimeout =
                 settings.upstreamIdleTimeout() > 0 ? settings.upstreamIdleTimeout() : DEFAULT_IDLE_TIMEOUT_MICROS;
         this.idleConnections = new IdleConnections((long) (IDLE_TIMEOUT_FRACTION * idleTimeout));
     }
 
-    /** Starts a turn of the event loop: sets the current time and the list to which actions are added. */
+    /**
+     * Starts a turn, that is one call of {@link PlatformGateway#handle}: sets the current time and the list to which
+     * actions are added.
+     */
     void beginTurn(long time, List<NetAction> turnActions) {
         now = time;
         actions = turnActions;
@@ -80,7 +83,6 @@
         return byId.size();
     }
 
-    /** The connections that are being established. */
     ConnectionsByAge connecting() {
         return connecting;
     }
@@ -100,9 +102,9 @@
     }
 
     /**
-     * Returns a connection to an endpoint: the one that has been idle longest, if it may be reused, because it had the
-     * most time for a late duplicate of its last response to arrive; otherwise one that is being established and
-     * unassigned; otherwise a new one. Returns null if the endpoint is not listed, or if the connection limit is
+     * Returns a connection to an endpoint: the one that has been idle longest, if it may be reused; otherwise one that
+     * is being established and unassigned; otherwise a new one. The longer it was idle, the more time a late duplicate
+     * of its last response had to arrive. Returns null if the endpoint is not listed, or if the connection limit is
      * reached and no connection is idle.
      */
     UpstreamConnection acquire(String endpointName) {
@@ -177,7 +179,6 @@
         }
     }
 
-    /** Closes the idle connections to an endpoint. */
     void closeIdle(String endpoint) {
         UpstreamConnection connection = idleConnections.oldestOf(endpoint);
         while (connection != null) {
@@ -186,7 +187,6 @@
         }
     }
 
-    /** Closes the connections whose idle timeout has passed. */
     void closeExpiredIdle() {
         UpstreamConnection connection = idleConnections.expired(now);
         while (connection != null) {
--- a/core/src/main/java/garnetreel/core/platform/UpstreamEndpoint.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamEndpoint.java
@@ -10,7 +10,7 @@
  * @param up whether it accepts new requests; false while it drains
  */
 record UpstreamEndpoint(String address, long startedAt, boolean up) {
-    static UpstreamEndpoint of(ListUpdate.Entry entry) {
+    static UpstreamEndpoint of(EndpointListUpdate.Entry entry) {
         boolean up = entry.endpoint().state() == EndpointState.UP;
         return new UpstreamEndpoint(entry.address(), entry.endpoint().startedAt(), up);
     }
--- a/core/src/main/java/garnetreel/core/platform/UpstreamEndpoints.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamEndpoints.java
@@ -29,7 +29,7 @@
     /**
      * Applies an update. Returns the names of the known endpoints that it removed or changed, in the update's order.
      */
-    Set<String> apply(ListUpdate update) {
+    Set<String> apply(EndpointListUpdate update) {
         Set<String> changed = new LinkedHashSet<>();
         for (Map.Entry<String, UpstreamEndpoint> entry : stateAfter(update).entrySet()) {
             String name = entry.getKey();
@@ -43,9 +43,9 @@
     }
 
     /** The state after an update of each endpoint that the update concerns; null for one that is removed. */
-    private Map<String, UpstreamEndpoint> stateAfter(ListUpdate update) {
+    private Map<String, UpstreamEndpoint> stateAfter(EndpointListUpdate update) {
         Map<String, UpstreamEndpoint> stateAfter = new LinkedHashMap<>();
-        for (ListUpdate.Entry entry : update.entries()) {
+        for (EndpointListUpdate.Entry entry : update.entries()) {
             boolean removed = entry.endpoint().state() == EndpointState.REMOVED;
             stateAfter.put(entry.endpoint().name(), removed ? null : UpstreamEndpoint.of(entry));
         }
--- a/core/src/test/java/garnetreel/core/platform/EndpointIncarnationsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/EndpointIncarnationsTest.java
@@ -16,9 +16,9 @@
     private final EndpointIncarnations incarnations = new EndpointIncarnations();
 
     private long estimatedStart(String endpoint, long reportedStart, long now, long listCurrentAt) {
-        ListUpdate update = changes(1, entry(endpoint, EndpointState.UP, reportedStart));
+        EndpointListUpdate update = changes(1, entry(endpoint, EndpointState.UP, reportedStart));
         return incarnations
-                .resolve(update, now, listCurrentAt)
+                .withEstimatedStarts(update, now, listCurrentAt)
                 .entries()
                 .get(0)
                 .endpoint()
@@ -43,8 +43,8 @@
     void theStartOfAnIncarnationIsEstimatedOnceAndKeptAfterARemoval() {
         assertEquals(NOW, estimatedStart("s-1", NOW + 1, NOW, NO_PREVIOUS_LIST));
         assertEquals(NOW, estimatedStart("s-1", NOW + 1, NOW + 500, NO_PREVIOUS_LIST));
-        ListUpdate removal = changes(2, entry("s-1", EndpointState.REMOVED, 0));
-        assertEquals(removal, incarnations.resolve(removal, NOW, NO_PREVIOUS_LIST));
+        EndpointListUpdate removal = changes(2, entry("s-1", EndpointState.REMOVED, 0));
+        assertEquals(removal, incarnations.withEstimatedStarts(removal, NOW, NO_PREVIOUS_LIST));
         assertEquals(NOW, estimatedStart("s-1", NOW + 1, NOW + 700, NO_PREVIOUS_LIST));
         assertEquals(NOW + 2, estimatedStart("s-1", NOW + 2, NOW + 900, NO_PREVIOUS_LIST), "a new incarnation");
     }
--- a/core/src/test/java/garnetreel/core/platform/EndpointListReceiverTest.java
+++ b/core/src/test/java/garnetreel/core/platform/EndpointListReceiverTest.java
@@ -53,7 +53,7 @@
         PlatformSettings settings = UpstreamTestData.settings();
         pool = new UpstreamConnectionPool(
                 settings,
-                ResourceBounds.of(settings.limits()),
+                ResourceLimits.of(settings.limits()),
                 new ConnectionIdAllocator(),
                 new GatewayCounters(),
                 new NoAttemptsListener());
@@ -77,7 +77,7 @@
 
     @Test
     void changesAreAcceptedOnlyAfterACompleteList() throws ProtocolException {
-        ListUpdate changes = changes(9, entry("s-2", EndpointState.UP, 0));
+        EndpointListUpdate changes = changes(9, entry("s-2", EndpointState.UP, 0));
         ProtocolException thrown = assertThrows(ProtocolException.class, () -> receiver.apply(changes, NOW));
         assertEquals("expected a complete endpoint list, got changes", thrown.getMessage());
         assertEquals(1, pool.endpointCount());
@@ -93,7 +93,7 @@
     @Test
     void anOlderVersionIsRejectedOnlyOnce() throws ProtocolException {
         receiver.apply(completeList(9, entry("s-1", EndpointState.UP, 0)), NOW);
-        ListUpdate older = completeList(8);
+        EndpointListUpdate older = completeList(8);
         ProtocolException thrown = assertThrows(ProtocolException.class, () -> receiver.apply(older, NOW));
         assertEquals("version went back from 9 to 8", thrown.getMessage());
         assertEquals(1, pool.endpointCount());
@@ -106,7 +106,7 @@
     @Test
     void aRequiredCompleteListIsAcceptedInAnyVersion() throws ProtocolException {
         receiver.apply(completeList(9, entry("s-1", EndpointState.UP, 0)), NOW);
-        receiver.requireSnapshot();
+        receiver.requireCompleteList();
         assertEquals("/registry/instances?watch=1", receiver.watchTarget());
         receiver.apply(completeList(2, entry("s-1", EndpointState.UP, 0)), NOW);
         assertEquals(2, receiver.version());
--- a/core/src/test/java/garnetreel/core/platform/JsonObjectSplitterTest.java
+++ b/core/src/test/java/garnetreel/core/platform/JsonObjectSplitterTest.java
@@ -50,6 +50,6 @@
         assertEquals(List.of(longest, longest), split(splitter, longest + longest));
         ProtocolException thrown =
                 assertThrows(ProtocolException.class, () -> split(splitter, "{" + " ".repeat(MAX_BYTES)));
-        assertEquals("a JSON object of more than 40 bytes", thrown.getMessage());
+        assertEquals("JSON object exceeds 40 bytes", thrown.getMessage());
     }
 }
--- a/core/src/test/java/garnetreel/core/platform/ResourceBoundsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/ResourceLimitsTest.java
@@ -6,15 +6,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Division of the process's descriptors among clients and upstreams. */
-class ResourceBoundsTest {
+class ResourceLimitsTest {
     /** The sum of all limits stays within the available descriptors. */
     @ParameterizedTest
     @ValueSource(ints = {88, 128, 256, 384, 1_024, 4_096})
     void descriptorsSufficeForAllLimits(int sockets) {
-        ResourceBounds bounds = ResourceBounds.of(new PlatformSettings.Limits(128, sockets));
-        assertTrue(bounds.maxClients() >= 8 && bounds.maxUpstreamConnections() >= 5, bounds.toString());
-        assertTrue(bounds.maxClients() + bounds.maxUpstreamConnections() + 72 <= sockets, bounds.toString());
+        ResourceLimits limits = ResourceLimits.of(new PlatformSettings.Limits(128, sockets));
+        assertTrue(limits.maxClients() >= 8 && limits.maxUpstreamConnections() >= 5, limits.toString());
+        assertTrue(limits.maxClients() + limits.maxUpstreamConnections() + 72 <= sockets, limits.toString());
         assertTrue(
-                bounds.maxClients() >= sockets / 3 || sockets < 256, "clients get at least a third of the descriptors");
+                limits.maxClients() >= sockets / 3 || sockets < 256, "clients get at least a third of the descriptors");
     }
 }
--- a/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTableTest.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTableTest.java
@@ -35,9 +35,9 @@
 
     @BeforeEach
     void listThreeEndpoints() throws JsonException {
-        ResourceBounds bounds = new ResourceBounds(8, MAX_CONNECTIONS, 8, MAX_BUFFERED_BYTES, 1_000);
+        ResourceLimits limits = new ResourceLimits(8, MAX_CONNECTIONS, 8, MAX_BUFFERED_BYTES, 1_000);
         table = new UpstreamConnectionTable(
-                UpstreamTestData.settings(), bounds, new ConnectionIdAllocator(), endpoints);
+                UpstreamTestData.settings(), limits, new ConnectionIdAllocator(), endpoints);
         endpoints.apply(completeList(
                 1,
                 entry("s-1", EndpointState.UP, 0),
--- a/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTest.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamConnectionTest.java
@@ -20,10 +20,10 @@
         connection.opened();
         connection.requestWriteStarted(100, 9);
         assertEquals(9, connection.lastTransitionAt());
-        connection.drained(99);
+        connection.bytesWritten(99);
         assertTrue(connection.hasUnsentBytes());
         assertFalse(connection.isRequestSent());
-        connection.drained(1);
+        connection.bytesWritten(1);
         assertTrue(connection.isRequestSent());
     }
 
--- a/core/src/test/java/garnetreel/core/platform/UpstreamEndpointsTest.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamEndpointsTest.java
@@ -64,7 +64,8 @@
     void aRestartAndAChangeOfAddressAreReported() {
         assertEquals(Set.of("s-1"), endpoints.apply(changes(2, entry("s-1", EndpointState.UP, 6))));
         EndpointEntry unchanged = entry("s-2", EndpointState.UP, 5).endpoint();
-        assertEquals(Set.of("s-2"), endpoints.apply(changes(3, new ListUpdate.Entry("new address", unchanged))));
+        assertEquals(
+                Set.of("s-2"), endpoints.apply(changes(3, new EndpointListUpdate.Entry("new address", unchanged))));
         assertTrue(endpoints.acceptsRequests("s-2", "new address"));
     }
 }
--- a/core/src/test/java/garnetreel/core/platform/UpstreamTestData.java
+++ b/core/src/test/java/garnetreel/core/platform/UpstreamTestData.java
@@ -43,16 +43,17 @@
         return "address of " + endpoint;
     }
 
-    static ListUpdate.Entry entry(String endpoint, EndpointState state, long startedAt) {
-        return new ListUpdate.Entry(address(endpoint), new EndpointEntry(endpoint, "zone", 0, state, 1, startedAt));
+    static EndpointListUpdate.Entry entry(String endpoint, EndpointState state, long startedAt) {
+        return new EndpointListUpdate.Entry(
+                address(endpoint), new EndpointEntry(endpoint, "zone", 0, state, 1, startedAt));
     }
 
-    static ListUpdate completeList(long version, ListUpdate.Entry... entries) {
-        return new ListUpdate(version, true, List.of(entries));
+    static EndpointListUpdate completeList(long version, EndpointListUpdate.Entry... entries) {
+        return new EndpointListUpdate(version, true, List.of(entries));
     }
 
-    static ListUpdate changes(long version, ListUpdate.Entry... entries) {
-        return new ListUpdate(version, false, List.of(entries));
+    static EndpointListUpdate changes(long version, EndpointListUpdate.Entry... entries) {
+        return new EndpointListUpdate(version, false, List.of(entries));
     }
 
     static UpstreamAttempt attempt(long requestId, int number, long deadline) {
--- a/policy/src/main/java/garnetreel/policy/AttemptDispatcher.java
+++ b/policy/src/main/java/garnetreel/policy/AttemptDispatcher.java
@@ -4,7 +4,7 @@
 import garnetreel.policy.endpoint.Endpoint;
 import java.util.function.BiPredicate;
 
-/** Sends held requests to endpoints in fair-queue order while their concurrency windows have free slots. */
+/** Sends held requests to endpoints in fair-queue order while the endpoints' concurrency windows have free slots. */
 final class AttemptDispatcher {
     private final DecisionModules modules;
     /** Created once, as the selection evaluates it for every held request. */
@@ -17,7 +17,7 @@
         this.modules = modules;
     }
 
-    /** Sends held requests of a shard until its endpoint has no free slot or no request may be sent. */
+    /** Sends held requests of a shard until the selected endpoint has no free slot or no request may be sent. */
     void dispatch(Shard shard, long time) {
         now = time;
         while (!shard.queue.isEmpty()) {
--- a/policy/src/main/java/garnetreel/policy/DecisionModules.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionModules.java
@@ -15,7 +15,7 @@
 import garnetreel.policy.slowstart.SlowStart;
 import java.util.SplittableRandom;
 
-/** The modules of one scheduler. Each owns its state; the other classes of this package combine several of them. */
+/** The components of one scheduler. Each owns its state; the other classes of this package combine several of them. */
 final class DecisionModules {
     final SchedulerSettings settings;
     final SettingsLookup settingsLookup;
@@ -40,8 +40,8 @@
 
     DecisionModules(SchedulerSettings settings, long seed) {
         this.settings = settings;
-        // One generator for all modules. SplittableRandom also gives unrelated sequences for adjacent seeds, which the
-        // gateways of a fleet may have.
+        // One generator for all components. SplittableRandom also gives unrelated sequences for adjacent seeds, which
+        // the gateways of a fleet may have.
         SplittableRandom random = new SplittableRandom(seed);
         settingsLookup = new SettingsLookup(settings);
         subscription = new EndpointListSubscription(settings, random);
@@ -55,13 +55,13 @@
         timer = new DecisionTimer(settings);
     }
 
-    /** Initializes the modules that depend on the start time of the gateway. */
+    /** Initializes the components that depend on the start time of the gateway. */
     void start(long now) {
         startedAt = now;
         subscription.start(now);
     }
 
-    /** Whether the invariants of all modules hold. Traverses the whole state, so it is meant for tests only. */
+    /** Whether the invariants of all components hold. Traverses the whole state, so it is meant for tests only. */
     boolean areConsistent() {
         return listValidity.isConsistent()
                 && endpoints.isConsistent()
--- a/policy/src/main/java/garnetreel/policy/DecisionStep.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionStep.java
@@ -10,7 +10,7 @@
      */
     HANDLE_EVENTS,
     /**
-     * Repeats admission for requests held for endpoints that the list reports as restarted. It follows the events, so
+     * Repeats admission for requests held for endpoints that the list reports as started. It follows the events, so
      * that cancelled requests do not count as demand, and precedes dispatch, so that requests held for a warm endpoint
      * do not overload a cold one.
      */
@@ -21,7 +21,7 @@
      */
     SUBSCRIBE_TO_ENDPOINTS,
     /**
-     * Ends requests that are about to miss their deadline. It precedes dispatch, so that no attempt is sent whose
+     * Gives up requests that are about to miss their deadline. It precedes dispatch, so that no attempt is sent whose
      * response would come too late.
      */
     EXPIRE_REQUESTS,
@@ -32,7 +32,7 @@
     DETECT_SLOW_ENDPOINTS,
     /**
      * Sheds late requests, then sends attempts, shard by shard. It follows all steps that free slots of concurrency
-     * windows or end requests.
+     * windows or give up requests.
      */
     SHED_AND_DISPATCH,
     /** Evicts unused state. It follows dispatch, so that no state is evicted and created again in one call. */
--- a/policy/src/main/java/garnetreel/policy/DecisionTimer.java
+++ b/policy/src/main/java/garnetreel/policy/DecisionTimer.java
@@ -11,7 +11,7 @@
     private static final String TIMER_NAME = "look";
     /**
      * Maximum time between scheduler calls while a request is held, in microseconds: free slots, rate limits and quiet
-     * periods change with time.
+     * periods change with time. The next subscription call is also at least this far away.
      */
     private static final long CHECK_INTERVAL_HELD_MICROS = 5_000;
     /**
--- a/policy/src/main/java/garnetreel/policy/EndpointUpdates.java
+++ b/policy/src/main/java/garnetreel/policy/EndpointUpdates.java
@@ -8,11 +8,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Applies updates of the endpoint list and keeps the subscription to it. */
+/** Applies updates of the endpoint list and maintains the subscription to it. */
 final class EndpointUpdates {
     private final DecisionModules modules;
     private final RequestAdmission admission;
-    /** Shards of endpoints that the list reported as restarted since the last readmission. */
+    /** Shards of endpoints that the list reported as started since the last readmission. */
     private final List<Shard> shardsToReadmit = new ArrayList<>();
 
     EndpointUpdates(DecisionModules modules, RequestAdmission admission) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Repeats admission for requests held before an endpoint restarted, as it cannot take all of them at once. */
+    /** Repeats admission for requests held before an endpoint started, as it cannot take all of them at once. */
     void readmitForRestarts(long now) {
         for (Shard shard : shardsToReadmit) {
             admission.readmit(shard, now);
--- a/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
+++ b/policy/src/main/java/garnetreel/policy/FairQueueScheduler.java
@@ -18,8 +18,8 @@
  * Scheduler of one gateway: virtual-time fair queueing (docs/design.md) with admission control, rate limits,
  * concurrency limits and retry limits around it.
  *
- * <p>This class only coordinates: it passes each event to the modules concerned and runs the steps of a call in order.
- * Every kind of decision has a module of its own with its state and constants.
+ * <p>This class only coordinates: it passes each event to the components concerned and runs the steps of a call in
+ * order. Every kind of decision has a component of its own with its state and constants.
  */
 public final class FairQueueScheduler implements Scheduler {
     private final List<DecisionStep> steps;
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Passes an event to the module concerned. {@code GossipReceived} and {@code HealthCheckCompleted} are ignored,
-     * because the modules use only what this gateway observes on its own attempts.
+     * Passes an event to the component concerned. {@code GossipReceived} and {@code HealthCheckCompleted} are ignored,
+     * because the components use only what this gateway observes on its own attempts.
      */
     private void handle(SchedulerEvent event) {
         if (event instanceof RequestReceived received) {
@@ -130,7 +130,6 @@
         }
     }
 
-    /** Whether the invariants of all modules hold; for tests. */
     boolean isConsistent() {
         return modules.areConsistent();
     }
--- a/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
+++ b/policy/src/main/java/garnetreel/policy/OutcomeHandler.java
@@ -7,7 +7,7 @@
 import garnetreel.policy.health.Recovery;
 import garnetreel.policy.retry.RetryDecision;
 
-/** Updates endpoint health and limits from the outcomes of attempts, and retries or ends their requests. */
+/** Updates endpoint health and limits from the outcomes of attempts, and retries or gives up their requests. */
 final class OutcomeHandler {
     private final DecisionModules modules;
     private final RequestCloser closer;
@@ -70,8 +70,9 @@
     }
 
     /**
-     * Updates the health of the endpoint. The latency of a response with an error is not recorded; a rejection and a
-     * failed connection are recorded as late responses, and a timeout by {@link #recordTimeout}.
+     * Updates the health of the endpoint. The latency of a response with an error is not recorded; an
+     * {@link Outcome#OVERLOADED} response and a failed connection are recorded as late responses, and a timeout by
+     * {@link #recordTimeout}.
      */
     private void updateHealth(PendingRequest request, Attempt attempt, AttemptCompleted event, long now) {
         Endpoint endpoint = attempt.endpoint;
--- a/policy/src/main/java/garnetreel/policy/PendingRequest.java
+++ b/policy/src/main/java/garnetreel/policy/PendingRequest.java
@@ -5,7 +5,7 @@
 import garnetreel.policy.fairqueue.QueuedRequest;
 import garnetreel.policy.fairqueue.VolumeFlow;
 import garnetreel.policy.ordering.KeyQueue;
-import garnetreel.policy.ratelimit.BudgetBooking;
+import garnetreel.policy.ratelimit.ChargedBucket;
 import garnetreel.policy.retry.IdempotencyGuard;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,8 +27,11 @@
     /** When it was first received; for a recognized client retry, when the original request was received. */
     long firstReceivedAt;
 
+    /** From this time on, sending it is no longer useful. */
     long latestUsefulStart;
-    BudgetBooking booking = BudgetBooking.NONE;
+
+    /** Bucket to which its units were charged when it was received. */
+    ChargedBucket chargedBucket = ChargedBucket.NONE;
     /** Whether its units were already charged to the volume's rate limit, as a retry is not charged again. */
     boolean chargedToRateLimit;
     /** Queue of the requests with the same key; null unless the request class is ordered and the request has a key. */
--- a/policy/src/main/java/garnetreel/policy/RequestAdmission.java
+++ b/policy/src/main/java/garnetreel/policy/RequestAdmission.java
@@ -8,11 +8,11 @@
 import garnetreel.policy.ratelimit.VolumeBuckets;
 import garnetreel.policy.retry.IdempotencyGuard;
 
-/** Books and queues received requests, and at once rejects or fails those that are not admitted. */
+/** Charges received requests to token buckets and queues them; at once gives up those that are not admitted. */
 final class RequestAdmission {
     /**
-     * Result of the admission of a request. All results but {@link #ADMITTED} end the request in the same way; the
-     * names state the reason.
+     * Result of the admission of a request. With all others than {@link #ADMITTED} the request is given up; the names
+     * state the reason.
      */
     private enum Admission {
         ADMITTED,
@@ -21,8 +21,8 @@
         /** The volume's rate limit does not cover the request in time. */
         RATE_LIMITED,
         /**
-         * The endpoint lacks capacity for the request, or the shard has endpoints and none of them may be sent
-         * requests.
+         * The endpoint selected for the shard lacks capacity for the request, or the shard has endpoints and none of
+         * them may be sent requests.
          */
         NO_CAPACITY
     }
@@ -44,7 +44,7 @@
         modules.requests.add(request);
         boolean lateRetry = isLateRetry(request, now);
         if (!lateRetry) {
-            request.booking = request.flow.buckets().book(request.units, now);
+            request.chargedBucket = request.flow.buckets().chargeRequest(request.units, now);
         }
         modules.fairQueue.requestReceived(request.flow, now);
         if (request.requestClass.ordered() && event.key() >= 0) {
@@ -99,20 +99,20 @@
     }
 
     /**
-     * Whether the endpoint has capacity for a request. Each call counts the request's demand and, if it is admitted,
-     * its units, so a request that {@link #readmit} checks again is counted twice.
+     * Whether the endpoint selected for the shard has capacity for a request. Each call counts the request's demand
+     * and, if it is admitted, its units, so a request that {@link #readmit} checks again is counted twice.
      */
     private boolean isAdmitted(PendingRequest request, long now) {
         Shard shard = request.shard;
         Endpoint endpoint = modules.endpoints.select(shard.number, now);
-        shard.demand.add(request.booking, request.units, now);
+        shard.demand.add(request.chargedBucket, request.units, now);
         if (endpoint == null) {
             // A shard without endpoints may get one in time, so its requests are held. If the list and all leases have
             // expired, they are rarely renewed in time.
             return !modules.endpoints.hasOnlyUnusableEndpoints(shard.number, now);
         }
         return modules.admissionController.admits(
-                request.booking,
+                request.chargedBucket,
                 request.units,
                 shard.demand,
                 endpoint.health().admittedFraction(now),
@@ -121,7 +121,7 @@
                 now);
     }
 
-    /** Repeats admission for requests held for a shard whose endpoint has restarted, using its present capacity. */
+    /** Repeats admission, by present capacity, for requests held for a shard with an endpoint that has started. */
     void readmit(Shard shard, long now) {
         for (PendingRequest request : shard.queue.snapshot()) {
             if (!isAdmitted(request, now)) {
--- a/policy/src/main/java/garnetreel/policy/RequestCloser.java
+++ b/policy/src/main/java/garnetreel/policy/RequestCloser.java
@@ -15,9 +15,9 @@
     }
 
     /**
-     * Sends a final response without result: a rejection if the client can safely retry, a failure otherwise. A
-     * rejection asks for the longest delay that clients honour, as a retry during the same overload would be too late
-     * for its latency objective.
+     * Gives up a request: rejects it if the client can safely retry, fails it otherwise. A rejection asks for the
+     * longest delay that clients honour, as a retry during the same overload would probably miss the latency objective
+     * of the request.
      */
     void rejectOrFail(PendingRequest request, long now) {
         if (request.closed) {
@@ -27,13 +27,12 @@
                 request.guard.clientMayRetry()
                         ? new RejectRequest(request.id, modules.settings.maxRetryAfter())
                         : new FailRequest(request.id));
-        request.flow.buckets().cancelBooking(request.booking, request.units);
+        request.flow.buckets().refund(request.chargedBucket, request.units);
         modules.unservedRequests.add(
                 request.flow, request.requestClass.name(), request.units, request.deadline, request.firstReceivedAt);
         modules.requests.close(request, now);
     }
 
-    /** Closes a request whose client cancelled it. */
     void requestCancelled(long id, long now) {
         PendingRequest request = modules.requests.get(id);
         if (request != null) {
@@ -41,7 +40,7 @@
         }
     }
 
-    /** Ends requests that are about to miss their deadline. */
+    /** Gives up requests that are about to miss their deadline. */
     void expireRequests(long now) {
         for (PendingRequest request : modules.requests.snapshot()) {
             if (request.awaitsResponse() && now >= modules.loadShedder.responseDueAt(request.deadline)) {
--- a/policy/src/main/java/garnetreel/policy/SettingsLookup.java
+++ b/policy/src/main/java/garnetreel/policy/SettingsLookup.java
@@ -11,7 +11,7 @@
 
 /**
  * Looks up the request class and plan of a request. A class missing from the settings never allows a second execution,
- * and a missing plan has no reserved or provisioned rate.
+ * and a missing plan has weight 1 and no reserved rate, provisioned rate or rate limit.
  */
 final class SettingsLookup {
     private final Map<String, RequestClass> classes = new HashMap<>();
--- a/policy/src/main/java/garnetreel/policy/Shard.java
+++ b/policy/src/main/java/garnetreel/policy/Shard.java
@@ -9,7 +9,7 @@
     final int number;
     final ShardQueue<PendingRequest> queue = new ShardQueue<>();
     final DemandEstimate demand = new DemandEstimate();
-    /** Kept when an endpoint is replaced, as slow start of the new, cold endpoint is based on it. */
+    /** Served rate; kept when an endpoint is replaced, as slow start of the new, cold endpoint is based on it. */
     final ServedRate served;
 
     Shard(int number, long startedAt) {
@@ -17,7 +17,6 @@
         this.served = new ServedRate(startedAt);
     }
 
-    /** Invariant: queue, demand and served rate are consistent. */
     boolean isConsistent() {
         return queue.isConsistent() && demand.isConsistent() && served.isConsistent();
     }
--- a/policy/src/main/java/garnetreel/policy/ShardTable.java
+++ b/policy/src/main/java/garnetreel/policy/ShardTable.java
@@ -21,11 +21,11 @@
     }
 
     /**
-     * Returns the shard with this number, and creates it if needed.
+     * Returns the shard with this number, and creates it if needed. A request that stores new data, which has no shard
+     * yet, goes to the shard of the reachable endpoint with the most free slots, less the requests held for the shard,
+     * that may be sent requests.
      *
-     * @param number shard number; negative for a new object, which goes to the shard with the usable endpoint that has
-     *     the most free slots, less the requests held for the shard; if no endpoint is usable, the shard has this
-     *     negative number
+     * @param number shard number; negative for new data, and then kept if there is no such endpoint
      * @param startedAt when this gateway started
      */
     Shard get(int number, long startedAt, long now) {
@@ -52,12 +52,10 @@
         return chosen;
     }
 
-    /** Called when a request is held for a shard. */
     void requestHeld(Shard shard) {
         withHeldRequests.put(shard.number, shard);
     }
 
-    /** Called when a request is no longer held for a shard. */
     void requestReleased(Shard shard) {
         if (shard.queue.isEmpty()) {
             withHeldRequests.remove(shard.number);
--- a/policy/src/main/java/garnetreel/policy/action/FailRequest.java
+++ b/policy/src/main/java/garnetreel/policy/action/FailRequest.java
@@ -1,7 +1,7 @@
 package garnetreel.policy.action;
 
 /**
- * Sends the final response of a failed request, which may have been executed or not.
+ * Sends the final response of a failed request, which a retry by the client might execute a second time.
  *
  * @param id the request
  */
--- a/policy/src/main/java/garnetreel/policy/action/SendAttempt.java
+++ b/policy/src/main/java/garnetreel/policy/action/SendAttempt.java
@@ -6,8 +6,7 @@
  * @param id the request
  * @param endpoint name of the endpoint
  * @param timeout time to wait for the response; 0 to wait until the client's deadline
- * @param startWithin limit for the time to establish a connection, after which the attempt must not be started; 0 for
- *     no limit
+ * @param startWithin time from the decision within which the attempt must start; 0 for no limit
  */
 public record SendAttempt(long id, String endpoint, long timeout, long startWithin) implements SchedulerAction {
     /** Creates an attempt that may be started at any time before its timeout. */
--- a/policy/src/main/java/garnetreel/policy/admission/AdmissionController.java
+++ b/policy/src/main/java/garnetreel/policy/admission/AdmissionController.java
@@ -1,7 +1,7 @@
 package garnetreel.policy.admission;
 
 import garnetreel.policy.config.SchedulerSettings;
-import garnetreel.policy.ratelimit.BudgetBooking;
+import garnetreel.policy.ratelimit.ChargedBucket;
 import java.util.SplittableRandom;
 
 /**
@@ -12,11 +12,11 @@
  */
 public final class AdmissionController {
     /**
-     * Number of bookings. With an admitted fraction f, a request whose booking has rank r is admitted with probability
-     * 3f - r: requests beyond both rates are cut as soon as f is below 1 and get nothing at 2/3; those within the
-     * provisioned rate are cut from 2/3 to 1/3, and those within the reserved rate below 1/3.
+     * Number of priority ranks. With an admitted fraction f, a request of rank r is admitted with probability 3f - r:
+     * some requests beyond both rates are rejected as soon as f is below 1, and all at 2/3; those within the
+     * provisioned rate are rejected from 2/3 to 1/3, and those within the reserved rate below 1/3.
      */
-    private static final int PRIORITY_LEVELS = BudgetBooking.RANKS;
+    private static final int PRIORITY_RANKS = ChargedBucket.RANKS;
 
     private final SplittableRandom random;
     private final double maxUnits;
@@ -34,7 +34,7 @@
     /**
      * Decides whether a request is admitted; an admitted request is recorded in the demand estimate.
      *
-     * @param booking the bucket that the request was charged to
+     * @param chargedBucket bucket that the request was charged to
      * @param units size of the request
      * @param demand estimated demand for the shard, this request included
      * @param admittedFraction fraction of the demand that the endpoint's health allows
@@ -43,17 +43,17 @@
      * @param now current time
      */
     public boolean admits(
-            BudgetBooking booking,
+            ChargedBucket chargedBucket,
             double units,
             DemandEstimate demand,
             double admittedFraction,
             double warmUpRate,
             long startedAt,
             long now) {
-        double servableFraction = demand.servableFraction(warmUpRate * observedFraction(startedAt, now), booking);
-        double probability = Math.min(PRIORITY_LEVELS * admittedFraction - booking.rank(), servableFraction);
-        // Draws a random number only if the probability is below 1. All modules share one generator, so a needless draw
-        // would change later decisions, such as the backoff of the subscription.
+        double servableFraction = demand.servableFraction(warmUpRate * observedFraction(startedAt, now), chargedBucket);
+        double probability = Math.min(PRIORITY_RANKS * admittedFraction - chargedBucket.rank(), servableFraction);
+        // Draws a random number only if the probability is below 1. All components share one generator, so a needless
+        // draw would change later decisions, such as the backoff of the subscription.
         boolean admitted = (probability >= 1 || random.nextDouble() < probability)
                 && !demand.isSurging(warmUpRate, maxUnits, overloadWindow, now);
         if (admitted) {
--- a/policy/src/main/java/garnetreel/policy/admission/DemandEstimate.java
+++ b/policy/src/main/java/garnetreel/policy/admission/DemandEstimate.java
@@ -1,32 +1,32 @@
 package garnetreel.policy.admission;
 
-import garnetreel.policy.ratelimit.BudgetBooking;
+import garnetreel.policy.ratelimit.ChargedBucket;
 import garnetreel.policy.timing.Microseconds;
 
-/** Demand of this gateway's clients for one shard, per booking, and the units admitted; both decay exponentially. */
+/** Demand of this gateway's clients for one shard, by priority, and the units admitted; both decay exponentially. */
 public final class DemandEstimate {
     /** Time constant of the demand, in microseconds: short, as demand changes within seconds. */
     static final double TIME_CONSTANT_MICROS = 6e6;
     /**
      * Upper bound of the units admitted within the overload window, as a multiple of the units that the warm-up rate
-     * allows in it; one largest request is allowed in addition.
+     * allows in it; one request of the maximum size is allowed in addition.
      */
     private static final double SURGE_MULTIPLE = 1.3;
 
-    /** Units per second, indexed by the rank of the booking. */
-    private final double[] demand = new double[BudgetBooking.RANKS];
+    /** Units per second, indexed by priority rank. */
+    private final double[] demand = new double[ChargedBucket.RANKS];
 
     private long demandAt;
     private double admittedUnits;
     private long admittedAt;
 
     /** Adds a request to the demand. */
-    public void add(BudgetBooking booking, double units, long now) {
+    public void add(ChargedBucket chargedBucket, double units, long now) {
         double decay = Math.exp((demandAt - now) / TIME_CONSTANT_MICROS);
         for (int rank = 0; rank < demand.length; rank++) {
             demand[rank] *= decay;
         }
-        demand[booking.rank()] += units * Microseconds.PER_SECOND / TIME_CONSTANT_MICROS;
+        demand[chargedBucket.rank()] += units * Microseconds.PER_SECOND / TIME_CONSTANT_MICROS;
         demandAt = now;
     }
 
@@ -36,15 +36,15 @@
     }
 
     /**
-     * Fraction of a booking's demand that a rate can serve after the demand of all higher-ranked bookings; may exceed 1
-     * or be negative.
+     * Fraction of a bucket's demand that a rate can serve after the demand of all buckets of higher priority; may
+     * exceed 1 or be negative.
      */
-    double servableFraction(double rate, BudgetBooking booking) {
+    double servableFraction(double rate, ChargedBucket chargedBucket) {
         double remaining = rate;
-        for (int rank = 0; rank < booking.rank(); rank++) {
+        for (int rank = 0; rank < chargedBucket.rank(); rank++) {
             remaining -= demand[rank];
         }
-        return remaining / demand[booking.rank()];
+        return remaining / demand[chargedBucket.rank()];
     }
 
     /**
@@ -60,7 +60,6 @@
         return admittedUnits > SURGE_MULTIPLE * rate * window / Microseconds.PER_SECOND + largestRequest;
     }
 
-    /** Records an admitted request. */
     void recordAdmitted(double units) {
         admittedUnits += units;
     }
--- a/policy/src/main/java/garnetreel/policy/admission/LoadShedder.java
+++ b/policy/src/main/java/garnetreel/policy/admission/LoadShedder.java
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Time at which a request must have started to be useful: within its latency objective and before its response is
+     * Time from which on sending a request is no longer useful: its latency objective has passed or its response is
      * due.
      */
     public long latestUsefulStart(long receivedAt, long latencyObjective, long deadline) {
@@ -41,7 +41,7 @@
     /**
      * Decides whether a held request is shed.
      *
-     * @param latestUsefulStart time at which the request must have started to be useful
+     * @param latestUsefulStart time from which on sending the request is no longer useful
      * @param onlyUnusableEndpoints whether the shard has endpoints that are up, but none of them may be sent requests
      */
     public boolean sheds(long latestUsefulStart, boolean onlyUnusableEndpoints, long now) {
--- a/policy/src/main/java/garnetreel/policy/admission/UnservedRequests.java
+++ b/policy/src/main/java/garnetreel/policy/admission/UnservedRequests.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * Remembers requests that the scheduler gave up, that is rejected or failed, to recognize client retries, whether they
- * are marked as such or not: a retry has the same volume, class, size and, within a tolerance, deadline as the first
- * request.
+ * Remembers requests that the scheduler rejected or failed, to recognize client retries, whether they are marked as
+ * such or not: a retry has the same volume, class, size and, within a tolerance, deadline as the first request.
  */
 public final class UnservedRequests {
     /**
-     * Deadlines of a request and its retry may differ by less than this, in microseconds, as clients recompute them.
+     * Deadlines of a request and its retry may differ by this, in microseconds, as clients recompute them; because of
+     * rounding, some match that differ by almost twice as much.
      */
     private static final long DEADLINE_TOLERANCE_MICROS = 5_000;
     /** Maximum number of table entries; each remembered request takes three. */
--- a/policy/src/main/java/garnetreel/policy/concurrency/ConcurrencyLimiter.java
+++ b/policy/src/main/java/garnetreel/policy/concurrency/ConcurrencyLimiter.java
@@ -43,7 +43,7 @@
     }
 
     /** Adds an attempt to those in flight. */
-    public void started(InFlightAttempt attempt) {
+    public void attemptSent(InFlightAttempt attempt) {
         inFlight.add(attempt);
     }
 
--- a/policy/src/main/java/garnetreel/policy/config/RequestClass.java
+++ b/policy/src/main/java/garnetreel/policy/config/RequestClass.java
@@ -3,7 +3,8 @@
 /**
  * Service objectives and retry rules that a set of requests has in common. The value of a response is the relative
  * weight that the service gives to it. The fair-queue scheduler neither computes values nor reads
- * {@code latencyObjectiveStretch}, {@code lateCredit}, {@code streaming}, {@code priorityWeight} and {@code writes}.
+ * {@code latencyObjectiveStretch}, {@code timeLimit}, {@code lateCredit}, {@code streaming}, {@code priorityWeight} or
+ * {@code writes}.
  *
  * @param name name of the class
  * @param latencyObjective response time up to which a response has its full value
--- a/policy/src/main/java/garnetreel/policy/config/SafetyRules.java
+++ b/policy/src/main/java/garnetreel/policy/config/SafetyRules.java
@@ -3,10 +3,11 @@
 /**
  * Limits that the scheduler must never violate. A value of 0 or less of {@code pollInterval}, {@code retryWindow},
  * {@code overloadWindow} or {@code keyQuietPeriod} disables its rule. The fair-queue scheduler does not read
- * {@code responseGrace} and {@code drainGrace}.
+ * {@code responseGrace} or {@code drainGrace}.
  *
  * @param responseGrace time past the deadline within which a final response still counts as sent in time
- * @param pollInterval maximum time between polls of the endpoint list by a gateway without subscription
+ * @param pollInterval time between polls of the endpoint list by a gateway without subscription, and minimum wait
+ *     before an unanswered subscription call is repeated
  * @param freeRetries number of retries always allowed within the retry window
  * @param retryRatio additional retries allowed per request received within the retry window
  * @param retryWindow sliding window over which received requests and retries are counted
--- a/policy/src/main/java/garnetreel/policy/config/SchedulerSettings.java
+++ b/policy/src/main/java/garnetreel/policy/config/SchedulerSettings.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Settings of a scheduler. The fair-queue scheduler does not read {@code gatewayIndex}, {@code quotaWeight},
- * {@code idleWeight}, {@code meteringPeriod}, {@code hedging}, {@code cancellation}, {@code healthChecks},
- * {@code marksRetries} and {@code connectTimeout}.
+ * Settings of a scheduler. The fair-queue scheduler does not read {@code gatewayIndex}, {@code provisionedWeight},
+ * {@code excessWeight}, {@code meteringPeriod}, {@code hedging}, {@code cancellation}, {@code healthChecks},
+ * {@code marksRetries} or {@code connectTimeout}.
  *
  * @param gatewayIndex index of this gateway
  * @param gateways number of gateways of the service, including this one
--- a/policy/src/main/java/garnetreel/policy/endpoint/Endpoint.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/Endpoint.java
@@ -14,7 +14,7 @@
     private String zone = "";
     private int shard;
     private boolean up;
-    /** Start time of the endpoint's process, listed or inferred; 0 if it has been running for long. */
+    /** Start time of the endpoint's process, listed or inferred; 0 if long ago. */
     private long startedAt;
 
     private long leaseRenewedAt = EndpointListValidity.neverRenewed();
@@ -44,7 +44,7 @@
         return up;
     }
 
-    /** Start time of the endpoint's process; 0 if it has been running for long. */
+    /** Start time of the endpoint's process; 0 if long ago. */
     public long startedAt() {
         return startedAt;
     }
--- a/policy/src/main/java/garnetreel/policy/endpoint/EndpointListSubscription.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/EndpointListSubscription.java
@@ -14,7 +14,7 @@
      * subscriptions simultaneously over the rest.
      */
     private static final long INITIAL_BACKOFF_MICROS = 500_000;
-    /** Maximum mean backoff, in microseconds; see {@link #INITIAL_BACKOFF_MICROS}. */
+    /** Maximum mean backoff, in microseconds: with jitter, a wait of up to 3.9 s, within the rest of the 6 s. */
     private static final long MAX_BACKOFF_MICROS = 2_600_000;
     /** Minimum wait as a fraction of the mean backoff; jitter adds up to one mean backoff. */
     private static final double MIN_BACKOFF_FRACTION = 0.5;
@@ -30,7 +30,7 @@
      */
     private static final long RESPONSE_TIMEOUT_MICROS = 4_000_000;
 
-    private final boolean needed;
+    private final boolean subscriptionNeeded;
     private final long pollInterval;
     private final SplittableRandom random;
     private boolean subscribed;
@@ -39,7 +39,7 @@
 
     /** Creates a subscription that takes its jitter from the scheduler's random number generator. */
     public EndpointListSubscription(SchedulerSettings settings, SplittableRandom random) {
-        needed = settings.subscribe();
+        subscriptionNeeded = settings.subscribe();
         pollInterval = settings.rules().pollInterval();
         this.random = random;
     }
@@ -51,7 +51,7 @@
 
     /** Whether a subscription is needed but not established. */
     public boolean isPending() {
-        return needed && !subscribed;
+        return subscriptionNeeded && !subscribed;
     }
 
     /** Time at which the next call is due, if one is pending. */
--- a/policy/src/main/java/garnetreel/policy/endpoint/EndpointListValidity.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/EndpointListValidity.java
@@ -23,13 +23,13 @@
 public final class EndpointListValidity {
     /**
      * Time after which a gateway is considered notified of a change that discovery has received, while discovery is
-     * reachable, in microseconds. Fixed by the project's requirements.
+     * reachable, in microseconds. Defined by the platform.
      */
     static final long MAX_NOTIFICATION_DELAY_MICROS = 6_000_000;
     /**
      * Time after which a gateway is considered notified of earlier changes once discovery's address has changed, in
-     * microseconds. Fixed, like the delay above, by the project's requirements: a gateway has 4 s after it was given a
-     * new configuration.
+     * microseconds. Defined by the platform, like the delay above: a gateway has 4 s after it was given a new
+     * configuration.
      */
     static final long MAX_DELAY_AFTER_ADDRESS_CHANGE_MICROS = 4_000_000;
     /**
--- a/policy/src/main/java/garnetreel/policy/endpoint/EndpointTable.java
+++ b/policy/src/main/java/garnetreel/policy/endpoint/EndpointTable.java
@@ -7,22 +7,22 @@
 import java.util.TreeMap;
 
 /**
- * Indexes all endpoints by address and by shard, and those with attempts in flight, so that the work per event does not
- * grow with the number of endpoints. The maps are ordered by address or by shard number, as decisions must not depend
- * on hash codes.
+ * Indexes all endpoints by name and by shard, and those with attempts in flight, so that the work per event does not
+ * grow with the number of endpoints. The maps are ordered by name or by shard number, as decisions must not depend on
+ * hash codes.
  */
 public final class EndpointTable {
     private final Map<String, Endpoint> endpoints = new TreeMap<>();
     private final Map<Integer, Map<String, Endpoint>> byShard = new TreeMap<>();
     private final Map<String, Endpoint> withInFlight = new TreeMap<>();
-    private final EndpointListValidity lease;
+    private final EndpointListValidity listValidity;
 
     /**
      * Creates an empty table that selects only endpoints that may be used according to the given validity of the list
      * and the leases.
      */
-    public EndpointTable(EndpointListValidity lease) {
-        this.lease = lease;
+    public EndpointTable(EndpointListValidity listValidity) {
+        this.listValidity = listValidity;
     }
 
     /** Marks all endpoints as down before a complete list is applied; endpoints that it does not contain stay down. */
@@ -48,17 +48,17 @@
         }
     }
 
-    /** All endpoints, by address. */
+    /** All endpoints, by name. */
     public Collection<Endpoint> all() {
         return endpoints.values();
     }
 
-    /** Endpoints with attempts in flight, by address. */
+    /** Endpoints with attempts in flight, by name. */
     public Collection<Endpoint> withAttemptsInFlight() {
         return withInFlight.values();
     }
 
-    /** Whether any endpoint is listed for a shard. */
+    /** Whether any endpoint is known for a shard, up or not. */
     public boolean hasShard(int shard) {
         return byShard.containsKey(shard);
     }
@@ -69,7 +69,7 @@
 
     /** Whether an endpoint may be sent requests: it is listed as up, and the list or its lease is still valid. */
     public boolean maySendTo(Endpoint endpoint, long now) {
-        return endpoint.isUp() && now < lease.sendBefore(endpoint.leaseRenewedAt());
+        return endpoint.isUp() && now < listValidity.sendBefore(endpoint.leaseRenewedAt());
     }
 
     /**
@@ -105,7 +105,7 @@
 
     /** Records that an attempt was sent. */
     public void attemptSent(Endpoint endpoint, InFlightAttempt attempt) {
-        endpoint.limiter().started(attempt);
+        endpoint.limiter().attemptSent(attempt);
         withInFlight.put(endpoint.name(), endpoint);
     }
 
--- a/policy/src/main/java/garnetreel/policy/event/AttemptCompleted.java
+++ b/policy/src/main/java/garnetreel/policy/event/AttemptCompleted.java
@@ -4,7 +4,7 @@
 
 /**
  * An attempt ended. Each {@link garnetreel.policy.action.SendAttempt} is followed by exactly one of these. The
- * fair-queue scheduler does not read {@code usage} and {@code load}.
+ * fair-queue scheduler does not read {@code endpoint}, {@code usage} or {@code load}.
  *
  * @param id the request
  * @param attempt index of the attempt among those of the request
@@ -16,7 +16,7 @@
  * @param unitsFromOtherGateways units that the endpoint served for the volume through other gateways since its last
  *     response to this gateway
  * @param usage 0 if unknown, else the volume's total usage in a completed metering period, in percent of the plan's
- *     provisioned rate, plus 1, so that no usage differs from unknown usage
+ *     provisioned rate, plus 1, so that a usage of 0 can be told from an unknown one
  * @param load metrics of the endpoint's load report by name; empty if it sent none
  */
 public record AttemptCompleted(
--- a/policy/src/main/java/garnetreel/policy/event/DiscoveryObserved.java
+++ b/policy/src/main/java/garnetreel/policy/event/DiscoveryObserved.java
@@ -1,10 +1,10 @@
 package garnetreel.policy.event;
 
 /**
- * Indicates whether discovery is running although no list was received. Discovery ends subscriptions when it goes down;
- * only while it runs does it reject a call at once or leave it without a response.
+ * Whether discovery is running, inferred without a list from it: it ends subscriptions when it goes down, and accepts
+ * connections only while it runs.
  *
  * @param available false if it ended a subscription, or a call on which it had sent the list, true if it rejected a
- *     call or left it without a response
+ *     call at once or did not respond after connecting
  */
 public record DiscoveryObserved(boolean available) implements SchedulerEvent {}
--- a/policy/src/main/java/garnetreel/policy/event/Outcome.java
+++ b/policy/src/main/java/garnetreel/policy/event/Outcome.java
@@ -19,7 +19,7 @@
     RESET,
     /** Cancelled by this gateway. */
     CANCELLED,
-    /** The attempt was never started; nothing was executed. */
+    /** Not executed: never sent completely, or not started by the endpoint according to its response. */
     NOT_STARTED,
     /** A result that this version does not recognize. */
     UNKNOWN;
--- a/policy/src/main/java/garnetreel/policy/event/RequestReceived.java
+++ b/policy/src/main/java/garnetreel/policy/event/RequestReceived.java
@@ -11,7 +11,7 @@
  * @param deadline when the client stops waiting
  * @param volume the volume that it belongs to
  * @param units size of the request
- * @param shard the shard that holds the data; negative for a new object
+ * @param shard the shard that holds the data; negative for new data, which has no shard yet
  * @param gateways number of gateways that receive requests for the volume; 0 if unknown
  * @param retry whether the client marked it as a retry
  * @param write whether it changes data
--- a/policy/src/main/java/garnetreel/policy/health/EndpointHealth.java
+++ b/policy/src/main/java/garnetreel/policy/health/EndpointHealth.java
@@ -10,17 +10,17 @@
      * latency as a multiple of the latency objective.
      */
     private static final double CUT_FACTOR_AT_OBJECTIVE = 0.3;
-    /** Minimum factor of a single cut, so that some responses still indicate the endpoint's state. */
+    /** Minimum factor of a single cut, so that some admitted requests still show the endpoint's state. */
     private static final double MIN_CUT_FACTOR = 0.05;
     /** Minimum admitted fraction after any number of cuts. */
-    private static final double MIN_ADMITTED = 0.01;
+    private static final double MIN_ADMITTED_FRACTION = 0.01;
     /** Time constant of the mean latency, in microseconds: the mean covers roughly the last second. */
     private static final double LATENCY_TIME_CONSTANT_MICROS = 0.8e6;
     /** Latency that a rejected attempt or a failed connection counts as, as a multiple of the latency objective. */
     private static final double FAILURE_LATENCY_MULTIPLE = 3;
     /** A response that takes less than this fraction of the tightest latency objective raises the admitted fraction. */
     private static final double RECOVERY_LATENCY_FRACTION = 0.5;
-    /** Factor by which a response with such a latency raises the admitted fraction. */
+    /** Factor by which a response below {@link #RECOVERY_LATENCY_FRACTION} raises the admitted fraction. */
     private static final double RECOVERY_FACTOR = 1.5;
     /**
      * The admitted fraction also grows by a factor of e in this time, in microseconds: where few requests are admitted,
@@ -65,13 +65,13 @@
      * late response has no effect where the gateway receives many, and is sufficient where it receives only one within
      * the time constant.
      */
-    public void recordLatency(long sentAt, double latencyInObjectives, long now) {
+    public void recordLatency(long sentAt, double objectiveMultiple, long now) {
         double decay = decay(now);
-        double mean = meanIncluding(latencyInObjectives, decay);
-        latencySum = latencySum * decay + latencyInObjectives;
+        double mean = meanIncluding(objectiveMultiple, decay);
+        latencySum = latencySum * decay + objectiveMultiple;
         latencyCount = latencyCount * decay + 1;
         latencyAt = now;
-        cutIfLate(sentAt, latencyInObjectives, mean, now);
+        cutIfLate(sentAt, objectiveMultiple, mean, now);
     }
 
     /** Records a rejected attempt or a failed connection as a late response. */
@@ -80,8 +80,8 @@
     }
 
     /** Cuts the admitted fraction for an attempt in flight that is past its objective, before its outcome is known. */
-    public void observeInFlight(long sentAt, double latencyInObjectives, long now) {
-        cutIfLate(sentAt, latencyInObjectives, meanIncluding(latencyInObjectives, decay(now)), now);
+    public void observeInFlight(long sentAt, double objectiveMultiple, long now) {
+        cutIfLate(sentAt, objectiveMultiple, meanIncluding(objectiveMultiple, decay(now)), now);
     }
 
     private double decay(long now) {
@@ -89,12 +89,12 @@
     }
 
     /** Mean latency including one more response. */
-    private double meanIncluding(double latencyInObjectives, double decay) {
-        return (latencySum * decay + latencyInObjectives) / (latencyCount * decay + 1);
+    private double meanIncluding(double objectiveMultiple, double decay) {
+        return (latencySum * decay + objectiveMultiple) / (latencyCount * decay + 1);
     }
 
-    private void cutIfLate(long sentAt, double latencyInObjectives, double mean, long now) {
-        if (latencyInObjectives > 1 && mean > 1) {
+    private void cutIfLate(long sentAt, double objectiveMultiple, double mean, long now) {
+        if (objectiveMultiple > 1 && mean > 1) {
             cut(sentAt, Math.max(MIN_CUT_FACTOR, CUT_FACTOR_AT_OBJECTIVE / mean), now);
         }
     }
@@ -108,7 +108,7 @@
             fractionBeforeCut = admittedFraction(now);
             cutAt = now;
         }
-        admittedFraction = Math.max(MIN_ADMITTED, Math.min(admittedFraction(now), fractionBeforeCut * factor));
+        admittedFraction = Math.max(MIN_ADMITTED_FRACTION, Math.min(admittedFraction(now), fractionBeforeCut * factor));
     }
 
     /**
@@ -169,6 +169,8 @@
      * first.
      */
     public boolean isConsistent() {
-        return admittedFraction >= MIN_ADMITTED && admittedFraction <= 1 && unreachableSince <= lastConnectFailureAt;
+        return admittedFraction >= MIN_ADMITTED_FRACTION
+                && admittedFraction <= 1
+                && unreachableSince <= lastConnectFailureAt;
     }
 }
--- a/policy/src/main/java/garnetreel/policy/health/LatencyScale.java
+++ b/policy/src/main/java/garnetreel/policy/health/LatencyScale.java
@@ -13,7 +13,7 @@
     private static final double TYPICAL_SIZE_MULTIPLE = 2;
     /**
      * A response is quick if it takes less than the tightest objective divided by this, whatever the size of the
-     * request, as from a process without a queue.
+     * request: a process without a queue responds that fast.
      */
     private static final int QUICK_DIVISOR = 2;
 
--- a/policy/src/main/java/garnetreel/policy/ordering/KeyQueue.java
+++ b/policy/src/main/java/garnetreel/policy/ordering/KeyQueue.java
@@ -21,9 +21,9 @@
         requests.add(request);
     }
 
-    void startQuietPeriod(long time, R request) {
+    void startQuietPeriod(long until, R request) {
         quietPeriodCause = request;
-        quietUntil = time;
+        quietUntil = until;
     }
 
     boolean isIdle(long now) {
--- a/policy/src/main/java/garnetreel/policy/ordering/KeySequencer.java
+++ b/policy/src/main/java/garnetreel/policy/ordering/KeySequencer.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Starts the quiet period of a key, after an attempt ended whose work may still be running; the request itself may
-     * be retried during that period.
+     * Starts the quiet period of a key, after the end of an attempt whose work may still be running; the request itself
+     * may be retried during that period.
      */
     public void startQuietPeriod(KeyQueue<R> queue, R request, long now) {
         queue.startQuietPeriod(now + quietPeriod, request);
--- a/policy/src/main/java/garnetreel/policy/ordering/package-info.java
+++ b/policy/src/main/java/garnetreel/policy/ordering/package-info.java
@@ -1,2 +1,2 @@
-/** Order of the requests of a key. */
+/** Sends requests with the same key one at a time, in the order received. */
 package garnetreel.policy.ordering;
--- a/policy/src/main/java/garnetreel/policy/ratelimit/BudgetBooking.java
+++ b/policy/src/main/java/garnetreel/policy/ratelimit/ChargedBucket.java
@@ -1,10 +1,9 @@
 package garnetreel.policy.ratelimit;
 
 /**
- * Token bucket to which a received request was charged, in descending order of priority. To book a request is to choose
- * that bucket and charge it.
+ * Token bucket to which a received request was charged, which determines its priority; in descending order of priority.
  */
-public enum BudgetBooking {
+public enum ChargedBucket {
     /** Within the volume's reserved rate. */
     RESERVED,
     /** Within the volume's provisioned rate. */
--- a/policy/src/main/java/garnetreel/policy/ratelimit/VolumeBuckets.java
+++ b/policy/src/main/java/garnetreel/policy/ratelimit/VolumeBuckets.java
@@ -35,7 +35,8 @@
         // Share of the volume's usage that is charged to these buckets: all of it if endpoints report the rest.
         double trackedShare = settings.reportsOtherGateways() ? 1 : ownShare;
         double largestRequest = settings.maxUnits();
-        // Both buckets hold the units of one second and one largest request, so that a full bucket covers any request.
+        // Both buckets hold the units of one second and one request of the maximum size, so that a full bucket covers
+        // any request.
         double reservedRate = plan.reservedRate() * trackedShare;
         double provisionedRate = plan.provisionedRate() * trackedShare;
         reserved = new TokenBucket(reservedRate, reservedRate + largestRequest, reservedRate + largestRequest, now);
@@ -56,14 +57,12 @@
                 now);
     }
 
-    /**
-     * Charges a received request to the first bucket that holds at least half of its units, and returns the booking.
-     */
-    public BudgetBooking book(double units, long now) {
+    /** Charges a received request to the first bucket that holds at least half of its units, and returns the bucket. */
+    public ChargedBucket chargeRequest(double units, long now) {
         if (charge(reserved, units, now)) {
-            return BudgetBooking.RESERVED;
+            return ChargedBucket.RESERVED;
         }
-        return charge(provisioned, units, now) ? BudgetBooking.PROVISIONED : BudgetBooking.NONE;
+        return charge(provisioned, units, now) ? ChargedBucket.PROVISIONED : ChargedBucket.NONE;
     }
 
     private static boolean charge(TokenBucket bucket, double units, long now) {
@@ -75,10 +74,10 @@
     }
 
     /** Returns the units of a request that the scheduler gave up to the bucket that they were charged to. */
-    public void cancelBooking(BudgetBooking booking, double units) {
-        if (booking == BudgetBooking.RESERVED) {
+    public void refund(ChargedBucket chargedBucket, double units) {
+        if (chargedBucket == ChargedBucket.RESERVED) {
             reserved.charge(-units);
-        } else if (booking == BudgetBooking.PROVISIONED) {
+        } else if (chargedBucket == ChargedBucket.PROVISIONED) {
             provisioned.charge(-units);
         }
     }
--- a/policy/src/main/java/garnetreel/policy/retry/IdempotencyGuard.java
+++ b/policy/src/main/java/garnetreel/policy/retry/IdempotencyGuard.java
@@ -9,7 +9,10 @@
 /** Tracks which attempts of a request may have been executed, and which further attempts this permits. */
 public final class IdempotencyGuard {
     private final RequestClass requestClass;
-    /** Time before the end of a deduplication window at which the last retry is decided, in microseconds. */
+    /**
+     * Time before the end of a deduplication window at which the last retry is decided, in microseconds: the margin for
+     * late timers that also applies to client deadlines.
+     */
     private final long decisionMargin;
 
     private int possiblyExecuted;
@@ -81,7 +84,7 @@
                 : Long.MAX_VALUE;
     }
 
-    /** End of the deduplication window, less the time that may pass between the decision and the send. */
+    /** End of the deduplication window, less the margins for the decision and for a process pause. */
     private long deduplicatedUntil() {
         return firstPossibleExecutionAt
                 + requestClass.deduplicationWindow()
--- a/policy/src/main/java/garnetreel/policy/retry/RetryPolicy.java
+++ b/policy/src/main/java/garnetreel/policy/retry/RetryPolicy.java
@@ -17,7 +17,7 @@
      * Decides whether and where a request is retried after an outcome.
      *
      * @param attempts number of attempts sent so far
-     * @param latestUsefulStart time at which a retry must start to be useful
+     * @param latestUsefulStart time from which on a retry is no longer useful
      */
     public RetryDecision afterOutcome(
             Outcome outcome, int attempts, long latestUsefulStart, IdempotencyGuard guard, long now) {
--- a/policy/src/main/java/garnetreel/policy/slowstart/ServedRate.java
+++ b/policy/src/main/java/garnetreel/policy/slowstart/ServedRate.java
@@ -4,7 +4,7 @@
 
 /**
  * Long-term mean rate at which the endpoints of one shard served this gateway, in units per second. An outage can only
- * lower it.
+ * lower it, so that slow start never allows more after one.
  */
 public final class ServedRate {
     /**
--- a/policy/src/main/java/garnetreel/policy/slowstart/SlowStart.java
+++ b/policy/src/main/java/garnetreel/policy/slowstart/SlowStart.java
@@ -5,11 +5,11 @@
 import garnetreel.policy.timing.Microseconds;
 
 /**
- * Limits the rate of requests to endpoints that have recently started. The total rate at which a shard serves all
- * gateways is at most the capacity of its endpoint, so if each gateway keeps to a fraction of its own former rate,
- * their total stays within that fraction of the capacity. The allowed fraction is the present capacity of the endpoint
- * times {@code overloadMultiple} of the rules and {@link #OWN_RATE_MULTIPLE}. A gateway without a former rate uses an
- * equal share of a rate that is always safe.
+ * Limits the rate of requests to endpoints that have recently started. The total rate at which a shard with one
+ * endpoint serves all gateways is at most the capacity of that endpoint, so if each gateway keeps to a fraction of its
+ * own former rate, their total stays within that fraction of the capacity. The allowed fraction is the product of the
+ * endpoint's present capacity fraction, {@code rules.overloadMultiple} and {@link #OWN_RATE_MULTIPLE}. A gateway
+ * without a former rate uses an equal share of a rate that is always safe.
  */
 public final class SlowStart {
     /**
@@ -39,7 +39,7 @@
      * Rate at which this gateway may send to an endpoint, in units per second; infinite once the endpoint has warmed
      * up.
      *
-     * @param startedAt start time of the endpoint's process; 0 or less if it has been running for long
+     * @param startedAt start time of the endpoint's process; 0 or negative if long ago
      * @param served former rate at which the endpoints of the shard served this gateway
      * @param now current time
      */
--- a/policy/src/main/java/garnetreel/policy/timing/Retention.java
+++ b/policy/src/main/java/garnetreel/policy/timing/Retention.java
@@ -8,8 +8,8 @@
      */
     private static final long DEFAULT_MICROS = 60_000_000;
     /**
-     * Retention in large tables, in microseconds: limits the table size if clients invent names, although evicted state
-     * is then missed sooner.
+     * Retention in large tables, in microseconds: limits the table size if clients send many different ids; state is
+     * then lost sooner.
      */
     private static final long SHORT_MICROS = 5_000_000;
     /** A table with more entries than this is large. */
--- a/policy/src/test/java/garnetreel/policy/admission/AdmissionControllerTest.java
+++ b/policy/src/test/java/garnetreel/policy/admission/AdmissionControllerTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import garnetreel.policy.TestSettings;
-import garnetreel.policy.ratelimit.BudgetBooking;
+import garnetreel.policy.ratelimit.ChargedBucket;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
@@ -21,35 +21,35 @@
     private final DemandEstimate demand = new DemandEstimate();
 
     /** Returns how many of 1,000 simultaneous requests of one unit are admitted. */
-    private int admitted(BudgetBooking booking, double admittedFraction, double warmUpRate) {
+    private int admitted(ChargedBucket chargedBucket, double admittedFraction, double warmUpRate) {
         int admitted = 0;
         for (int i = 0; i < 1_000; i++) {
-            demand.add(booking, 1, NOW);
-            admitted += controller.admits(booking, 1, demand, admittedFraction, warmUpRate, START, NOW) ? 1 : 0;
+            demand.add(chargedBucket, 1, NOW);
+            admitted += controller.admits(chargedBucket, 1, demand, admittedFraction, warmUpRate, START, NOW) ? 1 : 0;
         }
         return admitted;
     }
 
     @Test
     void admitsAllRequestsToHealthyEndpoint() {
-        for (BudgetBooking booking : BudgetBooking.values()) {
-            assertEquals(1_000, admitted(booking, 1, UNLIMITED));
+        for (ChargedBucket chargedBucket : ChargedBucket.values()) {
+            assertEquals(1_000, admitted(chargedBucket, 1, UNLIMITED));
         }
         assertTrue(demand.isConsistent());
     }
 
     @Test
     void shedsRequestsBeyondQuotaFirstThenQuota() {
-        assertEquals(1_000, admitted(BudgetBooking.RESERVED, 0.5, UNLIMITED));
-        int provisioned = admitted(BudgetBooking.PROVISIONED, 0.5, UNLIMITED);
+        assertEquals(1_000, admitted(ChargedBucket.RESERVED, 0.5, UNLIMITED));
+        int provisioned = admitted(ChargedBucket.PROVISIONED, 0.5, UNLIMITED);
         assertTrue(provisioned > 430 && provisioned < 570, provisioned + " of 1,000 admitted at a probability of 0.5");
-        assertEquals(0, admitted(BudgetBooking.NONE, 0.5, UNLIMITED));
-        assertEquals(0, admitted(BudgetBooking.PROVISIONED, 0.3, UNLIMITED));
+        assertEquals(0, admitted(ChargedBucket.NONE, 0.5, UNLIMITED));
+        assertEquals(0, admitted(ChargedBucket.PROVISIONED, 0.3, UNLIMITED));
     }
 
     @Test
     void shedsReserveLast() {
-        int reserved = admitted(BudgetBooking.RESERVED, 0.1, UNLIMITED);
+        int reserved = admitted(ChargedBucket.RESERVED, 0.1, UNLIMITED);
         assertTrue(reserved > 240 && reserved < 360, reserved + " of 1,000 admitted at a probability of 0.3");
     }
 
@@ -57,16 +57,16 @@
     void limitsAdmissionWithinWindowToWarmUpRate() {
         // 1.3 times 10 per second for 2 s, one request of the maximum size of 8 units, and the request that exceeds the
         // sum.
-        int admitted = admitted(BudgetBooking.RESERVED, 1, 10);
+        int admitted = admitted(ChargedBucket.RESERVED, 1, 10);
         assertTrue(admitted <= 35, admitted + " admitted");
     }
 
     @Test
     void servesHigherPriorityDemandFirst() {
-        demand.add(BudgetBooking.RESERVED, 60, NOW);
-        demand.add(BudgetBooking.PROVISIONED, 60, NOW);
-        assertEquals(1.5, demand.servableFraction(15, BudgetBooking.RESERVED), 1e-9);
-        assertEquals(0.5, demand.servableFraction(15, BudgetBooking.PROVISIONED), 1e-9);
+        demand.add(ChargedBucket.RESERVED, 60, NOW);
+        demand.add(ChargedBucket.PROVISIONED, 60, NOW);
+        assertEquals(1.5, demand.servableFraction(15, ChargedBucket.RESERVED), 1e-9);
+        assertEquals(0.5, demand.servableFraction(15, ChargedBucket.PROVISIONED), 1e-9);
     }
 
     @Test
--- a/policy/src/test/java/garnetreel/policy/concurrency/ConcurrencyLimiterTest.java
+++ b/policy/src/test/java/garnetreel/policy/concurrency/ConcurrencyLimiterTest.java
@@ -23,7 +23,7 @@
     void attemptsInFlightOccupySlots() {
         assertEquals(2, limiter.freeSlots(0));
         SentAttempt attempt = new SentAttempt(0);
-        limiter.started(attempt);
+        limiter.attemptSent(attempt);
         assertEquals(1, limiter.freeSlots(0));
         limiter.ended(attempt);
         assertTrue(limiter.isIdle());
@@ -32,7 +32,7 @@
 
     @Test
     void lateOvertakenAttemptOccupiesNoSlot() {
-        limiter.started(new SentAttempt(0));
+        limiter.attemptSent(new SentAttempt(0));
         limiter.answered(1);
         assertTrue(limiter.isOvertaken(0));
         assertEquals(1, limiter.freeSlots(OBJECTIVE - 1));
@@ -67,12 +67,12 @@
     @Test
     void limitsAttemptsInFlightToEightIncludingLostOnes() {
         for (int i = 0; i < 8; i++) {
-            limiter.started(new SentAttempt(0));
+            limiter.attemptSent(new SentAttempt(0));
         }
         limiter.answered(1);
         assertEquals(0, limiter.freeSlots(OBJECTIVE));
         assertTrue(limiter.isConsistent());
-        limiter.started(new SentAttempt(0));
+        limiter.attemptSent(new SentAttempt(0));
         assertFalse(limiter.isConsistent());
     }
 
--- a/policy/src/test/java/garnetreel/policy/ratelimit/VolumeBucketsTest.java
+++ b/policy/src/test/java/garnetreel/policy/ratelimit/VolumeBucketsTest.java
@@ -8,7 +8,7 @@
 import garnetreel.policy.config.Plan;
 import org.junit.jupiter.api.Test;
 
-/** Tests bookings on the reserved and the provisioned rate, and the rate limit, for a volume at one of two gateways. */
+/** Tests charges to the reserved and the provisioned rate, and the rate limit, for a volume at one of two gateways. */
 class VolumeBucketsTest {
     private static final long SECOND = 1_000_000;
     private static final long START = 100 * SECOND;
@@ -23,32 +23,32 @@
     }
 
     @Test
-    void booksReserveBeforeQuota() {
+    void chargesReservedBeforeProvisionedRate() {
         VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
-        assertEquals(BudgetBooking.RESERVED, buckets.book(13, START));
-        assertEquals(BudgetBooking.PROVISIONED, buckets.book(18, START));
-        assertEquals(BudgetBooking.NONE, buckets.book(1, START));
+        assertEquals(ChargedBucket.RESERVED, buckets.chargeRequest(13, START));
+        assertEquals(ChargedBucket.PROVISIONED, buckets.chargeRequest(18, START));
+        assertEquals(ChargedBucket.NONE, buckets.chargeRequest(1, START));
         assertTrue(buckets.isConsistent());
     }
 
     @Test
-    void booksIfBucketCoversHalfTheRequest() {
-        assertEquals(BudgetBooking.RESERVED, buckets(UNLIMITED_PLAN, START).book(26, START));
-        assertEquals(BudgetBooking.PROVISIONED, buckets(UNLIMITED_PLAN, START).book(27, START));
+    void chargesIfBucketCoversHalfTheRequest() {
+        assertEquals(ChargedBucket.RESERVED, buckets(UNLIMITED_PLAN, START).chargeRequest(26, START));
+        assertEquals(ChargedBucket.PROVISIONED, buckets(UNLIMITED_PLAN, START).chargeRequest(27, START));
     }
 
     @Test
-    void cancelledBookingReturnsUnits() {
+    void refundReturnsUnits() {
         VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
-        buckets.cancelBooking(buckets.book(13, START), 13);
-        assertEquals(BudgetBooking.RESERVED, buckets.book(13, START));
+        buckets.refund(buckets.chargeRequest(13, START), 13);
+        assertEquals(ChargedBucket.RESERVED, buckets.chargeRequest(13, START));
     }
 
     @Test
     void usageThroughOtherGatewaysChargesReserveFirst() {
         VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
         buckets.chargeForOtherGateways(13, START);
-        assertEquals(BudgetBooking.PROVISIONED, buckets.book(18, START));
+        assertEquals(ChargedBucket.PROVISIONED, buckets.chargeRequest(18, START));
     }
 
     @Test
