--- a/cli/src/main/java/garnetreel/cli/testing/ScenarioCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/ScenarioCommand.java
@@ -107,7 +107,7 @@
                         .printf(
                                 "%-32s %s%n",
                                 "days/" + scenario.getFileName(),
-                                ScenarioFile.read(scenario).about());
+                                ScenarioFile.read(scenario).description());
             }
         }
         return ExitCode.OK;
--- a/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
+++ b/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
@@ -72,7 +72,7 @@
     }
 
     /** The description in the file. */
-    public String about() {
+    public String description() {
         return settings.text("/day/about", "");
     }
 
--- a/cli/src/test/java/garnetreel/cli/StoredStateTest.java
+++ b/cli/src/test/java/garnetreel/cli/StoredStateTest.java
@@ -16,7 +16,7 @@
 import garnetreel.core.io.NetAction;
 import garnetreel.map.MapState;
 import garnetreel.mapservice.MapService;
-import garnetreel.net.BackgroundJournalWriter;
+import garnetreel.net.BackgroundStoreWriter;
 import garnetreel.net.EventLoop;
 import garnetreel.policy.event.EndpointUpdate;
 import garnetreel.store.Journal;
@@ -54,7 +54,7 @@
     Path temp;
 
     private final ServiceProcess process = new ServiceProcess();
-    private BackgroundJournalWriter journalWriter;
+    private BackgroundStoreWriter journalWriter;
     private Path file;
 
     @BeforeEach
@@ -178,7 +178,7 @@
         Journal journal = new Journal(directory.resolve("map.journal"));
         Journal.Contents contents = journal.contents();
         MapState state = MapState.recover(settings.initialMaps(), contents.snapshot(), contents.records());
-        journalWriter = new BackgroundJournalWriter(new StateDirectory(directory), journal);
+        journalWriter = new BackgroundStoreWriter(new StateDirectory(directory), journal);
         EventLoop eventLoop = process.run(
                 "mapd",
                 new MapService(settings.mapService(LOOPBACK + 0, nodeList, process.clock.currentMicros()), state),
--- a/cli/src/test/java/garnetreel/cli/config/SettingsTest.java
+++ b/cli/src/test/java/garnetreel/cli/config/SettingsTest.java
@@ -137,7 +137,7 @@
         try (Stream<Path> files = Files.list(Path.of("../days"))) {
             for (Path scenario :
                     files.filter(f -> f.toString().endsWith(".hcl")).toList()) {
-                assertTrue(!ScenarioFile.read(scenario).about().isEmpty(), scenario.toString());
+                assertTrue(!ScenarioFile.read(scenario).description().isEmpty(), scenario.toString());
             }
         }
     }
--- a/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
+++ b/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
@@ -237,7 +237,7 @@
     }
 
     void drain() {
-        gatewayLoops.get(0).submitCommand(new Gateway.Drain());
+        gatewayLoops.get(0).submitCommand(new Gateway.Shutdown());
     }
 
     void awaitStopped() throws Exception {
--- a/core/src/main/java/garnetreel/core/Gateway.java
+++ b/core/src/main/java/garnetreel/core/Gateway.java
@@ -43,7 +43,7 @@
     /**
      * Commands the gateway to accept no new work, finish what it has accepted, and then emit {@link NetAction.Stopped}.
      */
-    public record Drain() implements NetEvent.Command {}
+    public record Shutdown() implements NetEvent.Command {}
 
     private final GatewaySettings settings;
     private final byte[] cachedNodeList;
@@ -160,7 +160,7 @@
             actions.add(new NetAction.Log(Level.WARN, describe(failed)));
         } else if (event instanceof NetEvent.Appended appended) {
             fileCatalogue.appended(appended.sequence());
-        } else if (event instanceof NetEvent.CommandReceived received && received.command() instanceof Drain) {
+        } else if (event instanceof NetEvent.CommandReceived received && received.command() instanceof Shutdown) {
             shutDown(actions);
         } else {
             connectionEvents.dispatch(event);
@@ -185,8 +185,8 @@
         if (servesFiles()) {
             actions.add(new NetAction.StopListening(RSYNC));
         }
-        nbd.drain();
-        rsync.drain();
+        nbd.shutDown();
+        rsync.shutDown();
     }
 
     // ---------------------------------------------------------------- deadlines
--- a/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
+++ b/core/src/main/java/garnetreel/core/connection/MapServiceClient.java
@@ -185,7 +185,7 @@
     }
 
     @Override
-    public void drained(long id, int bytes) {
+    public void written(long id, int bytes) {
         // Needs no flow control: calls are small and sent one at a time.
     }
 
--- a/core/src/main/java/garnetreel/core/connection/NodeConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeConnectionPool.java
@@ -181,7 +181,7 @@
     }
 
     @Override
-    public void drained(long connectionId, int bytes) {
+    public void written(long connectionId, int bytes) {
         // Needs no flow control: the data in flight is bounded by the number of attempts per connection.
     }
 
--- a/core/src/main/java/garnetreel/core/connection/NodeListClient.java
+++ b/core/src/main/java/garnetreel/core/connection/NodeListClient.java
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public void drained(long id, int bytes) {
+    public void written(long id, int bytes) {
         // Needs no flow control: calls are small and few.
     }
 
--- a/core/src/main/java/garnetreel/core/io/ConnectionDispatcher.java
+++ b/core/src/main/java/garnetreel/core/io/ConnectionDispatcher.java
@@ -22,10 +22,10 @@
             if (handler != null) {
                 handler.received(received.connectionId(), received.data());
             }
-        } else if (event instanceof NetEvent.Drained drained) {
+        } else if (event instanceof NetEvent.Written drained) {
             ConnectionHandler handler = ownerOf(drained.connectionId());
             if (handler != null) {
-                handler.drained(drained.connectionId(), drained.bytes());
+                handler.written(drained.connectionId(), drained.bytes());
             }
         } else if (event instanceof NetEvent.Connected connected) {
             ConnectionHandler handler = ownerOf(connected.connectionId());
--- a/core/src/main/java/garnetreel/core/io/ConnectionHandler.java
+++ b/core/src/main/java/garnetreel/core/io/ConnectionHandler.java
@@ -13,8 +13,8 @@
     /** Bytes arrived; the handler owns the buffer. */
     void received(long connectionId, ByteBuffer data);
 
-    /** This number of written bytes has left, see {@link NetEvent.Drained}. */
-    default void drained(long connectionId, int bytes) {}
+    /** This number of written bytes has left, see {@link NetEvent.Written}. */
+    default void written(long connectionId, int bytes) {}
 
     /** The connection has ended or could not be opened; this is its last event. */
     void closed(NetEvent.Closed event);
--- a/core/src/main/java/garnetreel/core/io/NetEvent.java
+++ b/core/src/main/java/garnetreel/core/io/NetEvent.java
@@ -21,7 +21,7 @@
     record Received(long connectionId, ByteBuffer data) implements NetEvent {}
 
     /** This number of bytes was written to the socket, or discarded as the connection was closed. */
-    record Drained(long connectionId, int bytes) implements NetEvent {}
+    record Written(long connectionId, int bytes) implements NetEvent {}
 
     /**
      * A connection has ended or could not be opened; this is its last event. Not reported for connections that the
@@ -32,7 +32,7 @@
      * @param localFailure whether it could not be opened because this host lacks a resource, such as a descriptor, a
      *     port or a route, which says nothing about the peer
      */
-    record Closed(long connectionId, boolean opened, boolean orderly, boolean localFailure, String reason)
+    record Closed(long connectionId, boolean opened, boolean endOfStream, boolean localFailure, String reason)
             implements NetEvent {
         /** The end of a connection that was never established, or that was reset. */
         public Closed(long connectionId, boolean opened, String reason) {
@@ -40,8 +40,8 @@
         }
 
         /** The end of a connection without a local failure. */
-        public Closed(long connectionId, boolean opened, boolean orderly, String reason) {
-            this(connectionId, opened, orderly, false, reason);
+        public Closed(long connectionId, boolean opened, boolean endOfStream, String reason) {
+            this(connectionId, opened, endOfStream, false, reason);
         }
     }
 
--- a/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
+++ b/core/src/main/java/garnetreel/core/platform/DiscoveryClient.java
@@ -172,7 +172,7 @@
     @Override
     public void closed(NetEvent.Closed event) {
         DiscoveryCall call = callOn(event.connectionId());
-        HttpResponse response = event.orderly() ? call.responseCompletedByClose() : null;
+        HttpResponse response = event.endOfStream() ? call.responseCompletedByClose() : null;
         if (response == null) {
             closedWithoutResponse(call);
             return;
--- a/core/src/main/java/garnetreel/core/platform/ClientConnection.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpClientConnection.java
@@ -8,9 +8,9 @@
 
 /**
  * The connection of one client: its state, the buffered input, and the count of requests received over the limit on
- * buffered input. Only {@link ClientConnectionTable} changes the state, because it orders connections by it.
+ * buffered input. Only {@link HttpClientConnectionTable} changes the state, because it orders connections by it.
  */
-final class ClientConnection {
+final class HttpClientConnection {
     /** The states, in the order in which their time limits are checked. */
     enum State {
         /** Accepted; nothing has been received yet. */
@@ -55,7 +55,7 @@
     private int requestsToReject;
     private String malformedInputReason;
 
-    ClientConnection(long id) {
+    HttpClientConnection(long id) {
         this.id = id;
     }
 
--- a/core/src/main/java/garnetreel/core/platform/ClientConnectionTable.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpClientConnectionTable.java
@@ -1,6 +1,6 @@
 package garnetreel.core.platform;
 
-import garnetreel.core.platform.ClientConnection.State;
+import garnetreel.core.platform.HttpClientConnection.State;
 import java.util.Comparator;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 
 /** Client connections by id and by state. Defines the time limit of each state and selects the connection to evict. */
-final class ClientConnectionTable {
+final class HttpClientConnectionTable {
     /**
      * Time limit for receiving a complete request, in microseconds. The platform requires an incomplete request to be
      * ended within 3 s.
@@ -37,18 +37,18 @@
     private static final State[] STATES = State.values();
 
     private final int maxConnections;
-    private final Map<Long, ClientConnection> byId = new HashMap<>();
+    private final Map<Long, HttpClientConnection> byId = new HashMap<>();
     /** By state, ordered by the time from which the time limit counts. */
-    private final Map<State, TreeSet<ClientConnection>> byState = new EnumMap<>(State.class);
+    private final Map<State, TreeSet<HttpClientConnection>> byState = new EnumMap<>(State.class);
 
     private boolean draining;
 
-    ClientConnectionTable(int maxConnections) {
+    HttpClientConnectionTable(int maxConnections) {
         this.maxConnections = maxConnections;
         for (State state : STATES) {
             byState.put(
                     state,
-                    new TreeSet<>(Comparator.<ClientConnection>comparingLong(ClientConnection::stateSince)
+                    new TreeSet<>(Comparator.<HttpClientConnection>comparingLong(HttpClientConnection::stateSince)
                             .thenComparingLong(c -> c.id)));
         }
     }
@@ -66,35 +66,35 @@
     }
 
     /** The connection with an id; null if there is none. */
-    ClientConnection get(long id) {
+    HttpClientConnection get(long id) {
         return byId.get(id);
     }
 
-    void add(ClientConnection connection, long now) {
+    void add(HttpClientConnection connection, long now) {
         byId.put(connection.id, connection);
         move(connection, State.AWAITING_REQUEST, now);
     }
 
-    void remove(ClientConnection connection) {
+    void remove(HttpClientConnection connection) {
         byId.remove(connection.id);
         byState.get(connection.state()).remove(connection);
     }
 
     /** Changes a connection's state; the time limit of the new state counts from {@code since}. */
-    void move(ClientConnection connection, State to, long since) {
+    void move(HttpClientConnection connection, State to, long since) {
         byState.get(connection.state()).remove(connection);
         connection.setState(to, since);
         byState.get(to).add(connection);
     }
 
     /** The connection that has been in a state for longest; null if there is none. */
-    ClientConnection oldest(State state) {
-        TreeSet<ClientConnection> connections = byState.get(state);
+    HttpClientConnection oldest(State state) {
+        TreeSet<HttpClientConnection> connections = byState.get(state);
         return connections.isEmpty() ? null : connections.first();
     }
 
     /** A copy of all connections in a state, oldest first. */
-    List<ClientConnection> allIn(State state) {
+    List<HttpClientConnection> allIn(State state) {
         return List.copyOf(byState.get(state));
     }
 
@@ -109,12 +109,12 @@
      * one, else one with a partial request. Null if only connections with pending responses are left, or if none is
      * idle and a new connection can be evicted after its grace time.
      */
-    ClientConnection evictionCandidate(long now) {
-        ClientConnection awaiting = oldest(State.AWAITING_REQUEST);
+    HttpClientConnection evictionCandidate(long now) {
+        HttpClientConnection awaiting = oldest(State.AWAITING_REQUEST);
         if (awaiting != null && now - awaiting.stateSince() >= EVICTION_GRACE_MICROS) {
             return awaiting;
         }
-        ClientConnection idle = oldest(State.IDLE);
+        HttpClientConnection idle = oldest(State.IDLE);
         if (idle != null) {
             return idle;
         }
@@ -134,8 +134,8 @@
     }
 
     /** The oldest connection in a state if it has exceeded the time limit of the state, else null. */
-    ClientConnection oldestExpired(State state, long now) {
-        ClientConnection oldest = oldest(state);
+    HttpClientConnection oldestExpired(State state, long now) {
+        HttpClientConnection oldest = oldest(state);
         return oldest != null && now - oldest.stateSince() >= timeLimit(state) ? oldest : null;
     }
 
@@ -151,10 +151,10 @@
 
     /** When the next eviction or time limit is due. */
     long nextDeadline() {
-        ClientConnection awaiting = oldest(State.AWAITING_REQUEST);
+        HttpClientConnection awaiting = oldest(State.AWAITING_REQUEST);
         long next = overLimit() && awaiting != null ? awaiting.stateSince() + EVICTION_GRACE_MICROS : Long.MAX_VALUE;
         for (State state : STATES) {
-            ClientConnection oldest = oldest(state);
+            HttpClientConnection oldest = oldest(state);
             if (oldest != null) {
                 next = Math.min(next, oldest.stateSince() + timeLimit(state));
             }
--- a/core/src/main/java/garnetreel/core/platform/ClientConnections.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpClientConnections.java
@@ -6,9 +6,9 @@
 import garnetreel.core.io.ConnectionHandler;
 import garnetreel.core.io.NetAction;
 import garnetreel.core.io.NetEvent;
-import garnetreel.core.platform.ClientConnection.State;
 import garnetreel.core.platform.GatewayCounters.Event;
 import garnetreel.core.platform.GatewayCounters.Invariant;
+import garnetreel.core.platform.HttpClientConnection.State;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
  * no further request is parsed, because a close by the client would otherwise go unnoticed. Malformed input is answered
  * with an error, after which the connection is closed.
  */
-final class ClientConnections implements ConnectionHandler {
+final class HttpClientConnections implements ConnectionHandler {
     /** Limit on the buffered input of one connection: hundreds of small pipelined requests, or a few of the largest. */
     private static final int MAX_PENDING_INPUT_BYTES = 256 << 10;
 
@@ -47,7 +47,7 @@
     private final ResourceLimits limits;
     private final GatewayCounters counters;
     private final Listener listener;
-    private final ClientConnectionTable connections;
+    private final HttpClientConnectionTable connections;
     private List<NetAction> actions = new ArrayList<>();
     private long now;
     /** The time at which the input of this turn counts as received; after a process pause, earlier than now. */
@@ -57,11 +57,11 @@
 
     private int pendingInputBytes;
 
-    ClientConnections(ResourceLimits limits, GatewayCounters counters, Listener listener) {
+    HttpClientConnections(ResourceLimits limits, GatewayCounters counters, Listener listener) {
         this.limits = limits;
         this.counters = counters;
         this.listener = listener;
-        this.connections = new ClientConnectionTable(limits.maxClients());
+        this.connections = new HttpClientConnectionTable(limits.maxClients());
     }
 
     /**
@@ -96,12 +96,12 @@
 
     /** Adds a connection; the limit on connections is applied once all input of this turn has been read. */
     void accepted(long connectionId) {
-        connections.add(new ClientConnection(connectionId), now);
+        connections.add(new HttpClientConnection(connectionId), now);
     }
 
     @Override
     public void closed(NetEvent.Closed event) {
-        ClientConnection connection = connections.get(event.connectionId());
+        HttpClientConnection connection = connections.get(event.connectionId());
         remove(connection);
         if (connection.state() == State.PROCESSING) {
             listener.clientDisconnected(connection.id);
@@ -113,7 +113,7 @@
      * before a pending response: to the request in progress, or to one that was only counted. A close is no violation
      * if the client does not read its responses.
      */
-    private void close(ClientConnection connection, boolean abort, Event reason) {
+    private void close(HttpClientConnection connection, boolean abort, Event reason) {
         counters.count(reason);
         boolean responsePending = connection.state() == State.PROCESSING || connection.hasRequestsToReject();
         if (responsePending && reason != Event.CLOSED_RESPONSE_UNREAD) {
@@ -123,14 +123,14 @@
         remove(connection);
     }
 
-    private void remove(ClientConnection connection) {
+    private void remove(HttpClientConnection connection) {
         unsentBytes -= connection.unsentBytes;
         connection.unsentBytes = 0;
         discardInput(connection);
         connections.remove(connection);
     }
 
-    private void discardInput(ClientConnection connection) {
+    private void discardInput(HttpClientConnection connection) {
         pendingInputBytes -= connection.pendingInputBytes();
         connection.discardInput();
     }
@@ -139,7 +139,7 @@
 
     @Override
     public void received(long connectionId, ByteBuffer data) {
-        ClientConnection connection = connections.get(connectionId);
+        HttpClientConnection connection = connections.get(connectionId);
         if (connection.closeAfterResponse) {
             return; // no further request on this connection is answered
         }
@@ -157,7 +157,7 @@
     }
 
     /** Parses requests from the buffered input until one is in progress. */
-    private void readRequests(ClientConnection connection) {
+    private void readRequests(HttpClientConnection connection) {
         try {
             while (connection.acceptsNextRequest()
                     && connection.hasPendingInput()
@@ -169,7 +169,7 @@
         }
     }
 
-    private void readNextRequest(ClientConnection connection) throws ProtocolException {
+    private void readNextRequest(HttpClientConnection connection) throws ProtocolException {
         long inputReceivedAt = connection.nextInputReceivedAt();
         int bytesBefore = connection.pendingInputBytes();
         HttpRequest request = connection.parseNext();
@@ -188,7 +188,7 @@
     }
 
     /** Rejects the next counted request, or malformed input after them; false if nothing remains to be rejected. */
-    private boolean rejectNextCounted(ClientConnection connection) {
+    private boolean rejectNextCounted(HttpClientConnection connection) {
         if (connection.hasRequestsToReject()) {
             connection.decrementRequestsToReject();
             connections.move(connection, State.PROCESSING, now);
@@ -203,7 +203,7 @@
         return false;
     }
 
-    private void answerMalformed(ClientConnection connection, String reason) {
+    private void answerMalformed(HttpClientConnection connection, String reason) {
         connection.closeAfterResponse = true;
         write(connection, HttpWriter.response(HttpResponses.BAD_REQUEST), reason.getBytes(StandardCharsets.UTF_8));
     }
@@ -212,7 +212,7 @@
 
     /** Answers the request in progress on a connection; does nothing if the connection has been closed. */
     void respond(long connectionId, HttpWriter response, byte[] body) {
-        ClientConnection connection = connections.get(connectionId);
+        HttpClientConnection connection = connections.get(connectionId);
         if (connection == null) {
             return;
         }
@@ -223,7 +223,7 @@
         }
     }
 
-    private void write(ClientConnection connection, HttpWriter response, byte[] body) {
+    private void write(HttpClientConnection connection, HttpWriter response, byte[] body) {
         // While draining, the connection is closed after this response unless further requests were received, whose
         // responses the client waits for.
         boolean lastResponse = connection.closeAfterResponse
@@ -250,7 +250,7 @@
      */
     private void limitUnsentBytes() {
         for (State state : WRITING_STATES) {
-            ClientConnection oldest = connections.oldest(state);
+            HttpClientConnection oldest = connections.oldest(state);
             while (unsentBytes > limits.maxBufferedBytes() && oldest != null) {
                 close(oldest, true, Event.CLOSED_RESPONSE_UNREAD);
                 oldest = connections.oldest(state);
@@ -259,8 +259,8 @@
     }
 
     @Override
-    public void drained(long connectionId, int bytes) {
-        ClientConnection connection = connections.get(connectionId);
+    public void written(long connectionId, int bytes) {
+        HttpClientConnection connection = connections.get(connectionId);
         connection.unsentBytes -= bytes;
         unsentBytes -= bytes;
         if (connection.unsentBytes > 0) {
@@ -273,7 +273,7 @@
         }
     }
 
-    private void responseWritten(ClientConnection connection) {
+    private void responseWritten(HttpClientConnection connection) {
         connections.move(connection, State.IDLE, now);
         if (connection.overInputLimit() && rejectNextCounted(connection)) {
             return;
@@ -296,12 +296,12 @@
      */
     void startDraining() {
         connections.startDraining();
-        ClientConnection idle = connections.oldest(State.IDLE);
+        HttpClientConnection idle = connections.oldest(State.IDLE);
         while (idle != null) {
             close(idle, false, Event.CLOSED_AT_SHUTDOWN);
             idle = connections.oldest(State.IDLE);
         }
-        for (ClientConnection connection : connections.allIn(State.READING_REQUEST)) {
+        for (HttpClientConnection connection : connections.allIn(State.READING_REQUEST)) {
             connections.move(connection, State.READING_REQUEST, now);
         }
     }
@@ -315,7 +315,7 @@
     void expire() {
         evictOverLimit();
         for (State state : STATES) {
-            ClientConnection expired = connections.oldestExpired(state, now);
+            HttpClientConnection expired = connections.oldestExpired(state, now);
             while (expired != null) {
                 handleTimeout(expired);
                 expired = connections.oldestExpired(state, now);
@@ -326,7 +326,7 @@
     /** Closes connections without a pending response until their number is within the limit or none of them is left. */
     private void evictOverLimit() {
         while (connections.overLimit()) {
-            ClientConnection candidate = connections.evictionCandidate(now);
+            HttpClientConnection candidate = connections.evictionCandidate(now);
             if (candidate == null) {
                 return;
             }
@@ -334,7 +334,7 @@
         }
     }
 
-    private void handleTimeout(ClientConnection connection) {
+    private void handleTimeout(HttpClientConnection connection) {
         State state = connection.state();
         if (state == State.WRITING_RESPONSE || state == State.CLOSING) {
             close(connection, true, Event.CLOSED_RESPONSE_UNREAD);
--- a/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
+++ b/core/src/main/java/garnetreel/core/platform/HttpRequestRegistry.java
@@ -63,7 +63,7 @@
     private final long maxRetryAfter;
     private final ResourceLimits limits;
     private final UpstreamConnectionPool upstreams;
-    private final ClientConnections clients;
+    private final HttpClientConnections clients;
     private final Consumer<SchedulerEvent> schedulerEvents;
     private final GatewayCounters counters;
     private final RequestDecoder decoder;
@@ -81,7 +81,7 @@
             PlatformSettings settings,
             ResourceLimits limits,
             UpstreamConnectionPool upstreams,
-            ClientConnections clients,
+            HttpClientConnections clients,
             GatewayCounters counters,
             Consumer<SchedulerEvent> schedulerEvents) {
         this.maxRetryAfter = settings.scheduling().maxRetryAfter();
--- a/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
+++ b/core/src/main/java/garnetreel/core/platform/PlatformGateway.java
@@ -54,7 +54,7 @@
     private final SchedulerDriver scheduler;
     private final ProcessPauseDetector pauseDetector = new ProcessPauseDetector();
     private final GatewayCounters counters = new GatewayCounters();
-    private final ClientConnections clients;
+    private final HttpClientConnections clients;
     private final UpstreamConnectionPool upstreams;
     private final DiscoveryClient discovery;
     private final HttpRequestRegistry requests;
@@ -77,7 +77,7 @@
         this.scheduler = new SchedulerDriver(scheduler, this);
         this.limits = ResourceLimits.of(settings.limits());
         ConnectionIdAllocator connectionIds = new ConnectionIdAllocator();
-        clients = new ClientConnections(limits, counters, new ClientListener());
+        clients = new HttpClientConnections(limits, counters, new ClientListener());
         upstreams = new UpstreamConnectionPool(settings, limits, connectionIds, counters, new UpstreamListener());
         discovery = new DiscoveryClient(settings, connectionIds, upstreams, event -> schedulerEvents.add(event));
         requests = new HttpRequestRegistry(
@@ -85,7 +85,7 @@
         connectionDispatcher = new ConnectionDispatcher(clients, upstreams, discovery);
     }
 
-    private final class ClientListener implements ClientConnections.Listener {
+    private final class ClientListener implements HttpClientConnections.Listener {
         @Override
         public void requestReceived(long connectionId, HttpRequest request, long receivedAt) {
             PlatformGateway.this.requestReceived(connectionId, request, receivedAt);
--- a/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
+++ b/core/src/main/java/garnetreel/core/platform/UpstreamConnectionPool.java
@@ -212,7 +212,7 @@
     }
 
     @Override
-    public void drained(long id, int bytes) {
+    public void written(long id, int bytes) {
         connections.get(id).bytesWritten(bytes);
     }
 
@@ -221,7 +221,7 @@
         if (event.localFailure()) {
             connectFailedLocally(event.connectionId());
         } else {
-            closed(event.connectionId(), event.orderly());
+            closed(event.connectionId(), event.endOfStream());
         }
     }
 
--- a/core/src/main/java/garnetreel/core/server/NbdSession.java
+++ b/core/src/main/java/garnetreel/core/server/NbdSession.java
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void drained(int bytes) {
+    public void written(int bytes) {
         outbound -= bytes;
         byteBudget.release(bytes);
         processReceived();
--- a/core/src/main/java/garnetreel/core/server/OptionHandler.java
+++ b/core/src/main/java/garnetreel/core/server/OptionHandler.java
@@ -48,7 +48,7 @@
         } else if (code == Nbd.OPT_ABORT) {
             acknowledge(code);
             session.end(false);
-        } else if (session.rejected || server.draining()) {
+        } else if (session.rejected || server.shuttingDown()) {
             reject(code);
         } else {
             try {
--- a/core/src/main/java/garnetreel/core/server/ProtocolServer.java
+++ b/core/src/main/java/garnetreel/core/server/ProtocolServer.java
@@ -50,7 +50,7 @@
         public abstract void received(ByteBuffer data);
 
         /** Called when this many written bytes have been sent. */
-        public abstract void drained(int bytes);
+        public abstract void written(int bytes);
 
         /** Called when the connection has ended; discards all requests and pending replies. */
         public abstract void disconnected();
@@ -107,7 +107,7 @@
     }
 
     /** Whether the gateway is shutting down. */
-    public final boolean draining() {
+    public final boolean shuttingDown() {
         return draining;
     }
 
@@ -157,8 +157,8 @@
     }
 
     @Override
-    public final void drained(long connectionId, int bytes) {
-        sessions.get(connectionId).drained(bytes);
+    public final void written(long connectionId, int bytes) {
+        sessions.get(connectionId).written(bytes);
     }
 
     @Override
@@ -182,7 +182,7 @@
     }
 
     /** Begins the shutdown: rejects new connections and requests, and closes each connection after its last reply. */
-    public final void drain() {
+    public final void shutDown() {
         draining = true;
         sessions().forEach(Session::closeGracefully);
     }
--- a/core/src/test/java/garnetreel/core/platform/EventInterleavingTest.java
+++ b/core/src/test/java/garnetreel/core/platform/EventInterleavingTest.java
@@ -111,7 +111,7 @@
                 case RESPONSE_READ -> {
                     harness.stalledPeers.remove(CLIENT);
                     int bytes = harness.writtenTo(CLIENT).length();
-                    yield bytes == 0 ? List.of() : List.of(new NetEvent.Drained(CLIENT, bytes));
+                    yield bytes == 0 ? List.of() : List.of(new NetEvent.Written(CLIENT, bytes));
                 }
                 case TIMEOUT -> List.of();
             };
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayHarness.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayHarness.java
@@ -157,7 +157,7 @@
         for (NetAction action : actions) {
             apply(action);
         }
-        if (pendingEvents.stream().anyMatch(e -> e instanceof NetEvent.Drained)) {
+        if (pendingEvents.stream().anyMatch(e -> e instanceof NetEvent.Written)) {
             runTurn();
         }
         return this;
@@ -169,7 +169,7 @@
             written.computeIfAbsent(write.connectionId(), id -> new StringBuilder())
                     .append(StandardCharsets.ISO_8859_1.decode(write.data()));
             if (!stalledPeers.contains(write.connectionId())) {
-                pendingEvents.add(new NetEvent.Drained(write.connectionId(), size));
+                pendingEvents.add(new NetEvent.Written(write.connectionId(), size));
             }
         } else if (action instanceof NetAction.Connect connect) {
             dialedAddresses.add(connect.address());
@@ -178,7 +178,7 @@
             closed.add(close.connectionId());
             if (close.abort()) {
                 pendingEvents.removeIf(
-                        e -> e instanceof NetEvent.Drained d && d.connectionId() == close.connectionId());
+                        e -> e instanceof NetEvent.Written d && d.connectionId() == close.connectionId());
             }
         } else if (action instanceof NetAction.Listen || action instanceof NetAction.StopListening) {
             listening = action instanceof NetAction.Listen;
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayUpstreamTest.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayUpstreamTest.java
@@ -54,7 +54,7 @@
         partlyWritten.stalledPeers.add(partlyWritten.lastOpenedConnection);
         partlyWritten.deliver(new NetEvent.Connected(partlyWritten.lastOpenedConnection));
         partlyWritten.deliver(
-                new NetEvent.Drained(partlyWritten.lastOpenedConnection, 20),
+                new NetEvent.Written(partlyWritten.lastOpenedConnection, 20),
                 new NetEvent.Closed(partlyWritten.lastOpenedConnection, true, "reset"));
         assertEquals(Outcome.CONNECT_FAILED, partlyWritten.onlyOutcome());
         PlatformGatewayHarness fullyWritten = withAttemptInFlight("");
--- a/map/src/main/java/garnetreel/map/Rebalancer.java
+++ b/map/src/main/java/garnetreel/map/Rebalancer.java
@@ -38,7 +38,7 @@
             double minImbalance,
             long restPeriod,
             double maxUtilization,
-            long reservedBytes) {}
+            long minFreeBytes) {}
 
     /**
      * A shard and the state of its node.
@@ -268,7 +268,7 @@
 
         private boolean hasFreeSpace(Shard shard, Extent extent) {
             long free = shard.freeBytes() - plannedBytes.getOrDefault(shard.shard(), 0L);
-            return free - extent.bytes() >= limits.reservedBytes();
+            return free - extent.bytes() >= limits.minFreeBytes();
         }
     }
 }
--- a/mapservice/src/main/java/garnetreel/mapservice/ClientConnections.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MapClientConnections.java
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 
 /** The connections of gateways, which subscribe to the map, and of operators, who send commands. */
-final class ClientConnections {
+final class MapClientConnections {
     private static final long KEEP_ALIVE_INTERVAL = 1_000_000;
     /** Retry delay sent to a gateway above the subscription rate; the gateway multiplies it by a random factor. */
     private static final long RETRY_AFTER = 500_000;
@@ -45,11 +45,11 @@
     private final MapState state;
     private final RollbackDetector rollbacks;
     private final CommandHandler commandHandler;
-    private final TokenBucket subscribeBudget;
+    private final RateLimiter subscribeBudget;
     private final Map<Long, ClientConnection> clients = new TreeMap<>();
     private long nextKeepAlive;
 
-    ClientConnections(
+    MapClientConnections(
             TurnContext turn,
             MapState state,
             RollbackDetector rollbacks,
@@ -59,7 +59,7 @@
         this.state = state;
         this.rollbacks = rollbacks;
         this.commandHandler = commandHandler;
-        this.subscribeBudget = new TokenBucket(subscribesPerSecond, subscribesPerSecond);
+        this.subscribeBudget = new RateLimiter(subscribesPerSecond, subscribesPerSecond);
     }
 
     void start() {
--- a/mapservice/src/main/java/garnetreel/mapservice/MapService.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MapService.java
@@ -49,7 +49,7 @@
     private final NodeCommandClient nodes;
     private final RollbackDetector rollbacks;
     private final TransactionLog log;
-    private final ClientConnections clients;
+    private final MapClientConnections clients;
     private final MigrationCoordinator migrations;
     private final RebalanceCoordinator rebalancing;
     private final AdoptionCoordinator adoption;
@@ -79,7 +79,8 @@
         nodeList = new NodeListClient(settings.nodeListClient(), connectionIds, this::nodeListUpdated);
         rollbacks = new RollbackDetector(turn, state);
         log = new TransactionLog(turn, state, settings.snapshotInterval(), this::applied);
-        clients = new ClientConnections(turn, state, rollbacks, settings.subscribesPerSecond(), this::operatorCommand);
+        clients =
+                new MapClientConnections(turn, state, rollbacks, settings.subscribesPerSecond(), this::operatorCommand);
         migrations = new MigrationCoordinator(
                 turn, state, nodes, log, rollbacks, settings.copyBytesPerSecond(), this::extentSwitched);
         rebalancing = new RebalanceCoordinator(
--- a/mapservice/src/main/java/garnetreel/mapservice/MigrationCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/MigrationCoordinator.java
@@ -46,7 +46,7 @@
     private final TransactionLog log;
     private final RollbackDetector rollbacks;
     private final Consumer<Migration> switchListener;
-    private final TokenBucket copyBudget;
+    private final RateLimiter copyBudget;
     private final Map<Long, ActiveMigration> inProgress = new TreeMap<>();
     private long copiedBytes;
 
@@ -65,7 +65,7 @@
         this.log = log;
         this.rollbacks = rollbacks;
         this.switchListener = switchListener;
-        this.copyBudget = new TokenBucket(copyBytesPerSecond, 2 * MigrationStateMachine.BATCH_BYTES);
+        this.copyBudget = new RateLimiter(copyBytesPerSecond, 2 * MigrationStateMachine.BATCH_BYTES);
     }
 
     void start() {
--- a/mapservice/src/main/java/garnetreel/mapservice/OperatorCommands.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/OperatorCommands.java
@@ -26,7 +26,7 @@
     private final TurnContext turn;
     private final MapState state;
     private final TransactionLog log;
-    private final ClientConnections clients;
+    private final MapClientConnections clients;
     private final NodeCommandClient nodes;
     private final RollbackDetector rollbacks;
     private final MigrationCoordinator migrations;
@@ -36,7 +36,7 @@
             TurnContext turn,
             MapState state,
             TransactionLog log,
-            ClientConnections clients,
+            MapClientConnections clients,
             NodeCommandClient nodes,
             RollbackDetector rollbacks,
             MigrationCoordinator migrations,
--- a/mapservice/src/main/java/garnetreel/mapservice/OperatorReports.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/OperatorReports.java
@@ -42,7 +42,7 @@
     }
 
     static ObjectNode status(
-            MapState state, ClientConnections clients, MigrationCoordinator migrations, boolean rolledBack) {
+            MapState state, MapClientConnections clients, MigrationCoordinator migrations, boolean rolledBack) {
         ObjectNode json = JSON.objectNode()
                 .put("epoch", state.epoch())
                 .put("version", state.version())
--- a/mapservice/src/main/java/garnetreel/mapservice/TokenBucket.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/RateLimiter.java
@@ -1,13 +1,13 @@
 package garnetreel.mapservice;
 
 /** A token bucket that may be overdrawn; it is refilled at a constant rate up to its capacity. */
-final class TokenBucket {
+final class RateLimiter {
     private final double perSecond;
     private final double capacity;
     private double available;
     private long refilledAt;
 
-    TokenBucket(double perSecond, double capacity) {
+    RateLimiter(double perSecond, double capacity) {
         this.perSecond = perSecond;
         this.capacity = capacity;
     }
--- a/mapservice/src/test/java/garnetreel/mapservice/ClientConnectionsTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/MapClientConnectionsTest.java
@@ -20,19 +20,19 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-class ClientConnectionsTest {
+class MapClientConnectionsTest {
     private static final long SECOND = 1_000_000;
 
     private final ServiceFixture fixture = new ServiceFixture();
     private final List<String> commands = new ArrayList<>();
     private final List<Consumer<Result>> answers = new ArrayList<>();
-    private final ClientConnections clients =
-            new ClientConnections(fixture.turn, fixture.state, fixture.rollbacks, 2, (command, answer) -> {
+    private final MapClientConnections clients =
+            new MapClientConnections(fixture.turn, fixture.state, fixture.rollbacks, 2, (command, answer) -> {
                 commands.add(command.text());
                 answers.add(answer);
             });
 
-    ClientConnectionsTest() {
+    MapClientConnectionsTest() {
         clients.start();
         advanceTo(SECOND);
     }
--- a/mapservice/src/test/java/garnetreel/mapservice/OperatorCommandsTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/OperatorCommandsTest.java
@@ -17,8 +17,8 @@
     private final List<Result> answers = new ArrayList<>();
     private final TransactionLog log =
             new TransactionLog(fixture.turn, fixture.state, 1_000, (transaction, epochBefore) -> {});
-    private final ClientConnections clients =
-            new ClientConnections(fixture.turn, fixture.state, fixture.rollbacks, 2, (command, answer) -> {});
+    private final MapClientConnections clients =
+            new MapClientConnections(fixture.turn, fixture.state, fixture.rollbacks, 2, (command, answer) -> {});
     private final MigrationCoordinator migrations = new MigrationCoordinator(
             fixture.turn, fixture.state, fixture.nodes, log, fixture.rollbacks, 1_000, migration -> {});
     private final AdoptionCoordinator adoption =
--- a/net/src/main/java/garnetreel/net/BackgroundJournalWriter.java
+++ b/net/src/main/java/garnetreel/net/BackgroundStoreWriter.java
@@ -15,8 +15,8 @@
  * that fails is logged and retried until it succeeds, journal records in order: a disk may fail temporarily, and
  * accepted records must become durable. At shutdown the number of retries is limited.
  */
-public final class BackgroundJournalWriter implements EventLoop.DurableStore, AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(BackgroundJournalWriter.class);
+public final class BackgroundStoreWriter implements EventLoop.DurableStore, AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(BackgroundStoreWriter.class);
     /** Delay before a failed write is retried. */
     private static final long RETRY_MILLIS = 200;
     /** Maximum number of retries after {@link #close} was called. */
@@ -45,7 +45,7 @@
      * @param directory for states
      * @param journal for records and snapshots; closed with the writer, null if no records are written
      */
-    public BackgroundJournalWriter(StateDirectory directory, Journal journal) {
+    public BackgroundStoreWriter(StateDirectory directory, Journal journal) {
         this.directory = directory;
         this.journal = journal;
         thread = new Thread(this::run, "journal-writer");
--- a/net/src/main/java/garnetreel/net/ConnectionTable.java
+++ b/net/src/main/java/garnetreel/net/ConnectionTable.java
@@ -96,7 +96,7 @@
             int drained = connection.flush();
             if (drained > 0) {
                 // Urgent only if the state machine has paused reading: it may wait for this event to resume.
-                events.add(new NetEvent.Drained(connection.id, drained), !readPaused.isEmpty());
+                events.add(new NetEvent.Written(connection.id, drained), !readPaused.isEmpty());
             }
         }
         unflushed.clear();
--- a/net/src/main/java/garnetreel/net/SocketConnection.java
+++ b/net/src/main/java/garnetreel/net/SocketConnection.java
@@ -71,7 +71,7 @@
     private boolean readInterest = true;
     private boolean awaitingWritable;
     private boolean peerEnded;
-    /** Bytes written to the socket for which no {@link NetEvent.Drained} was queued yet. */
+    /** Bytes written to the socket for which no {@link NetEvent.Written} was queued yet. */
     private int drainedBytes;
 
     private int discardedBytes;
@@ -196,7 +196,7 @@
             bytes = takeDrainedBytes();
         }
         if (bytes > 0) {
-            events.add(new NetEvent.Drained(id, bytes));
+            events.add(new NetEvent.Written(id, bytes));
         }
     }
 
@@ -287,7 +287,7 @@
             IoUtils.safeClose(stream);
             if (unreported > 0) {
                 // Unsent bytes count as drained: the state machine's count of undrained bytes must return to zero.
-                events.add(new NetEvent.Drained(id, unreported));
+                events.add(new NetEvent.Written(id, unreported));
             }
         }
         closeListener.closed(this);
