--- a/benchadapter/src/main/java/garnetreel/benchadapter/BenchAdapter.java
+++ b/benchadapter/src/main/java/garnetreel/benchadapter/BenchAdapter.java
@@ -5,11 +5,14 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** Command line entry point: {@code simhost} serves the simulator's protocol on standard input and output. */
+/** Command line entry point: {@code simhost} exchanges messages with a simulator on standard input and output. */
 public final class BenchAdapter {
     private BenchAdapter() {}
 
-    /** Exits with status 0 at the end of valid input, 1 on invalid input or an I/O error, 2 on invalid arguments. */
+    /**
+     * Exits with status 0 at the end of the input, 1 on an I/O error or input that cannot be decoded, 2 on invalid
+     * arguments. Some unknown values are replaced instead, see {@link BenchMessageCodec}.
+     */
     public static void main(String[] arguments) {
         if (arguments.length != 1 || !arguments[0].equals("simhost")) {
             System.err.println("usage: garnetreel simhost");
--- a/benchadapter/src/main/java/garnetreel/benchadapter/BenchMessageCodec.java
+++ b/benchadapter/src/main/java/garnetreel/benchadapter/BenchMessageCodec.java
@@ -88,7 +88,7 @@
                     switch (entry.text("mode", "up")) {
                         case "up" -> EndpointState.UP;
                         case "removed" -> EndpointState.REMOVED;
-                        default -> EndpointState.DRAINING;
+                        default -> EndpointState.DRAINING; // also for an unknown mode
                     };
             entries.add(new EndpointEntry(
                     entry.require("shelf").text("shelf", ""),
@@ -130,11 +130,13 @@
                 json.numbers("load"));
     }
 
+    /** The outcome; {@link Outcome#UNKNOWN} for an unknown code, which does not end the run. */
     private static Outcome readOutcome(Json json) throws JsonException {
         long code = json.integer("state-code", 0);
         return code > 0 && code < OUTCOMES.length ? OUTCOMES[(int) code] : Outcome.UNKNOWN;
     }
 
+    /** The bytes; none for invalid text, which does not end the run. */
     private static byte[] decodeHex(String text) {
         try {
             return HexFormat.of().parseHex(text);
@@ -212,7 +214,7 @@
         json.close();
     }
 
-    /** Writes the message that the scheduler of an instance threw an exception. */
+    /** Writes a message that reports an exception thrown by the scheduler of an instance. */
     static void writeFailure(JsonGenerator json, int instance, RuntimeException cause) throws IOException {
         json.writeStartObject();
         json.writeStringField("msg", "exception");
--- a/cli/src/main/java/garnetreel/cli/ClassDataArchiveTraining.java
+++ b/cli/src/main/java/garnetreel/cli/ClassDataArchiveTraining.java
@@ -19,15 +19,16 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A short run of one gateway instance against a stub discovery service and a stub storage server, all on loopback: an endpoint
- * list, valid and invalid requests, a reload of the configuration and a shutdown. The build runs it to record the classes for
- * the class-data archive (AppCDS) that deployed gateways start from; an unexpected response fails the run.
+ * A short run of one gateway instance against a stub discovery service and a stub endpoint, all on loopback: an
+ * endpoint list, valid and invalid requests, a reload of the configuration and a shutdown. The build runs it to record
+ * the classes for the class-data archive (AppCDS) that deployed gateways start from; an unexpected response fails the
+ * run.
  */
 public final class ClassDataArchiveTraining {
     private static final int REQUESTS = 40;
     private static final int BACKLOG = 8;
     private static final int REQUEST_BODY_BYTES = 3;
-    private static final String STORAGE_RESPONSE =
+    private static final String ENDPOINT_RESPONSE =
             "HTTP/1.1 200 OK\r\nX-Backend-Load: {\"latency_ms\":1.5}\r\nOther-Hosts: 1\r\n"
                     + "Content-Length: 4\r\n\r\nbody";
 
@@ -51,11 +52,11 @@
      * @throws IOException when a response is not the expected one
      */
     static int run(Path file) throws IOException {
-        try (ServerSocket storage = listen();
+        try (ServerSocket endpoint = listen();
                 ServerSocket discovery = listen();
                 ServiceProcess process = new ServiceProcess()) {
-            serve(storage, STORAGE_RESPONSE);
-            serve(discovery, watchResponse(storage.getLocalPort()));
+            serve(endpoint, ENDPOINT_RESPONSE);
+            serve(discovery, watchResponse(endpoint.getLocalPort()));
             writeConfiguration(file, discovery.getLocalPort());
             EventLoop gateway = new PlatformMain(file).start(process);
             reload(file, gateway);
@@ -71,13 +72,13 @@
         return new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     }
 
-    /** The response to a discovery watch: one snapshot of the endpoint list, with one storage server. */
-    private static String watchResponse(int storagePort) {
+    /** The response to a discovery watch: one snapshot of the endpoint list, with one endpoint. */
+    private static String watchResponse(int endpointPort) {
         String list = String.format(
                 Locale.ROOT,
                 "{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"s\",\"dial\":\"127.0.0.1:%d\","
                         + "\"site\":\"a\",\"class\":\"c\",\"block\":0,\"health\":\"up\",\"share\":1.0,\"born_ms\":0}]}%n",
-                storagePort);
+                endpointPort);
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length()) + "\r\n"
                 + list + "\r\n";
     }
@@ -114,7 +115,7 @@
                     port,
                     "PUT /write HTTP/1.1\r\nHost: a\r\n" + metadata + "Content-Length: " + REQUEST_BODY_BYTES
                             + "\r\n\r\nabc",
-                    i == 0 ? "" : "200 503");
+                    i == 0 ? "" : "200 503"); // the first one may arrive before the endpoint list; any status will do
         }
     }
 
--- a/cli/src/main/java/garnetreel/cli/ConfigurationReader.java
+++ b/cli/src/main/java/garnetreel/cli/ConfigurationReader.java
@@ -21,7 +21,7 @@
     /** Pause before a failed read is retried. */
     private static final long RETRY_MILLIS = 100;
 
-    /** With the pauses about 3 s for one request, within the 4 s after which a new configuration counts as known. */
+    /** With the pauses about 3 s for one request; the HTTP platform takes a new configuration as known after 4 s. */
     private static final int MAX_ATTEMPTS = 30;
 
     private final Logger log = LoggerFactory.getLogger("garnetreel.platform");
--- a/cli/src/main/java/garnetreel/cli/Main.java
+++ b/cli/src/main/java/garnetreel/cli/Main.java
@@ -14,7 +14,7 @@
         name = "garnetreel",
         mixinStandardHelpOptions = true,
         version = "garnetreel 0.2.0",
-        description = "A storage gateway that schedules a host's reads and writes over storage nodes.",
+        description = "A storage gateway that schedules clients' reads and writes over storage nodes.",
         subcommands = {
             ServeCommand.class,
             PlatformCommand.class,
--- a/cli/src/main/java/garnetreel/cli/PlatformCommand.java
+++ b/cli/src/main/java/garnetreel/cli/PlatformCommand.java
@@ -6,12 +6,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs one gateway instance on the users' platform, as {@link PlatformMain} does, but with the command line's logging options. */
+/**
+ * Runs one gateway instance on the HTTP platform, as {@link PlatformMain} does, but with the command line's logging
+ * options.
+ */
 @Command(
         name = "platform",
         mixinStandardHelpOptions = true,
         description = {
-            "Runs one gateway instance on the users' platform.",
+            "Runs one gateway instance on the HTTP platform.",
             "SIGHUP reloads the configuration; SIGTERM answers all accepted requests and then exits."
         })
 final class PlatformCommand implements Callable<Integer> {
--- a/cli/src/main/java/garnetreel/cli/PlatformMain.java
+++ b/cli/src/main/java/garnetreel/cli/PlatformMain.java
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs one gateway instance on the users' platform until it has shut down. Its main method does without the command line library
- * (picocli): a restart is an outage, and loading that library, whose class file format is too old for a class-data archive,
- * took a third of the start-up time (docs/platform.md).
+ * Runs one gateway instance on the HTTP platform until it has shut down. Its main method does not use the command line
+ * library (picocli): a restart is an outage, and loading that library, whose class file format is too old for a
+ * class-data archive, took a third of the start-up time (docs/platform.md).
  */
 public final class PlatformMain {
     /** The environment variable that names the configuration file. */
--- a/cli/src/main/java/garnetreel/cli/config/FileModuleReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/FileModuleReader.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * Reads the blocks {@code module_of_files}: modules that are served by rsync. A module belongs to one gateway instance, the only
- * one that has its file catalogue; no other instance exports its volume.
+ * Reads the {@code module_of_files} blocks: modules that are served by rsync. A module belongs to one gateway instance,
+ * the only one that has its file catalogue; no other instance exports its volume.
  */
 final class FileModuleReader {
     private static final String BLOCK_KIND = "module_of_files";
--- a/cli/src/main/java/garnetreel/cli/config/HclScanner.java
+++ b/cli/src/main/java/garnetreel/cli/config/HclScanner.java
@@ -2,7 +2,9 @@
 
 /** The scanner of {@link StrictHclParser}: a position in a text, and the tokens that begin there. */
 final class HclScanner {
+    /** Includes characters of other notations, such as 0x1f, so that an error names the whole number. */
     private static final String NUMBER_CHARACTERS = "+-.0123456789eE_abcdfxABCDFX";
+
     private static final String PLAIN_DECIMAL = "-?(0|[1-9][0-9]*)(\\.[0-9]+)?";
 
     private final String text;
@@ -56,7 +58,7 @@
     }
 
     /** Skips blanks, comments and line ends. */
-    void skipBlankLines() throws HclSyntaxException {
+    void skipWhitespaceAndComments() throws HclSyntaxException {
         skipBlanks(true);
     }
 
--- a/cli/src/main/java/garnetreel/cli/config/SchedulingReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/SchedulingReader.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the scheduler's settings: the blocks {@code class}, {@code plan}, {@code rules} and {@code module}. */
+/** Reads the scheduler's settings: the {@code class}, {@code plan}, {@code rules} and {@code module} blocks. */
 final class SchedulingReader {
     private final SettingsValues values;
     private final Map<String, RequestClass> classes = new LinkedHashMap<>();
@@ -59,7 +59,7 @@
         return values.integer("/module/most_units", 8);
     }
 
-    long longestDeadline() {
+    long longestTimeLimit() {
         return classes.values().stream()
                 .mapToLong(RequestClass::timeLimit)
                 .max()
@@ -112,7 +112,7 @@
                 idempotency,
                 deduplicationScope,
                 values.number(path + "/late_share", 0),
-                false,
+                false, // streaming
                 values.micros(path + "/window", "0s"),
                 values.number(path + "/worth", 1),
                 values.flag(path + "/in_order", false),
@@ -158,12 +158,12 @@
                 values.number("/module/share_worth", 1),
                 values.number("/module/idle_worth", 1),
                 values.flag("/module/tells_others", true),
-                0,
+                0, // meteringPeriod
                 values.integer("/module/try_limit", 3),
-                false,
+                false, // hedging
                 values.flag("/module/cancels", true),
                 values.flag("/module/checks", true),
-                false,
+                false, // marksRetries
                 values.micros("/module/stay_away", "2s"),
                 connectTimeout,
                 values.micros("/module/tick", "1ms"));
--- a/cli/src/main/java/garnetreel/cli/config/ServiceReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/ServiceReader.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads the blocks {@code service}, {@code head}, {@code bounds}, {@code links} and {@code map}. */
+/** Reads the {@code service}, {@code head}, {@code bounds}, {@code links} and {@code map} blocks. */
 final class ServiceReader {
     private static final int MIN_PAYLOAD_BYTES = 4096;
     private static final int MAX_PAYLOAD_BYTES = 64 << 20;
@@ -89,7 +89,11 @@
         return listenAddresses.get(gateway);
     }
 
-    /** @param gateway the settings that the map service, a client of nodes and of the node list, shares with a gateway */
+    /**
+     * The settings of the map service.
+     *
+     * @param gateway the settings that it shares with a gateway, as both are clients of the nodes and the node list
+     */
     MapServiceSettings mapService(String listen, GatewaySettings gateway) {
         return new MapServiceSettings(
                 listen,
--- a/cli/src/main/java/garnetreel/cli/config/Settings.java
+++ b/cli/src/main/java/garnetreel/cli/config/Settings.java
@@ -103,7 +103,7 @@
         return service.gateways();
     }
 
-    /** The rules of retries, slow start and ejection. */
+    /** The limits that the scheduler must never violate. */
     public SafetyRules rules() {
         return scheduling.rules();
     }
@@ -135,9 +135,9 @@
         return service.bounds();
     }
 
-    /** The longest deadline of a request class, in microseconds. */
+    /** The longest time limit of a request class, in microseconds. */
     public long longestDeadline() {
-        return scheduling.longestDeadline();
+        return scheduling.longestTimeLimit();
     }
 
     /** Address of the node list; empty when the file names none. */
@@ -205,6 +205,7 @@
 
     /** Settings of the map service. */
     public MapServiceSettings mapService(String listen, String list, long incarnation) {
+        // As a client of the node list and the nodes, the service uses -1, which is the number of no gateway instance.
         return service.mapService(listen, gateway(-1, incarnation, "", list, ""));
     }
 }
--- a/cli/src/main/java/garnetreel/cli/config/StrictHclParser.java
+++ b/cli/src/main/java/garnetreel/cli/config/StrictHclParser.java
@@ -41,7 +41,7 @@
         }
         Map<String, Object> body = new LinkedHashMap<>();
         while (true) {
-            scanner.skipBlankLines();
+            scanner.skipWhitespaceAndComments();
             if (scanner.atEnd() || scanner.isNext('}')) {
                 return body;
             }
@@ -153,7 +153,7 @@
         scanner.skip();
         List<Object> list = new ArrayList<>();
         while (true) {
-            scanner.skipBlankLines();
+            scanner.skipWhitespaceAndComments();
             if (scanner.atEnd()) {
                 throw scanner.error("the file ends inside the list that began at " + start);
             }
@@ -163,7 +163,7 @@
             String element = path + "/" + list.size();
             locations.put(element, scanner.location());
             list.add(value(element, depth + 1));
-            scanner.skipBlankLines();
+            scanner.skipWhitespaceAndComments();
             if (!scanner.skipIf(',') && !scanner.isNext(']')) {
                 throw scanner.error("in a list a \",\" or the closing \"]\" is expected");
             }
@@ -174,7 +174,7 @@
         scanner.skip();
         Map<String, Object> object = new LinkedHashMap<>();
         while (true) {
-            scanner.skipBlankLines();
+            scanner.skipWhitespaceAndComments();
             if (scanner.atEnd()) {
                 throw scanner.error("the file ends inside an object");
             }
@@ -188,7 +188,7 @@
                 throw scanner.error("after the key \"" + name + "\" a \"=\" is expected");
             }
             attribute(object, path, name, location, depth);
-            scanner.skipBlankLines();
+            scanner.skipWhitespaceAndComments();
             scanner.skipIf(',');
         }
     }
--- a/cli/src/main/java/garnetreel/cli/config/VolumeReader.java
+++ b/cli/src/main/java/garnetreel/cli/config/VolumeReader.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the blocks {@code volume}. */
+/** Reads the {@code volume} blocks. */
 final class VolumeReader {
     /** Sizes of volumes and extents are multiples of this, in bytes. */
     private static final int PAGE_BYTES = 4096;
@@ -19,7 +19,10 @@
     private static final int MAX_EXTENT_BYTES = 1 << 30;
     private static final String DEFAULT_EXTENT = "1MiB";
 
-    /** Scheduler keys stay below 2^53, which leaves 36 bits for the block's number within a volume. */
+    /**
+     * A scheduler key holds 16 bits of the volume's id and 36 bits of the block's number within the volume; the wire
+     * protocol requires keys below 2^53.
+     */
     private static final long MAX_BLOCKS = 1L << 36;
 
     private final SettingsValues values;
--- a/cli/src/main/java/garnetreel/cli/lifecycle/ProcessSignals.java
+++ b/cli/src/main/java/garnetreel/cli/lifecycle/ProcessSignals.java
@@ -61,8 +61,9 @@
     }
 
     /**
-     * Runs {@code shutdown} when the JVM begins to exit, and halts it with the exit code that {@code shutdown} returns. Halting
-     * is the only way to choose the exit code at that point: after a signal the JVM would use its own (143 for SIGTERM).
+     * Runs {@code shutdown} when the JVM begins to exit, then halts the JVM with the exit code that {@code shutdown}
+     * returns. Halting is the only way to choose the exit code at that point: after a signal the JVM would use its own
+     * (143 for SIGTERM).
      *
      * @param threadName name of the thread that runs it
      */
--- a/cli/src/main/java/garnetreel/cli/map/AbortCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/AbortCommand.java
@@ -8,12 +8,12 @@
         name = "abort",
         mixinStandardHelpOptions = true,
         description = "Aborts a migration that has not switched to the new shard yet.")
-final class AbortCommand extends QueryCommand {
+final class AbortCommand extends SingleRequestCommand {
     @Parameters(index = "0", paramLabel = "MOVE", description = "Number of the migration.")
-    long move;
+    long migration;
 
     @Override
     Object[] request() {
-        return new Object[] {"abort", move};
+        return new Object[] {"abort", migration};
     }
 }
--- a/cli/src/main/java/garnetreel/cli/map/AdoptCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/AdoptCommand.java
@@ -9,7 +9,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Rebuilds the maps from the extents that nodes hold, and begins a new epoch; for a service restored from an old backup.")
-final class AdoptCommand extends QueryCommand {
+final class AdoptCommand extends SingleRequestCommand {
     @Option(
             names = "--force",
             description =
--- a/cli/src/main/java/garnetreel/cli/map/DrainNodeCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/DrainNodeCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Drains a shard. */
+/** Drains a shard; the name of the command says node, as a shard is served by nodes of its own. */
 @Command(
         name = "drain-node",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/garnetreel/cli/map/HistoryCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/HistoryCommand.java
@@ -8,7 +8,7 @@
         name = "history",
         mixinStandardHelpOptions = true,
         description = "Prints the latest transactions: who changed what, when and why.")
-final class HistoryCommand extends QueryCommand {
+final class HistoryCommand extends SingleRequestCommand {
     @Parameters(
             index = "0",
             arity = "0..1",
--- a/cli/src/main/java/garnetreel/cli/map/MapClient.java
+++ b/cli/src/main/java/garnetreel/cli/map/MapClient.java
@@ -13,7 +13,7 @@
     private static final int TIMEOUT_MILLIS = 10_000;
     private static final int READ_BYTES = 1 << 16;
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    /** Subscriber number of these commands; no gateway instance has it, as those count from 0. */
+    /** Subscriber number of these commands: gateway instances count from 0, and the map service itself uses -1. */
     private static final int OPERATOR_SUBSCRIBER = -2;
 
     private final BlockingConnection<MapMessage> connection;
--- a/cli/src/main/java/garnetreel/cli/map/NewEpochCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/NewEpochCommand.java
@@ -7,7 +7,7 @@
         name = "new-epoch",
         mixinStandardHelpOptions = true,
         description = "Makes gateways replace their maps by those of this service; after a restore use adopt.")
-final class NewEpochCommand extends QueryCommand {
+final class NewEpochCommand extends SingleRequestCommand {
     @Override
     Object[] request() {
         return new Object[] {"new-epoch"};
--- a/cli/src/main/java/garnetreel/cli/map/ShowCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/ShowCommand.java
@@ -8,7 +8,7 @@
         name = "show",
         mixinStandardHelpOptions = true,
         description = "Prints which shard holds each extent of a volume.")
-final class ShowCommand extends QueryCommand {
+final class ShowCommand extends SingleRequestCommand {
     @Parameters(index = "0", paramLabel = "VOLUME", description = "Number of the volume.")
     long volume;
 
--- a/cli/src/main/java/garnetreel/cli/map/QueryCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/SingleRequestCommand.java
@@ -3,8 +3,8 @@
 import garnetreel.cli.lifecycle.ExitCode;
 import java.io.IOException;
 
-/** A command that sends one request and prints its result. */
-abstract class QueryCommand extends MapSubcommand {
+/** A command that sends one request to the map service and prints its result. */
+abstract class SingleRequestCommand extends MapSubcommand {
     /** The request: the words of a command of the map service's protocol. */
     abstract Object[] request();
 
--- a/cli/src/main/java/garnetreel/cli/map/StatusCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/StatusCommand.java
@@ -7,7 +7,7 @@
         name = "status",
         mixinStandardHelpOptions = true,
         description = "Prints versions, gateways, migrations and draining shards.")
-final class StatusCommand extends QueryCommand {
+final class StatusCommand extends SingleRequestCommand {
     @Override
     Object[] request() {
         return new Object[] {"status"};
--- a/cli/src/main/java/garnetreel/cli/map/VerifyCommand.java
+++ b/cli/src/main/java/garnetreel/cli/map/VerifyCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Reads all extents through a gateway and compares their checksums with those of the nodes that hold them. */
+/** Reads the selected extents through a gateway and compares their checksums with those of the nodes that hold them. */
 @Command(
         name = "verify",
         mixinStandardHelpOptions = true,
--- a/codec/src/main/java/garnetreel/codec/ByteQueue.java
+++ b/codec/src/main/java/garnetreel/codec/ByteQueue.java
@@ -39,7 +39,7 @@
         throw new IndexOutOfBoundsException("byte " + offset + " of " + size);
     }
 
-    /** The big-endian integer of {@code bytes} bytes at an offset from the front, without removing it. */
+    /** The big-endian integer of {@code bytes} bytes at an offset from the front, unsigned if shorter than 8 bytes. */
     public long peekInt(int offset, int bytes) {
         ByteBuffer first = buffers.peekFirst();
         if (first != null && first.remaining() >= offset + bytes) {
--- a/codec/src/main/java/garnetreel/codec/LengthPrefixedFrames.java
+++ b/codec/src/main/java/garnetreel/codec/LengthPrefixedFrames.java
@@ -72,7 +72,7 @@
     }
 
     /** Writes the checksum of a frame whose body is complete, and prepares the buffer for reading. */
-    public static ByteBuffer seal(ByteBuffer frame) {
+    public static ByteBuffer finish(ByteBuffer frame) {
         if (frame.hasRemaining()) {
             throw new IllegalStateException("frame body is incomplete, missing bytes: " + frame.remaining());
         }
--- a/codec/src/main/java/garnetreel/codec/ProtocolException.java
+++ b/codec/src/main/java/garnetreel/codec/ProtocolException.java
@@ -1,6 +1,6 @@
 package garnetreel.codec;
 
-/** The peer violated its protocol so that the rest of the stream cannot be parsed; the connection is closed. */
+/** The peer violated the protocol, and the rest of the stream cannot be parsed; the connection is closed. */
 public final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/codec/src/main/java/garnetreel/codec/http/HttpRequestParser.java
+++ b/codec/src/main/java/garnetreel/codec/http/HttpRequestParser.java
@@ -4,17 +4,19 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads the requests of a connection one after another (RFC 9112, without what is optional for a receiver). A body
- * needs a Content-Length; a Transfer-Encoding is rejected, which rules out request smuggling through one.
+ * Reads the requests of a connection one after another: the part of RFC 9112 with an absolute path as target and a body
+ * with a Content-Length. A Transfer-Encoding is rejected, although recipients must decode chunked bodies (RFC 9112,
+ * 7.1); this rules out request smuggling through one.
  */
 public final class HttpRequestParser {
     /**
-     * Maximum size of a head and number of its fields; the platform's requests have a few hundred bytes and ten fields.
+     * Maximum size of a head and number of its fields; the HTTP platform's requests have a few hundred bytes and ten
+     * fields.
      */
     private static final int MAX_HEAD_BYTES = 8 << 10;
 
     private static final int MAX_FIELDS = 48;
-    /** The platform's maximum size of a body. */
+    /** The HTTP platform's maximum size of a body. */
     public static final int MAX_BODY_BYTES = 64 << 10;
 
     private static final int MAX_LENGTH_DIGITS = 18;
--- a/codec/src/main/java/garnetreel/codec/http/HttpResponseParser.java
+++ b/codec/src/main/java/garnetreel/codec/http/HttpResponseParser.java
@@ -4,9 +4,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * Reads the responses of a connection one after another. Interim (1xx) responses are skipped. A long response can be
- * read while it is being received, with {@link #takeReceivedBody()}. A response without a length ends with its connection; {@link
- * #connectionEnded()} returns it.
+ * Reads the responses of a connection one after another. Interim (1xx) responses are skipped. A response can be read
+ * while it is being received, with {@link #takeReceivedBody()}. A response without a length ends with its connection;
+ * {@link #connectionEnded()} returns it.
  */
 public final class HttpResponseParser {
     private static final int MAX_HEAD_BYTES = 16 << 10;
@@ -30,7 +30,10 @@
     private int interimResponses;
     private boolean reusable;
 
-    /** @param maxBodyBytes maximum bytes of a body that are buffered */
+    /**
+     * @param maxBodyBytes maximum bytes of a body that are buffered, and maximum Content-Length; a body without one may
+     *     be longer if it is taken while it is being received
+     */
     public HttpResponseParser(int maxBodyBytes) {
         this.maxBodyBytes = maxBodyBytes;
     }
@@ -62,8 +65,8 @@
     }
 
     /**
-     * The response that the end of the connection completes, which is one without a length; null if none has begun or
-     * it was truncated.
+     * The response that is delimited by the end of the connection; null if none has begun, or one with a length. The
+     * caller has to know whether the connection was closed properly: otherwise the response may be truncated.
      */
     public HttpResponse connectionEnded() {
         return body != null && body.endsWithConnection() ? complete() : null;
--- a/codec/src/main/java/garnetreel/codec/http/HttpWriter.java
+++ b/codec/src/main/java/garnetreel/codec/http/HttpWriter.java
@@ -3,12 +3,15 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Writes a complete request or response; a body always has a Content-Length. */
+/** Writes a complete request or response. */
 public final class HttpWriter {
     private static final int INITIAL_CAPACITY = 256;
 
-    /** Fields that concern a single connection (RFC 9110, 7.6.1), or that the sender of a message writes itself. */
-    private static final String[] HOP_BY_HOP = {
+    /**
+     * Fields that are not forwarded: they concern a single connection (RFC 9110, 7.6.1), or the sender of a message
+     * writes them itself.
+     */
+    private static final String[] NEVER_FORWARDED = {
         "Connection",
         "Host",
         "Content-Length",
@@ -46,23 +49,23 @@
     }
 
     /**
-     * Adds the end-to-end fields of a forwarded message unchanged: the endpoint may rely on a field that the gateway
-     * does not know, such as an idempotency key.
+     * Adds the other fields of a forwarded message unchanged: the endpoint may rely on a field that the gateway does
+     * not know, such as an idempotency key.
      *
      * @param except field to leave out, as the caller adds it itself
      */
     public HttpWriter forwardFields(Fields fields, String except) {
         for (int i = 0; i < fields.size(); i++) {
             String name = fields.name(i);
-            if (!name.equalsIgnoreCase(except) && !isHopByHop(name) && !fields.hasToken("Connection", name)) {
+            if (!name.equalsIgnoreCase(except) && !isNeverForwarded(name) && !fields.hasToken("Connection", name)) {
                 field(name, fields.value(i));
             }
         }
         return this;
     }
 
-    private static boolean isHopByHop(String name) {
-        for (String field : HOP_BY_HOP) {
+    private static boolean isNeverForwarded(String name) {
+        for (String field : NEVER_FORWARDED) {
             if (field.equalsIgnoreCase(name)) {
                 return true;
             }
@@ -70,7 +73,11 @@
         return false;
     }
 
-    /** Ends the head and adds the body; a request without a body needs no Content-Length. */
+    /**
+     * Ends the head and adds the body.
+     *
+     * @param withLength whether to add a Content-Length; only a request without a body needs none
+     */
     public ByteBuffer body(byte[] body, boolean withLength) {
         if (withLength) {
             field("Content-Length", Integer.toString(body.length));
--- a/codec/src/main/java/garnetreel/codec/map/MapCodec.java
+++ b/codec/src/main/java/garnetreel/codec/map/MapCodec.java
@@ -171,6 +171,6 @@
                     .putInt(text.length)
                     .put(text);
         }
-        return LengthPrefixedFrames.seal(frame);
+        return LengthPrefixedFrames.finish(frame);
     }
 }
--- a/codec/src/main/java/garnetreel/codec/map/MapMessage.java
+++ b/codec/src/main/java/garnetreel/codec/map/MapMessage.java
@@ -5,7 +5,7 @@
 /** Messages between the map service and its clients; docs/extent-map.md defines the encoding. */
 public sealed interface MapMessage {
 
-    /** An extent that has moved from its initial place, with its shard and version now. */
+    /** An extent that has migrated from its initial shard, with its shard and version now. */
     record MovedExtent(long extent, int shard, long version) {}
 
     /**
@@ -14,7 +14,7 @@
      * @param extents number of extents
      * @param extentBytes size of an extent
      * @param shards initial layout: extent n was on the shard at index n modulo the size of this list, under version 1
-     * @param movedExtents the extents that have moved since, ordered by extent
+     * @param movedExtents the extents that have migrated since, ordered by extent
      */
     record VolumeMap(
             long volume, long extents, int extentBytes, List<Integer> shards, List<MovedExtent> movedExtents) {}
@@ -28,7 +28,7 @@
     /** A snapshot: the maps of all volumes as of a version. */
     record Snapshot(long epoch, long version, List<VolumeMap> volumes) implements MapMessage {}
 
-    /** Changes after version {@code since}; a message without changes is a heartbeat. */
+    /** Changes after version {@code since}; a message without changes is a keep-alive. */
     record Changes(long epoch, long since, long version, List<Change> changes) implements MapMessage {}
 
     /** The service is overloaded; the client should retry after this many microseconds. */
--- a/codec/src/main/java/garnetreel/codec/nbd/Nbd.java
+++ b/codec/src/main/java/garnetreel/codec/nbd/Nbd.java
@@ -5,16 +5,19 @@
  * types", "Option reply types", "Request types", "Reply flags and types", "Error values").
  */
 public final class Nbd {
-    /** "NBDMAGIC" and "IHAVEOPT". */
+    /** "NBDMAGIC". */
     public static final long MAGIC = 0x4e42444d41474943L;
 
+    /** "IHAVEOPT". */
     public static final long OPTION_MAGIC = 0x49484156454F5054L;
+
     public static final long OPTION_REPLY_MAGIC = 0x3e889045565a9L;
     public static final int REQUEST_MAGIC = 0x25609513;
     public static final int SIMPLE_REPLY_MAGIC = 0x67446698;
     public static final int CHUNK_MAGIC = 0x668e33ef;
 
-    /** Handshake flags; server and client use the same values. */
+    // Handshake flags; server and client use the same values.
+
     public static final int FIXED_NEWSTYLE = 1;
 
     public static final int NO_ZEROES = 2;
@@ -46,7 +49,8 @@
     public static final int INFO_DESCRIPTION = 2;
     public static final int INFO_BLOCK_SIZE = 3;
 
-    /** Transmission flags. */
+    // Transmission flags.
+
     public static final int HAS_FLAGS = 1;
 
     public static final int READ_ONLY = 1 << 1;
@@ -89,7 +93,8 @@
     public static final int ENOTSUP = 95;
     public static final int ESHUTDOWN = 108;
 
-    /** Status flags of the metadata context base:allocation. */
+    // Status flags of the metadata context base:allocation.
+
     public static final int STATE_HOLE = 1;
 
     public static final int STATE_ZERO = 2;
--- a/codec/src/main/java/garnetreel/codec/nbd/NbdClientCodec.java
+++ b/codec/src/main/java/garnetreel/codec/nbd/NbdClientCodec.java
@@ -63,7 +63,10 @@
         return (data == null ? out : out.put(data)).flip();
     }
 
-    /** The next message, or null until it has been received completely. Data of a READ arrives in data chunks only. */
+    /**
+     * The next message, or null until it has been received completely. Data of a READ arrives in data chunks, and
+     * zeroes in hole chunks too; a simple reply is taken to have no data.
+     */
     public ServerMessage next(ByteQueue in) throws ProtocolException {
         return switch (state) {
             case GREETING -> {
--- a/codec/src/main/java/garnetreel/codec/node/NodeCodec.java
+++ b/codec/src/main/java/garnetreel/codec/node/NodeCodec.java
@@ -37,7 +37,8 @@
 
     private static final int ANSWER_FIXED_BYTES = 8 + 2 + 1 + 4 + 4 + 8;
     /**
-     * Maximum number of metrics in a load report (as in the protocol of the HTTP platform), and length of their names.
+     * Maximum number of metrics in a load report (as in the protocol of the HTTP platform), and of the bytes read as a
+     * metric's name. A longer name is not rejected: its rest is read as the value.
      */
     private static final int MAX_LOAD_METRICS = 4;
 
@@ -228,7 +229,7 @@
                     .putLong(p.incarnation());
             writeLoad(frame, p.load());
         }
-        return LengthPrefixedFrames.seal(frame);
+        return LengthPrefixedFrames.finish(frame);
     }
 
     private static int encodedSize(Map<String, Double> load) {
--- a/codec/src/main/java/garnetreel/codec/node/NodeMessage.java
+++ b/codec/src/main/java/garnetreel/codec/node/NodeMessage.java
@@ -70,12 +70,13 @@
      * @param id request id chosen by the gateway, unique within its incarnation
      * @param attempt index of the attempt, from 0
      * @param tag the client's own id of the request; for traces only
-     * @param deduplicated the request's class is keyed: the node answers a repeated id with the result it remembers
+     * @param deduplicated the request's class uses idempotency keys: the node answers a repeated id with the result it
+     *     remembers
      * @param sync the effect must be durable before the answer
      * @param deadline time of the node's clock from which it must not start the attempt: the client has given up by
      *     then and may already have written newer data
      * @param units cost of the request in units
-     * @param key key of the data; negative for none
+     * @param key ordering key of the data; negative for none
      * @param offset first byte within the volume
      * @param length number of bytes requested or written
      * @param data bytes to write; empty for other operations
@@ -121,10 +122,10 @@
     /**
      * The answer to one attempt.
      *
-     * @param usage 1 + units served for the volume by all nodes in a completed metering period, in percent of the plan's
-     *     rate; 0 if not reported
+     * @param usage 1 plus the percentage of the plan's rate that all nodes served for the volume in a completed
+     *     metering period, so that 0 means not reported
      * @param unitsFromOtherGateways units this node served for the volume through other gateways since its last answer
-     *     about the volume on this connection
+     *     to this gateway about the volume
      * @param incarnation incarnation of the node: writes of an earlier incarnation that were not flushed are lost
      * @param load metrics of the load report by name
      * @param data for READ the bytes read; for STATUS pairs of length and flags as in NBD; for a STALE result the
@@ -145,8 +146,9 @@
     record Cancel(long id, int attempt) implements NodeMessage {}
 
     /**
-     * Type of an {@link ControlCommand}: a step in the migration of an extent, sent to its old or its new holder, or a query.
-     * Each may be repeated. The ordinal is the code on the wire.
+     * Type of a {@link ControlCommand}: a step in the migration of an extent, sent to its old or its new holder, or a
+     * query. Each may be repeated; a repeated TAKE gets the changed pages that remain. The ordinal is the code on the
+     * wire.
      */
     enum Step {
         /** To the old holder: track changed pages from now on; all existing pages count as changed. */
@@ -200,12 +202,14 @@
             implements NodeMessage {}
 
     /**
-     * The node's reply to an {@link ControlCommand}.
+     * The node's reply to a {@link ControlCommand}.
      *
      * @param ok whether the step was executed
-     * @param hasMore for TAKE, changed pages remain; for LIST_EXTENTS, further extents remain
+     * @param hasMore for TAKE, changed pages remain; for LIST_EXTENTS, further extents remain; for FENCE, requests for
+     *     the extent are still being executed
      * @param knownVersion version of the extent that the node knows
-     * @param data pages for TAKE
+     * @param data for TAKE, pages as in the command of a PUT; for LOAD, CHECKSUM and LIST_EXTENTS, the report described
+     *     there; else empty
      */
     record CommandReport(long seq, boolean ok, boolean hasMore, long incarnation, long knownVersion, ByteBuffer data)
             implements NodeMessage {}
--- a/codec/src/main/java/garnetreel/codec/nodelist/NodeListCodec.java
+++ b/codec/src/main/java/garnetreel/codec/nodelist/NodeListCodec.java
@@ -118,7 +118,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return LengthPrefixedFrames.seal(
+        return LengthPrefixedFrames.finish(
                 LengthPrefixedFrames.begin(kind, bytes.size()).put(bytes.toByteArray()));
     }
 
--- a/codec/src/main/java/garnetreel/codec/nodelist/NodeListMessage.java
+++ b/codec/src/main/java/garnetreel/codec/nodelist/NodeListMessage.java
@@ -22,7 +22,8 @@
      * One node.
      *
      * @param address host:port, which identifies the node
-     * @param startedAt when its process last started, in microseconds since the epoch; 0 if long ago
+     * @param startedAt when its process last started, in microseconds since the epoch; 0 if it started so long ago that
+     *     it has warmed up
      */
     record Entry(String address, String zone, int shard, State state, double weight, long startedAt) {}
 
--- a/codec/src/main/java/garnetreel/codec/rsync/Checksums.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/Checksums.java
@@ -16,7 +16,9 @@
         }
     }
 
-    /** Strong checksum of a block: the MD5 of its bytes followed by the checksum seed of the session. */
+    /**
+     * Strong checksum of a block: the MD5 of its bytes followed by the checksum seed of the session unless that is 0.
+     */
     public static byte[] strong(MessageDigest md5, byte[] data, int offset, int length, int seed) {
         md5.reset();
         md5.update(data, offset, length);
--- a/codec/src/main/java/garnetreel/codec/rsync/Delta.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/Delta.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Computes a delta: searches new contents, which are added in pieces, for blocks of a basis file, and writes literals and
- * block references. Buffers one block and one piece at most, regardless of the size of the file.
+ * Computes a delta: searches new contents, which are added in pieces, for blocks of a basis file, and writes literals
+ * and block references. Buffers one block, one piece and one literal at most, regardless of the size of the file.
  */
 public final class Delta {
     /** Maximum number of blocks of a basis; for a larger file the peer has to use larger blocks. */
--- a/codec/src/main/java/garnetreel/codec/rsync/FileItem.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/FileItem.java
@@ -10,9 +10,9 @@
  * @param size in bytes
  * @param modified modification time in seconds since the epoch
  * @param target target of a symbolic link; else empty
- * @param sum MD5 of the contents of a regular file, sent if the transfer compares by checksum; null if not known
+ * @param md5 MD5 of the contents of a regular file, sent if the transfer compares by checksum; null if not known
  */
-public record FileItem(String name, int mode, long size, long modified, String target, byte[] sum) {
+public record FileItem(String name, int mode, long size, long modified, String target, byte[] md5) {
 
     /**
      * The order in which both sides number the entries: within a directory, entries other than directories come first, and
@@ -21,21 +21,23 @@
     public static final Comparator<FileItem> ORDER = FileItem::compare;
 
     /** Whether the entry is a directory. */
-    public boolean directory() {
+    public boolean isDirectory() {
         return (mode & Rsync.FILE_TYPE_MASK) == Rsync.DIRECTORY;
     }
 
     /** Whether the entry is a regular file. */
-    public boolean regular() {
+    public boolean isRegularFile() {
         return (mode & Rsync.FILE_TYPE_MASK) == Rsync.REGULAR;
     }
 
     /** Whether the entry is a symbolic link. */
-    public boolean symlink() {
+    public boolean isSymbolicLink() {
         return (mode & Rsync.FILE_TYPE_MASK) == Rsync.SYMLINK;
     }
 
-    /** Compares a path component without copying: a list of 200,000 names is sorted in one turn of the gateway. */
+    /**
+     * Compares a path component without copying: a list to send of 200,000 names is sorted in one turn of the gateway.
+     */
     private static int compareComponent(String a, int endA, String b, int endB, int start, boolean directories) {
         for (int i = start; ; i++) {
             if (i == endA && i == endB) {
@@ -62,8 +64,8 @@
         while (true) {
             int endA = a.name.indexOf('/', componentStart);
             int endB = b.name.indexOf('/', componentStart);
-            boolean dirA = endA >= 0 || a.directory();
-            boolean dirB = endB >= 0 || b.directory();
+            boolean dirA = endA >= 0 || a.isDirectory();
+            boolean dirB = endB >= 0 || b.isDirectory();
             if (dirA != dirB) {
                 return dirA ? 1 : -1;
             }
--- a/codec/src/main/java/garnetreel/codec/rsync/FileListCodec.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/FileListCodec.java
@@ -12,17 +12,17 @@
     /** The negotiated options that determine which fields an entry has. */
     public record Options(boolean links, boolean owner, boolean group, boolean sums) {}
 
-    private final Options form;
+    private final Options options;
     private String previousName = "";
     private int previousMode;
     private long previousTime;
     private boolean first = true;
     private boolean ended;
-    private boolean failed;
+    private boolean ioError;
 
     /** A codec at the start of a list. */
-    public FileListCodec(Options form) {
-        this.form = form;
+    public FileListCodec(Options options) {
+        this.options = options;
     }
 
     /** Writes an entry. Ownership is not stored: all user and group ids are sent as 0. */
@@ -40,9 +40,9 @@
         flags |= suffixLength > MAX_ONE_BYTE_LENGTH ? Rsync.LONG_NAME : 0;
         flags |= !first && item.mode() == previousMode ? Rsync.SAME_MODE : 0;
         flags |= !first && item.modified() == previousTime ? Rsync.SAME_TIME : 0;
-        flags |= !form.owner() || !first ? Rsync.SAME_UID : 0;
-        flags |= !form.group() || !first ? Rsync.SAME_GID : 0;
-        if (flags == 0 && !item.directory()) {
+        flags |= !options.owner() || !first ? Rsync.SAME_UID : 0;
+        flags |= !options.group() || !first ? Rsync.SAME_GID : 0;
+        if (flags == 0 && !item.isDirectory()) {
             flags |= Rsync.TOP_DIR; // flags may not be 0, and this flag has no meaning for a file
         }
         if (flags == 0) {
@@ -71,11 +71,11 @@
         if ((flags & Rsync.SAME_GID) == 0) {
             out.varint(0);
         }
-        if (form.links() && item.symlink()) {
+        if (options.links() && item.isSymbolicLink()) {
             out.varint(item.target().length()).text(item.target());
         }
-        if (form.sums() && item.regular()) {
-            out.bytes(item.sum() == null ? new byte[Rsync.STRONG_SUM_LENGTH] : item.sum());
+        if (options.sums() && item.isRegularFile()) {
+            out.bytes(item.md5() == null ? new byte[Rsync.STRONG_SUM_LENGTH] : item.md5());
         }
         setPrevious(item.name(), item.mode(), item.modified());
     }
@@ -100,7 +100,7 @@
         if (flags == (Rsync.EXTENDED | Rsync.IO_ERROR_END)) {
             in.varint();
             ended = true;
-            failed = true;
+            ioError = true;
             return null;
         }
         if ((flags & Rsync.HARD_LINKED) != 0) {
@@ -117,22 +117,23 @@
         long size = in.varlong(3);
         long time = (flags & Rsync.SAME_TIME) != 0 ? previousTime : in.varlong(4);
         int mode = (flags & Rsync.SAME_MODE) != 0 ? previousMode : in.i32();
-        if (form.owner() && (flags & Rsync.SAME_UID) == 0) {
+        if (options.owner() && (flags & Rsync.SAME_UID) == 0) {
             skipOwner(in, (flags & Rsync.USER_NAME) != 0);
         }
-        if (form.group() && (flags & Rsync.SAME_GID) == 0) {
+        if (options.group() && (flags & Rsync.SAME_GID) == 0) {
             skipOwner(in, (flags & Rsync.GROUP_NAME) != 0);
         }
         String target = "";
-        if (form.links() && (mode & Rsync.FILE_TYPE_MASK) == Rsync.SYMLINK) {
+        if (options.links() && (mode & Rsync.FILE_TYPE_MASK) == Rsync.SYMLINK) {
             int length = in.varint();
             if (length <= 0 || length > Rsync.MAX_NAME_LENGTH) {
                 throw new ProtocolException("a link's target of " + length + " bytes");
             }
             target = in.text(length);
         }
-        byte[] sum =
-                form.sums() && (mode & Rsync.FILE_TYPE_MASK) == Rsync.REGULAR ? in.take(Rsync.STRONG_SUM_LENGTH) : null;
+        byte[] sum = options.sums() && (mode & Rsync.FILE_TYPE_MASK) == Rsync.REGULAR
+                ? in.take(Rsync.STRONG_SUM_LENGTH)
+                : null;
         if (size < 0) {
             throw new ProtocolException("a file of " + size + " bytes");
         }
@@ -155,6 +156,6 @@
 
     /** Whether the sender reported an I/O error, so that the list may be incomplete. */
     public boolean hasIoError() {
-        return failed;
+        return ioError;
     }
 }
--- a/codec/src/main/java/garnetreel/codec/rsync/RsyncIn.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/RsyncIn.java
@@ -6,14 +6,15 @@
 import java.util.Arrays;
 
 /**
- * Input buffer that decodes the primitive types of rsync protocol 30. A unit of input starts with {@link #mark}; if it is
- * incomplete, {@link IncompleteInputException} is thrown and the caller returns to its start with {@link #reset}, to retry with more bytes.
+ * Input buffer that decodes the primitive types of rsync protocol 30. The caller marks the start of an element of the
+ * input with {@link #mark}. If the element is incomplete, {@link IncompleteInputException} is thrown; the caller then
+ * returns to the mark with {@link #reset}, to retry with more bytes.
  *
- * <p>Integers are little-endian; the varint, varlong and index encodings are those of rsync's io.c as its documentation
- * and captures show them.
+ * <p>Integers are little-endian; the varint, varlong and index encodings are those of rsync's io.c, as documented and
+ * as seen in captured traffic.
  */
 public final class RsyncIn {
-    /** Thrown if the input ends within a unit. */
+    /** Thrown if the input ends within an element. */
     public static final class IncompleteInputException extends Exception {
         private static final long serialVersionUID = 1;
         private static final IncompleteInputException INSTANCE = new IncompleteInputException();
@@ -106,7 +107,7 @@
         return value;
     }
 
-    /** Reads so many bytes. */
+    /** Reads {@code count} bytes. */
     public byte[] take(int count) throws IncompleteInputException {
         int start = advance(count);
         return Arrays.copyOfRange(bytes, start, start + count);
@@ -187,7 +188,7 @@
         return text(length);
     }
 
-    /** Reads so many bytes as a string of one character per byte, so that any name is preserved. */
+    /** Reads {@code length} bytes as a string of one character per byte, so that any name is preserved. */
     public String text(int length) throws IncompleteInputException {
         int start = advance(length);
         return new String(bytes, start, length, StandardCharsets.ISO_8859_1);
--- a/codec/src/main/java/garnetreel/codec/rsync/RsyncOut.java
+++ b/codec/src/main/java/garnetreel/codec/rsync/RsyncOut.java
@@ -4,7 +4,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Output buffer that encodes the primitive types of rsync protocol 30; its contents are taken bare or as a frame. */
+/**
+ * Output buffer that encodes the primitive types of rsync protocol 30; its contents are taken as they are or as a
+ * frame.
+ */
 public final class RsyncOut {
     private byte[] bytes = new byte[1024];
     private int size;
@@ -62,7 +65,7 @@
         return variable(value & 0xffffffffL, 4, 1);
     }
 
-    /** Writes a 64-bit number in the variable-length encoding, with at least so many bytes. */
+    /** Writes a 64-bit number in the variable-length encoding, with at least {@code minLength} bytes. */
     public RsyncOut varlong(long value, int minLength) {
         return variable(value, 8, minLength);
     }
@@ -114,7 +117,10 @@
         return (length > 0x7f ? u8(length >> 8 | 0x80).u8(length) : u8(length)).text(text);
     }
 
-    /** Alters the last collected bytes, so that a checksum there does not match. */
+    /**
+     * Alters the last collected bytes, so that a file's checksum there does not match: the receiver then discards a
+     * file that could not be read.
+     */
     public void corrupt(int length) {
         for (int i = size - length; i < size; i++) {
             bytes[i] ^= 0x5a;
--- a/codec/src/test/java/garnetreel/codec/ParsersTest.java
+++ b/codec/src/test/java/garnetreel/codec/ParsersTest.java
@@ -153,7 +153,7 @@
         for (int round = 0; round < 20_000; round++) {
             byte[] body = new byte[random.nextInt(120)];
             random.nextBytes(body);
-            ByteBuffer frame = LengthPrefixedFrames.seal(
+            ByteBuffer frame = LengthPrefixedFrames.finish(
                     LengthPrefixedFrames.begin(random.nextInt(40), body.length).put(body));
             for (Parser parser : List.<Parser>of(NodeCodec::next, NodeListCodec::next)) {
                 ByteQueue in = new ByteQueue();
--- a/codec/src/test/java/garnetreel/codec/RsyncTest.java
+++ b/codec/src/test/java/garnetreel/codec/RsyncTest.java
@@ -139,7 +139,7 @@
                                     expected.modified() & 0xffffffffL,
                                     expected.target()),
                             List.of(item.mode(), item.size(), item.modified() & 0xffffffffL, item.target()));
-                    assertTrue(Arrays.equals(expected.sum(), item.sum()));
+                    assertTrue(Arrays.equals(expected.md5(), item.md5()));
                 }
             } catch (RsyncIn.IncompleteInputException e) {
                 in.reset();
--- a/core/src/main/java/garnetreel/core/server/rsync/BasisChecksums.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/BasisChecksums.java
@@ -58,6 +58,8 @@
      * whole file detects the remaining ones.
      */
     private static int strongLength(long size, int blockLength) {
+        // As in rsync's sum_sizes_sqroot: 10 bits and two per bit of the size, less those of the block length, of which
+        // the rolling checksum provides 32.
         int bits = 10 + 2 * (64 - Long.numberOfLeadingZeros(size)) - (32 - Integer.numberOfLeadingZeros(blockLength));
         return Math.max(2, Math.min(Rsync.STRONG_SUM_LENGTH, (bits - 32 + 7) / 8));
     }
--- a/core/src/main/java/garnetreel/core/server/rsync/BlockIo.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/BlockIo.java
@@ -11,14 +11,14 @@
 import java.util.function.Consumer;
 
 /**
- * Block reads and writes of one session. A rejected operation is retried as a new request after the delay that the
- * rejection gives, until a time-out. Failed reads and writes are retried as well: the space belongs to one file, and a
- * repeated write carries the same bytes.
+ * Reads and writes of volume data by one session. A rejected operation is retried as a new request after the delay that
+ * the rejection gives, until a time-out. Failed reads and writes are retried as well: the space belongs to one file,
+ * and a repeated write carries the same bytes.
  */
 final class BlockIo {
     /** Time during which an operation is retried; after it the transfer of the file fails. */
     static final long RETRY_TIMEOUT_US = 30_000_000;
-    /** Minimum delay between two tries of an operation. */
+    /** Minimum delay between two attempts of an operation. */
     private static final long MIN_RETRY_DELAY_US = 20_000;
 
     /** Result of an operation: the bytes read (none for a write), or the error text. */
@@ -96,7 +96,7 @@
         new Operation(volume, Op.READ, offset, length, null, callback).submit();
     }
 
-    /** Writes a block; the result is given once it is durable. */
+    /** Writes data; the result is given once it is durable. */
     void write(Volume volume, long offset, byte[] data, Consumer<Result> callback) {
         new Operation(volume, Op.WRITE, offset, data.length, data, callback).submit();
     }
@@ -111,7 +111,7 @@
         return writeOutcomeUnknown;
     }
 
-    /** Cancels all operations; no callback is invoked any more. */
+    /** Abandons all operations; no callback is invoked any more. */
     void abandon() {
         awaitingRetry.clear();
         for (Operation operation : List.copyOf(inProgress)) {
--- a/core/src/main/java/garnetreel/core/server/rsync/FileCatalogueStore.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileCatalogueStore.java
@@ -37,7 +37,7 @@
     private final Map<String, Volume> volumes = new HashMap<>();
     private final ArrayDeque<PendingCommit> pendingCommits = new ArrayDeque<>();
     private final ArrayDeque<DelayedRelease> delayedReleases = new ArrayDeque<>();
-    private final long longestDeadline;
+    private final long longestTimeLimit;
     private List<NetAction> actions = new ArrayList<>();
     private long now;
     private long lastSeq;
@@ -58,7 +58,7 @@
         catalogue = new Catalogue(moduleVolumes, stored.snapshot(), stored.records());
         lastSeq = catalogue.seq();
         nextSnapshotSeq = lastSeq + SNAPSHOT_INTERVAL;
-        longestDeadline = settings.scheduling().classes().stream()
+        longestTimeLimit = settings.scheduling().classes().stream()
                 .mapToLong(c -> c.timeLimit())
                 .max()
                 .orElse(0);
@@ -84,7 +84,7 @@
         FileChange change = catalogue.change(lastSeq, removed, changed);
         lastSeq = change.seq();
         pendingCommits.add(new PendingCommit(change, done));
-        actions.add(new NetAction.Append(change.seq(), change.bytes()));
+        actions.add(new NetAction.Append(change.seq(), change.encode()));
     }
 
     /** All records up to this sequence number are durable. */
@@ -101,13 +101,14 @@
     }
 
     /**
-     * Releases space to which writes of unknown outcome were sent, once these can no longer take effect. Otherwise a write
-     * that a node is still executing could overwrite a file that was given the space meanwhile. The space stays unusable
-     * for twice the longest deadline.
+     * Releases space to which writes of unknown outcome were sent, once these can no longer take effect. Otherwise a
+     * write that a node is still executing could overwrite a file that was given the space meanwhile. The space stays
+     * unusable for twice the longest time limit of a request: no node starts the write after the first, and the second
+     * is a margin for work in progress.
      */
     void releaseLater(String module, List<Piece> pieces) {
         if (!pieces.isEmpty()) {
-            delayedReleases.add(new DelayedRelease(now + 2 * longestDeadline, module, List.copyOf(pieces)));
+            delayedReleases.add(new DelayedRelease(now + 2 * longestTimeLimit, module, List.copyOf(pieces)));
         }
     }
 
--- a/core/src/main/java/garnetreel/core/server/rsync/FileReceiver.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileReceiver.java
@@ -33,7 +33,11 @@
     /** Number of directories and links after which a change of the catalogue is committed. */
     private static final int MAX_ENTRIES_PER_CHANGE = 500;
 
-    private static final int LAST_PHASE = 3;
+    /**
+     * Number of phases whose end both sides send before the goodbye: the transfer, the retry of files whose checksum
+     * did not match, and one without transfers here.
+     */
+    private static final int PHASES = 3;
 
     private enum State {
         FILTERS,
@@ -68,10 +72,10 @@
     private String singleFilePath;
     private State state;
     private int nextIndex;
-    /** Phases that the client has ended. */
-    private int phase;
+    /** Number of phases whose end the client has sent. */
+    private int phaseEndsReceived;
 
-    /** Phases whose end has been sent to the client. */
+    /** Number of phases whose end has been sent to the client. */
     private int phaseEndsSent;
 
     private int pendingCommits;
@@ -159,7 +163,7 @@
 
     /** Skips the list of user or group names; ownership is not stored. */
     private boolean skipIdNames(State nextState) throws RsyncIn.IncompleteInputException, ProtocolException {
-        if (state == State.GROUP_NAMES && !options.group) {
+        if (state == State.GROUP_NAMES && !options.group) { // the client sends group names only with -g
             state = nextState;
             completeList();
             return true;
@@ -179,7 +183,7 @@
         sorted.forEach(listed -> items.add(listed.item()));
         sorted.clear();
         FileEntry destination = directory.isEmpty() ? null : catalogue.get(module.name(), directory);
-        boolean singleFile = items.size() == 1 && !items.get(0).directory();
+        boolean singleFile = items.size() == 1 && !items.get(0).isDirectory();
         if (destination != null && !destination.isDirectory() && !singleFile) {
             throw new ProtocolException("the destination \"" + FileNames.printable(directory) + "\" is no directory");
         }
@@ -209,13 +213,13 @@
             if (options.dryRun || path.isEmpty()) {
                 continue;
             }
-            if (item.directory() || item.symlink()) {
+            if (item.isDirectory() || item.isSymbolicLink()) {
                 FileEntry old = catalogue.get(module.name(), path);
                 if (options.existing && old == null) {
                     continue;
                 }
                 addMissingParents(changed, addedPaths, FileNames.parent(path), false);
-                FileEntry entry = item.directory()
+                FileEntry entry = item.isDirectory()
                         ? FileEntry.directory(module.name(), path, mode(item, old, 0755), time(item))
                         : FileEntry.link(module.name(), path, item.mode(), time(item), item.target());
                 boolean unchanged = old != null
@@ -225,7 +229,7 @@
                 if (!unchanged && addedPaths.add(path)) {
                     changed.add(entry);
                 }
-            } else if (!item.regular()) {
+            } else if (!item.isRegularFile()) {
                 session.sendMessage(
                         Rsync.INFO, "skipping non-regular file \"" + FileNames.printable(item.name()) + "\"\n");
             }
@@ -256,7 +260,7 @@
         return options.perms
                 ? item.mode()
                 : item.mode() & Rsync.FILE_TYPE_MASK
-                        | (old != null ? old.mode() & 07777 : item.directory() ? defaultMode : item.mode() & 0777);
+                        | (old != null ? old.mode() & 07777 : item.isDirectory() ? defaultMode : item.mode() & 0777);
     }
 
     private long time(FileItem item) {
@@ -273,7 +277,7 @@
         Set<String> directories = new HashSet<>();
         for (FileItem item : items) {
             listedPaths.add(path(item));
-            if (item.directory()) {
+            if (item.isDirectory()) {
                 directories.add(path(item));
             }
         }
@@ -332,19 +336,22 @@
         if (outstanding.size() >= MAX_OUTSTANDING_REQUESTS || !session.canWrite()) {
             return false;
         }
-        if (phase == 0 && nextIndex < items.size()) {
+        if (phaseEndsReceived == 0 && nextIndex < items.size()) {
             int index = nextIndex++;
             FileItem item = items.get(index);
-            if (item.regular()) {
+            if (item.isRegularFile()) {
                 requestIfChanged(index, item);
             }
             return true;
         }
-        if (phase > 0 && phase < LAST_PHASE && !redo.isEmpty() && phaseEndsSent == phase) {
+        if (phaseEndsReceived > 0
+                && phaseEndsReceived < PHASES
+                && !redo.isEmpty()
+                && phaseEndsSent == phaseEndsReceived) {
             request(redo.poll(), null, true);
             return true;
         }
-        if (phaseEndsSent == phase && phaseEndsSent < LAST_PHASE && redo.isEmpty()) {
+        if (phaseEndsSent == phaseEndsReceived && phaseEndsSent < PHASES && redo.isEmpty()) {
             session.out.index(Rsync.PHASE_END);
             session.flush();
             phaseEndsSent++;
@@ -374,7 +381,7 @@
 
     private boolean unchanged(FileEntry old, FileItem item) {
         return options.checksum
-                ? Arrays.equals(old.md5(), item.sum())
+                ? Arrays.equals(old.md5(), item.md5())
                 : options.sizeOnly || !options.ignoreTimes && old.modified() == item.modified();
     }
 
@@ -417,11 +424,11 @@
         }
         int index = session.in.index();
         if (index == Rsync.PHASE_END) {
-            phase++;
-            if (phase > phaseEndsSent) {
+            phaseEndsReceived++;
+            if (phaseEndsReceived > phaseEndsSent) {
                 throw new ProtocolException("a phase ended that had not begun");
             }
-            if (phase == LAST_PHASE) {
+            if (phaseEndsReceived == PHASES) {
                 state = State.GOODBYE;
             }
             return true;
@@ -507,7 +514,8 @@
                             + "\n");
         } else if (!received.sumMatches()) {
             received.discard();
-            if (retried.add(request.index()) && phase < 2) {
+            // A file is retried once, and not after the second phase.
+            if (retried.add(request.index()) && phaseEndsReceived < 2) {
                 redo.add(request.index());
             } else {
                 session.sendMessage(
--- a/core/src/main/java/garnetreel/core/server/rsync/FileSender.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FileSender.java
@@ -28,7 +28,9 @@
     /** Maximum number of reads in progress for one client. */
     private static final int MAX_OUTSTANDING_READS = 4;
 
+    /** Index of the last of the three phases, whose ends both sides send before the goodbye. */
     private static final int LAST_PHASE = 2;
+
     private static final int ENTRIES_PER_STEP = 256;
 
     private enum State {
@@ -42,7 +44,12 @@
         GOODBYE
     }
 
-    /** A directory that is being listed, and the directories in it that filter rules hide. */
+    /**
+     * A directory that is being listed.
+     *
+     * @param root path that names in the file list are relative to: that of the requested directory or of its parent
+     * @param hidden names of the directories below it that filter rules hide
+     */
     private record Walk(String path, String root, Iterator<FileEntry> entries, Set<String> hidden) {}
 
     private final RsyncSession session;
@@ -283,7 +290,7 @@
             echoItem();
             return true;
         }
-        if (!items.get(index).regular()) {
+        if (!items.get(index).isRegularFile()) {
             throw new ProtocolException("index " + index + " is no regular file");
         }
         state = State.CHECKSUM_HEADER;
--- a/core/src/main/java/garnetreel/core/server/rsync/FilterRules.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/FilterRules.java
@@ -7,7 +7,8 @@
 /**
  * The filter rules of a client; the first rule that matches a name decides. Patterns follow rsync's manual: a leading
  * slash anchors a pattern at the root of the transfer, a trailing one restricts it to directories, {@code *} does not
- * match a slash, {@code **} does, and a pattern without a slash is matched against the last path component.
+ * match a slash, {@code **} does, and a pattern without a slash and {@code **} is matched against the last path
+ * component.
  */
 final class FilterRules {
     /** Maximum number of rules that a client may send. */
@@ -48,7 +49,7 @@
                 case '/', ',', '_' -> {}
                 case 's' -> receiver = false;
                 case 'r' -> sender = false;
-                case 'p' -> receiver = false;
+                case 'p' -> receiver = false; // perishable: does not protect a name from deletion
                 default -> throw new ProtocolException(
                         "the filter rule \"" + text + "\" has a modifier that is not " + "offered here");
             }
--- a/core/src/main/java/garnetreel/core/server/rsync/IncomingFile.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/IncomingFile.java
@@ -19,9 +19,11 @@
  */
 final class IncomingFile {
     private static final int WRITE_LENGTH = 128 << 10;
-    private static final int MAX_OUTSTANDING_WRITES = 4;
-    /** Largest literal accepted; clients send 32 KiB at a time. */
-    private static final int MAX_LITERAL_LENGTH = 1 << 20;
+    /** Number of reads and writes of the session in progress from which no further token is processed. */
+    private static final int MAX_OUTSTANDING_OPERATIONS = 4;
+
+    /** Largest literal accepted in bytes; rsync clients send 32 KiB at a time. */
+    private static final int MAX_ACCEPTED_LITERAL_LENGTH = 1 << 20;
 
     private final RsyncSession session;
     private final String module;
@@ -41,7 +43,7 @@
     private byte[] expectedSum;
     private byte[] actualSum;
     private String error;
-    private boolean spaceHandedOver;
+    private boolean spaceSettled;
 
     IncomingFile(
             RsyncSession session,
@@ -70,7 +72,7 @@
 
     /** Processes the next token or part of a literal; false while it waits for input or block operations. */
     boolean step() throws RsyncIn.IncompleteInputException, ProtocolException {
-        if (basisReadPending || error == null && session.blockIo.outstanding() >= MAX_OUTSTANDING_WRITES) {
+        if (basisReadPending || error == null && session.blockIo.outstanding() >= MAX_OUTSTANDING_OPERATIONS) {
             return false;
         }
         if (endTokenRead) {
@@ -86,7 +88,7 @@
             return true;
         }
         int token = session.in.i32();
-        if (token > MAX_LITERAL_LENGTH) {
+        if (token > MAX_ACCEPTED_LITERAL_LENGTH) {
             throw new ProtocolException("a literal of " + token + " bytes");
         }
         if (token > 0) {
@@ -200,7 +202,7 @@
 
     /** Hands over the pieces that hold the contents, adjacent ones merged; from now on the caller has to release them. */
     List<Piece> takePieces() {
-        spaceHandedOver = true;
+        spaceSettled = true;
         List<Piece> joined = new ArrayList<>();
         for (Piece piece : pieces) {
             Piece previous = joined.isEmpty() ? null : joined.get(joined.size() - 1);
@@ -215,10 +217,10 @@
 
     /** Discards the contents: releases their space, delayed if a write may still take effect there. */
     void discard() {
-        if (spaceHandedOver) {
+        if (spaceSettled) {
             return;
         }
-        spaceHandedOver = true;
+        spaceSettled = true;
         if (session.blockIo.writeOutcomeUnknown()) {
             session.server.files.releaseLater(module, pieces);
         } else {
--- a/core/src/main/java/garnetreel/core/server/rsync/RsyncServer.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/RsyncServer.java
@@ -13,7 +13,10 @@
 
 /** Serves the rsync connections of a gateway; its modules are given by the settings. */
 public final class RsyncServer extends ProtocolServer<RsyncSession> {
-    /** Marks the operation tags of rsync sessions; NBD clients do not use this bit. */
+    /**
+     * Marks the operation tags of rsync sessions, for traces; the NBD load generators of the test bed do not use this
+     * bit.
+     */
     private static final long TAG_BASE = 1L << 62;
 
     private static final long INCARNATION_MASK = (1L << 28) - 1;
@@ -48,7 +51,8 @@
     }
 
     long nextTag() {
-        // Unique across gateways and their restarts: the incarnation, a start time in milliseconds, comes first.
+        // The upper bits tell gateways and their restarts apart in traces: the incarnation, a start time in us, in
+        // units of 1024 us and mixed with the gateway's number. With 28 bits they repeat after about three days.
         return TAG_BASE
                 | ((settings.incarnation() >> 10) * 31 + settings.gatewayNumber() & INCARNATION_MASK) << 32
                 | ++lastTag & 0xffffffffL;
--- a/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
@@ -29,14 +29,17 @@
 
     /** Limit in bytes of unprocessed input, past which the socket is not read. */
     private static final int MAX_INBOUND = 1 << 20;
-    /** Maximum number of steps in one turn; each processes a message, a block, or some hundred names. */
+    /**
+     * Maximum number of steps in one turn; each processes a message, a block, a filter rule or a received list entry,
+     * or sends some hundred list entries.
+     */
     private static final int MAX_STEPS_PER_TURN = 32;
     /** Idle time after which a connection is closed; a peer may be busy with its own disk during a transfer. */
     private static final long IDLE_TIMEOUT_US = 600_000_000;
     /** Time without output after which a keep-alive is sent, for example while a rejected block is retried. */
     private static final long KEEP_ALIVE_INTERVAL_US = 15_000_000;
 
-    private enum Phase {
+    private enum State {
         GREETING,
         MODULE,
         AUTHENTICATION,
@@ -52,7 +55,7 @@
     final BlockIo blockIo;
     private final MultiplexedFrames demultiplexer = new MultiplexedFrames();
     private final List<String> arguments = new ArrayList<>();
-    private Phase phase = Phase.GREETING;
+    private State state = State.GREETING;
     private GatewaySettings.Module module;
     private Transfer transfer;
     private String challenge = "";
@@ -90,11 +93,11 @@
     public void received(ByteBuffer data) {
         lastReceivedAt = server.time();
         receivedBytes += data.remaining();
-        if (phase == Phase.CLOSING) {
+        if (state == State.CLOSING) {
             return;
         }
         try {
-            if (phase == Phase.TRANSFER) {
+            if (state == State.TRANSFER) {
                 demultiplexer.add(data, in, this::handleMessage);
             } else {
                 in.add(data);
@@ -134,7 +137,7 @@
 
     @Override
     public void disconnected() {
-        phase = Phase.CLOSED;
+        state = State.CLOSED;
         blockIo.abandon();
         if (transfer != null) {
             transfer.disconnected();
@@ -147,7 +150,7 @@
 
     @Override
     public void end(boolean abort) {
-        if (phase != Phase.CLOSED) {
+        if (state != State.CLOSED) {
             server.emit(new NetAction.Close(connectionId, abort));
             disconnected();
         }
@@ -156,7 +159,7 @@
     /** Closes the connection unless a transfer is in progress, which runs to its end. */
     @Override
     public void closeGracefully() {
-        if (phase != Phase.TRANSFER) {
+        if (state != State.TRANSFER) {
             end(false);
         }
     }
@@ -168,7 +171,7 @@
                     NetAction.Level.INFO,
                     "rsync client idle for " + IDLE_TIMEOUT_US / 1_000_000 + " s; connection closed"));
             end(true);
-        } else if (phase == Phase.TRANSFER && server.time() - lastSentAt > KEEP_ALIVE_INTERVAL_US) {
+        } else if (state == State.TRANSFER && server.time() - lastSentAt > KEEP_ALIVE_INTERVAL_US) {
             write(RsyncOut.frame(Rsync.DATA, new byte[0], 0));
         }
     }
@@ -176,10 +179,10 @@
     // ---------------------------------------------------------------- output
 
     private void write(ByteBuffer data) {
-        if (data != null && phase != Phase.CLOSED) {
+        if (data != null && state != State.CLOSED) {
             outbound += data.remaining();
             sentBytes += data.remaining();
-            server.byteBudget().release(-data.remaining());
+            server.byteBudget().release(-data.remaining()); // acquires budget for the output
             lastSentAt = server.time();
             server.emit(new NetAction.Write(connectionId, data));
         }
@@ -191,7 +194,7 @@
 
     private void sendError(String text) {
         sendText("@ERROR: " + text + "\n");
-        phase = Phase.CLOSING;
+        state = State.CLOSING;
         end(false);
     }
 
@@ -234,11 +237,11 @@
     /** Closes the connection after a protocol error, with a message that clients print. */
     private void fail(String reason) {
         server.emit(new NetAction.Log(NetAction.Level.DEBUG, "rsync: " + reason + "; connection closed"));
-        if (phase == Phase.TRANSFER) {
+        if (state == State.TRANSFER) {
             sendMessage(Rsync.ERROR, "garnetreel: " + reason + "\n");
-            phase = Phase.CLOSING;
+            state = State.CLOSING;
             end(false);
-        } else if (phase != Phase.CLOSED && phase != Phase.CLOSING) {
+        } else if (state != State.CLOSED && state != State.CLOSING) {
             sendError(reason);
         }
     }
@@ -246,7 +249,7 @@
     /** Ends a completed transfer: closes the connection once all output has been sent. */
     void finish() {
         flush();
-        phase = Phase.CLOSING;
+        state = State.CLOSING;
         end(false);
     }
 
@@ -264,7 +267,7 @@
             do {
                 pumpAgain = false;
                 boolean progressed = true;
-                while (progressed && phase != Phase.CLOSED && phase != Phase.CLOSING && steps < MAX_STEPS_PER_TURN) {
+                while (progressed && state != State.CLOSED && state != State.CLOSING && steps < MAX_STEPS_PER_TURN) {
                     progressed = step();
                     steps++;
                 }
@@ -278,7 +281,7 @@
         } finally {
             pumping = false;
         }
-        if (phase != Phase.CLOSED) {
+        if (state != State.CLOSED) {
             flush();
             server.byteBudget().release(inbound - in.size());
             inbound = in.size();
@@ -291,8 +294,9 @@
     }
 
     /**
-     * Schedules the remaining steps in a turn of their own, so that a client with much buffered input does not delay the
-     * others: a list of 200,000 names held them up for half a second. It costs that client a turn for each few steps.
+     * Schedules the remaining steps in a turn of their own, so that a client with much buffered input does not delay
+     * the others: a list of 200,000 names held them up for half a second. It costs that client a turn for every
+     * {@link #MAX_STEPS_PER_TURN} steps.
      */
     private void scheduleContinuation() {
         if (!continuationScheduled) {
@@ -300,7 +304,7 @@
             server.schedule(1, () -> {
                 continuationScheduled = false;
                 steps = 0;
-                if (phase != Phase.CLOSED) {
+                if (state != State.CLOSED) {
                     pump();
                 }
             });
@@ -308,7 +312,7 @@
     }
 
     private boolean step() throws ProtocolException {
-        return switch (phase) {
+        return switch (state) {
             case GREETING -> readGreeting();
             case MODULE -> readModule();
             case AUTHENTICATION -> authenticate();
@@ -331,7 +335,7 @@
             throw new ProtocolException(
                     "protocol version " + version + " is not offered; " + Rsync.MIN_VERSION + " is the oldest");
         }
-        phase = Phase.MODULE;
+        state = State.MODULE;
         return true;
     }
 
@@ -347,7 +351,7 @@
                     .modules()
                     .forEach(m -> sendText(String.format("%-15s\t%s\n", m.name(), m.comment())));
             sendText("@RSYNCD: EXIT\n");
-            phase = Phase.CLOSING;
+            state = State.CLOSING;
             end(false);
             return false;
         }
@@ -363,7 +367,7 @@
         } else {
             challenge = base64(server.nonce());
             sendText("@RSYNCD: AUTHREQD " + challenge + "\n");
-            phase = Phase.AUTHENTICATION;
+            state = State.AUTHENTICATION;
         }
         return true;
     }
@@ -396,7 +400,7 @@
 
     private void beginArguments() {
         sendText("@RSYNCD: OK\n");
-        phase = Phase.ARGUMENTS;
+        state = State.ARGUMENTS;
     }
 
     private boolean readArgument() throws ProtocolException {
@@ -412,7 +416,7 @@
             return true;
         }
         server.handshakeCompleted(this);
-        phase = Phase.TRANSFER;
+        state = State.TRANSFER;
         // No compatibility flag is set: no incremental file list and no negotiated checksums, so that MD5 and the
         // encodings of protocol version 30 apply.
         byte[] nonce = server.nonce();
--- a/core/src/main/java/garnetreel/core/server/rsync/TransferOptions.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/TransferOptions.java
@@ -6,10 +6,12 @@
 import java.util.Set;
 
 /**
- * The options and paths of a transfer, parsed from the arguments that a client passes to the server. An unsupported option
- * that affects the protocol is rejected with a message; one that concerns only the client's side is ignored.
+ * The options and paths of a transfer, parsed from the arguments that a client passes to the server. An unsupported
+ * option is rejected with a message, unless a transfer can do without it; such an option is ignored, also if it is for
+ * the server, as {@code --inplace}.
  */
 final class TransferOptions {
+    /** Options without effect here. No rsync option is called {@code --remove-sent-files-not}. */
     private static final Set<String> IGNORED = Set.of(
             "--partial",
             "--inplace",
@@ -34,6 +36,7 @@
             "--msgs2stderr",
             "--no-msgs2stderr",
             "--fsync");
+    /** Starts of options without effect here. No rsync option is called {@code --new-compress-not}. */
     private static final List<String> IGNORED_PREFIXES = List.of(
             "--log-format=",
             "--out-format=",
--- a/emulator/src/main/java/garnetreel/emulator/ConnectionEnd.java
+++ b/emulator/src/main/java/garnetreel/emulator/ConnectionEnd.java
@@ -7,7 +7,7 @@
 final class ConnectionEnd {
     final SimulatedProcess process;
     final long connectionId;
-    /** The other end; null until the process of this end has learned that the connection is open. */
+    /** The other end; at the connecting end null until the process is notified that the connection is open. */
     ConnectionEnd peer;
 
     boolean reading = true;
--- a/emulator/src/main/java/garnetreel/emulator/SimulatedProcess.java
+++ b/emulator/src/main/java/garnetreel/emulator/SimulatedProcess.java
@@ -140,7 +140,7 @@
         } else if (action instanceof NetAction.Snapshot snapshot) {
             whenDurable(() -> store.snapshot(snapshot.sequence(), snapshot.data(), snapshot.retainedRecords()));
         } else if (action instanceof NetAction.Persist persist) {
-            store.put(persist.name(), persist.data());
+            store.put(persist.name(), persist.data()); // without latency: no event reports that it is durable
         }
     }
 
--- a/emulator/src/main/java/garnetreel/emulator/VirtualNetwork.java
+++ b/emulator/src/main/java/garnetreel/emulator/VirtualNetwork.java
@@ -168,7 +168,7 @@
         schedule(nextArrival(to), () -> {
             to.closeArrived = true;
             to.closeReason = reason;
-            // A process that has paused reading is notified of the close too.
+            // A process that has paused reading receives its unread bytes and the close too.
             to.reading = true;
             deliver(to);
         });
--- a/files/src/main/java/garnetreel/files/Catalogue.java
+++ b/files/src/main/java/garnetreel/files/Catalogue.java
@@ -52,7 +52,7 @@
             seq = decoded.seq();
             decoded.entries().forEach(entry -> entries.put(entry.name(), entry));
         }
-        records.forEach(record -> replay(FileChange.of(record)));
+        records.forEach(record -> replay(FileChange.decode(record)));
         modules.forEach(module -> freeSpace.put(module.module(), new FreeSpace(module.size())));
         for (FileEntry entry : entries.values()) {
             lastVersion = Math.max(lastVersion, entry.version());
@@ -114,10 +114,10 @@
      *
      * @param after sequence number of the preceding change
      */
-    public FileChange change(long after, List<Name> gone, List<FileEntry> put) {
+    public FileChange change(long after, List<Name> removed, List<FileEntry> put) {
         List<FileEntry> versioned = new ArrayList<>();
         put.forEach(entry -> versioned.add(entry.withVersion(++lastVersion)));
-        return new FileChange(after + 1, gone, versioned);
+        return new FileChange(after + 1, removed, versioned);
     }
 
     /** Applies a durable change. The space of replaced and removed entries is freed once they have no readers. */
--- a/files/src/main/java/garnetreel/files/CatalogueSnapshot.java
+++ b/files/src/main/java/garnetreel/files/CatalogueSnapshot.java
@@ -19,7 +19,9 @@
  * @param seq sequence number of the last change that it includes
  */
 record CatalogueSnapshot(long seq, Collection<FileEntry> entries) {
+    /** "GRFC". */
     private static final int MAGIC = 0x47524643;
+
     private static final int CHECKSUM_OFFSET = 4;
     private static final int HEADER_BYTES = 8;
 
--- a/files/src/main/java/garnetreel/files/FileChange.java
+++ b/files/src/main/java/garnetreel/files/FileChange.java
@@ -29,7 +29,7 @@
     }
 
     /** Encodes the change as a journal record. */
-    public byte[] bytes() {
+    public byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeLong(seq);
@@ -53,18 +53,18 @@
      *
      * @throws IllegalStateException if it cannot be decoded
      */
-    public static FileChange of(byte[] bytes) {
+    public static FileChange decode(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             long seq = in.readLong();
-            List<Name> gone = new ArrayList<>();
+            List<Name> removed = new ArrayList<>();
             for (int left = in.readInt(); left > 0; left--) {
-                gone.add(new Name(in.readUTF(), in.readUTF()));
+                removed.add(new Name(in.readUTF(), in.readUTF()));
             }
             List<FileEntry> put = new ArrayList<>();
             for (int left = in.readInt(); left > 0; left--) {
                 put.add(FileEntry.read(in));
             }
-            return new FileChange(seq, gone, put);
+            return new FileChange(seq, removed, put);
         } catch (IOException e) {
             throw new IllegalStateException("cannot decode a record of the file catalogue: " + e.getMessage(), e);
         }
--- a/files/src/main/java/garnetreel/files/FileEntry.java
+++ b/files/src/main/java/garnetreel/files/FileEntry.java
@@ -8,12 +8,14 @@
 import java.util.List;
 
 /**
- * One version of a file, directory or symbolic link. Immutable: a change creates an entry with a higher version.
+ * One version of a file, directory or symbolic link. Immutable: {@link Catalogue#change} creates copies with higher
+ * versions.
  *
  * @param module module that contains it
  * @param path path within the module: components separated by slashes, one character for each byte
  * @param version number of the version, unique across all modules; a replacement has a higher one
  * @param mode file type and permissions, as in POSIX
+ * @param size length of the contents in bytes; for a symbolic link that of the target, for a directory 0
  * @param modified modification time, in seconds since 1970
  * @param md5 MD5 of the contents; empty unless it is a regular file
  * @param pieces location of the contents on the volume, in order
@@ -37,12 +39,12 @@
     /** A contiguous range of a volume, in bytes. */
     public record Piece(long offset, long length) {}
 
-    /** Creates an entry for a directory with version 0, until {@link Catalogue#change} gives it one. */
+    /** Creates an entry for a directory with version 0; {@link Catalogue#change} creates a copy that has one. */
     public static FileEntry directory(String module, String path, int mode, long modified) {
         return new FileEntry(module, path, 0, DIRECTORY | mode & 07777, 0, modified, new byte[0], List.of(), "");
     }
 
-    /** Creates an entry for a symbolic link with version 0, until {@link Catalogue#change} gives it one. */
+    /** Creates an entry for a symbolic link with version 0; {@link Catalogue#change} creates a copy that has one. */
     public static FileEntry link(String module, String path, int mode, long modified, String target) {
         return new FileEntry(module, path, 0, mode, target.length(), modified, new byte[0], List.of(), target);
     }
@@ -65,7 +67,7 @@
         return new FileEntry(module, path, newVersion, mode, size, modified, md5, pieces, target);
     }
 
-    /** A copy with other attributes and the same contents. */
+    /** A copy with other attributes, and the same contents and version. */
     public FileEntry withAttributes(int newMode, long newModified) {
         return new FileEntry(module, path, version, newMode, size, newModified, md5, pieces, target);
     }
--- a/files/src/main/java/garnetreel/files/FreeSpace.java
+++ b/files/src/main/java/garnetreel/files/FreeSpace.java
@@ -39,7 +39,7 @@
         for (Map.Entry<Long, Long> range : freeRanges.entrySet()) {
             if (range.getValue() >= needed) {
                 long offset = range.getKey();
-                remove(offset, needed);
+                takeRange(offset, needed);
                 return List.of(new Piece(offset, length));
             }
         }
@@ -52,7 +52,7 @@
         while (remaining > 0) {
             long offset = freeRanges.firstKey();
             long allocated = Math.min(freeRanges.get(offset), roundUpToBlocks(remaining));
-            remove(offset, allocated);
+            takeRange(offset, allocated);
             long used = Math.min(allocated, remaining);
             pieces.add(new Piece(offset, used));
             remaining -= used;
@@ -67,11 +67,11 @@
      */
     void markAllocated(Piece piece) {
         if (piece.length() > 0) {
-            remove(piece.offset(), roundUpToBlocks(piece.length()));
+            takeRange(piece.offset(), roundUpToBlocks(piece.length()));
         }
     }
 
-    private void remove(long offset, long length) {
+    private void takeRange(long offset, long length) {
         Map.Entry<Long, Long> range = freeRanges.floorEntry(offset);
         if (range == null || range.getKey() + range.getValue() < offset + length) {
             throw new IllegalStateException(
--- a/files/src/test/java/garnetreel/files/CatalogueTest.java
+++ b/files/src/test/java/garnetreel/files/CatalogueTest.java
@@ -31,8 +31,8 @@
 
     private void commit(List<Name> gone, List<FileEntry> put) {
         FileChange change = files.change(files.seq(), gone, put);
-        journal.add(change.bytes());
-        files.apply(FileChange.of(change.bytes()));
+        journal.add(change.encode());
+        files.apply(FileChange.decode(change.encode()));
     }
 
     @Test
@@ -123,7 +123,7 @@
         assertThrows(
                 IllegalStateException.class,
                 () -> new Catalogue(
-                        MODULES, files.snapshot(), List.of(new FileChange(4, List.of(), List.of(twice)).bytes())));
+                        MODULES, files.snapshot(), List.of(new FileChange(4, List.of(), List.of(twice)).encode())));
     }
 
     @Test
--- a/testbed/src/main/java/garnetreel/testbed/client/ExpectedPages.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/ExpectedPages.java
@@ -10,7 +10,7 @@
 /**
  * The contents that a read may return, for each page that only this client writes. A write fills its pages with one
  * number, its stamp. After an acknowledged write only its stamp is expected; a failed write may or may not have taken
- * effect, and may still do so for a short time.
+ * effect, and may still do so for a short time. Its stamp is accepted until a write is acknowledged after that time.
  */
 final class ExpectedPages {
     /** Microseconds for which a write of unknown outcome may still take effect: a node completes work it has begun. */
--- a/testbed/src/main/java/garnetreel/testbed/client/LoadAttempt.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/LoadAttempt.java
@@ -16,13 +16,13 @@
         this.data = request.operation.isRead() ? new byte[request.length] : null;
     }
 
-    void add(ReplyChunk piece) {
-        if (piece.error() != 0) {
-            error = piece.error();
-            message = piece.message();
-        } else if (piece.data() != null) {
-            int position = (int) (piece.offset() - request.offset);
-            System.arraycopy(piece.data(), 0, data, position, piece.data().length);
+    void add(ReplyChunk chunk) {
+        if (chunk.error() != 0) {
+            error = chunk.error();
+            message = chunk.message();
+        } else if (chunk.data() != null) {
+            int position = (int) (chunk.offset() - request.offset);
+            System.arraycopy(chunk.data(), 0, data, position, chunk.data().length);
         }
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/client/NbdLoadConnections.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/NbdLoadConnections.java
@@ -10,7 +10,9 @@
 /** The connections of an NBD load generator, assigned round robin to the gateways that it uses. */
 final class NbdLoadConnections {
     static final long RECONNECT_DELAY = 100_000;
-    /** Shares of the requests that the first gateways get; the last gateway gets the remainder. */
+    /**
+     * Shares of the requests that the gateways get. The last one gets the remainder; with these, a fourth gets none.
+     */
     private static final double[] GATEWAY_WEIGHTS = {0.6, 0.25, 0.15};
 
     private final int gatewayCount;
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncLoadGenerator.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncLoadGenerator.java
@@ -30,11 +30,11 @@
         public long pushes;
         /** Pulls started. */
         public long pulls;
-        /** Runs that completed the goodbye exchange without an error. */
+        /** Runs that completed the goodbye exchange without errors. */
         public long completed;
-        /** Runs that completed the goodbye exchange with errors; also counted in {@link #broken}. */
+        /** Runs that completed the goodbye exchange with errors; also counted in {@link #failed}. */
         public long completedWithErrors;
-        /** Runs that ended but are not counted in {@link #whole}. */
+        /** Runs that ended but are not counted in {@link #completed}. */
         public long failed;
         /** Files transferred. */
         public long files;
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncPull.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncPull.java
@@ -33,7 +33,7 @@
     private final LocalFiles files;
     private final RsyncLoadGenerator.Tally tally;
     private final BiConsumer<String, String> onMismatch;
-    private final FileListCodec fileList = new FileListCodec(LIST_FORM);
+    private final FileListCodec fileList = new FileListCodec(LIST_OPTIONS);
     private final List<FileItem> items = new ArrayList<>();
     private State state = State.FILE_LIST;
     private RsyncIn in;
@@ -79,7 +79,7 @@
         }
         items.sort(FileItem.ORDER);
         for (int i = 0; i < items.size(); i++) {
-            if (items.get(i).regular()) {
+            if (items.get(i).isRegularFile()) {
                 requestWholeFile(i);
             }
         }
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncPush.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncPush.java
@@ -23,7 +23,7 @@
 
     private final LocalFiles files;
     private final RsyncLoadGenerator.Tally tally;
-    private final FileListCodec fileList = new FileListCodec(LIST_FORM);
+    private final FileListCodec fileList = new FileListCodec(LIST_OPTIONS);
     private List<FileItem> items = List.of();
     private State state = State.REQUESTS;
     private RsyncIn in;
--- a/testbed/src/main/java/garnetreel/testbed/client/RsyncTransfer.java
+++ b/testbed/src/main/java/garnetreel/testbed/client/RsyncTransfer.java
@@ -8,7 +8,7 @@
 /** The exchange of an rsync client inside the multiplexed stream of a run: a push or a pull. */
 interface RsyncTransfer {
     /** Form of the file list under the options of this client. */
-    FileListCodec.Options LIST_FORM = new FileListCodec.Options(true, false, false, false);
+    FileListCodec.Options LIST_OPTIONS = new FileListCodec.Options(true, false, false, false);
 
     /** Starts the transfer, and writes what is sent before anything is read. */
     void begin(RsyncIn input, RsyncOut output, int checksumSeed);
--- a/testbed/src/main/java/garnetreel/testbed/list/FakeNodeList.java
+++ b/testbed/src/main/java/garnetreel/testbed/list/FakeNodeList.java
@@ -31,7 +31,7 @@
 public final class FakeNodeList implements StateMachine {
     private static final String LISTENER = "list";
     /** Microseconds between messages to subscribers while nothing changes. */
-    private static final long KEEPALIVE_INTERVAL = 1_000_000;
+    private static final long KEEP_ALIVE_INTERVAL = 1_000_000;
     /** Microseconds for which a list that starts empty only lets nodes register, and fails the calls of gateways. */
     private static final long REGISTRATION_WINDOW = 1_000_000;
 
@@ -76,7 +76,7 @@
 
     private List<NetAction> actions = new ArrayList<>();
     private long now;
-    private long keepaliveAt;
+    private long keepAliveAt;
     private long registrationWindowEnd;
     private boolean started;
     private boolean failing;
@@ -101,7 +101,7 @@
         actions = into;
         if (!started) {
             started = true;
-            keepaliveAt = now + KEEPALIVE_INTERVAL;
+            keepAliveAt = now + KEEP_ALIVE_INTERVAL;
             registrationWindowEnd = table.isEmpty() ? now + REGISTRATION_WINDOW : 0;
             actions.add(new NetAction.Listen(LISTENER, listen));
         }
@@ -207,14 +207,14 @@
 
     // ---------------------------------------------------------------- notifications
 
-    /** Sends the changes that have become visible, or a keepalive, to all subscribers. */
+    /** Sends the changes that have become visible, or a keep-alive, to all subscribers. */
     private void notifySubscribers() {
         long since = table.version();
         List<Entry> published = table.publishDue(now);
-        if (published.isEmpty() && now < keepaliveAt) {
+        if (published.isEmpty() && now < keepAliveAt) {
             return;
         }
-        keepaliveAt = now + KEEPALIVE_INTERVAL;
+        keepAliveAt = now + KEEP_ALIVE_INTERVAL;
         for (Client client : clients.values()) {
             if (client.subscribed) {
                 write(client, new NodeListUpdate(Kind.DELTA, since, table.version(), published));
@@ -227,25 +227,25 @@
             return;
         }
         NodeListMessage sent = message;
-        if (message instanceof NodeListUpdate news) {
-            NodeListUpdate update = leavesGap(client, news) ? snapshot() : news;
-            client.notifiedVersion = update.version();
-            trace(client, update);
-            sent = update;
+        if (message instanceof NodeListUpdate update) {
+            NodeListUpdate gaplessUpdate = leavesGap(client, update) ? snapshot() : update;
+            client.notifiedVersion = gaplessUpdate.version();
+            trace(client, gaplessUpdate);
+            sent = gaplessUpdate;
         }
         actions.add(new NetAction.Write(client.connectionId, NodeListCodec.frame(sent)));
     }
 
     /** Whether the changes do not continue the last update sent, as the list was silent while it changed. */
-    private static boolean leavesGap(Client client, NodeListUpdate news) {
-        return news.kind() == Kind.DELTA
+    private static boolean leavesGap(Client client, NodeListUpdate update) {
+        return update.kind() == Kind.DELTA
                 && client.subscribed
                 && client.notifiedVersion != 0
-                && news.since() != client.notifiedVersion;
+                && update.since() != client.notifiedVersion;
     }
 
-    private void trace(Client client, NodeListUpdate news) {
-        for (Entry entry : news.entries()) {
+    private void trace(Client client, NodeListUpdate update) {
+        for (Entry entry : update.entries()) {
             trace.add(TraceEvent.state(
                     now,
                     name,
@@ -259,6 +259,6 @@
 
     @Override
     public long nextDeadline() {
-        return started ? Math.min(keepaliveAt, table.nextChangeAt()) : now;
+        return started ? Math.min(keepAliveAt, table.nextChangeAt()) : now;
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/MapServiceOrderHandler.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ControlCommandHandler.java
@@ -5,8 +5,8 @@
 import garnetreel.codec.node.NodeMessage.Step;
 import java.nio.ByteBuffer;
 
-/** Handles the orders of the map service: load reports, ownership reports and migration steps. */
-final class MapServiceOrderHandler {
+/** Executes the commands of the map service: LOAD, LIST_EXTENTS and the steps of migrations. */
+final class ControlCommandHandler {
     private final NodeSettings settings;
     private final Turn turn;
     private final MemoryDisk disk;
@@ -16,7 +16,7 @@
     private final long nodeIncarnation;
     private final MigrationParticipant participant;
 
-    MapServiceOrderHandler(
+    ControlCommandHandler(
             NodeSettings settings,
             Turn turn,
             MemoryDisk disk,
@@ -34,20 +34,20 @@
         this.participant = new MigrationParticipant(disk, nodeIncarnation);
     }
 
-    CommandReport execute(ControlCommand order) {
-        if (order.step() == Step.LOAD) {
-            return loadReport(order);
+    CommandReport execute(ControlCommand command) {
+        if (command.step() == Step.LOAD) {
+            return loadReport(command);
         }
-        if (order.step() == Step.LIST_EXTENTS) {
-            return participant.reportOwnership(order);
+        if (command.step() == Step.LIST_EXTENTS) {
+            return participant.listExtents(command);
         }
-        CommandReport report = participant.execute(order, queue.isExecuting(order.volume(), order.extent()));
-        trace.migrationStep(order, nodeIncarnation, report.ok());
+        CommandReport report = participant.execute(command, queue.isExecuting(command.volume(), command.extent()));
+        trace.migrationStep(command, nodeIncarnation, report.ok());
         return report;
     }
 
-    private CommandReport loadReport(ControlCommand order) {
+    private CommandReport loadReport(ControlCommand command) {
         ByteBuffer load = meter.takeReport(turn.now(), settings.cores(), disk.usedBytes(), settings.capacity());
-        return new CommandReport(order.seq(), true, false, nodeIncarnation, 0, load);
+        return new CommandReport(command.seq(), true, false, nodeIncarnation, 0, load);
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/node/ExecutionQueue.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ExecutionQueue.java
@@ -100,7 +100,7 @@
     boolean isExecuting(long volume, long extent) {
         for (List<Job> jobs : executing.values()) {
             for (Job job : jobs) {
-                if (disk.ownership().isWithinExtent(volume, extent, job.request.volume(), job.request.offset())) {
+                if (disk.extents().isWithinExtent(volume, extent, job.request.volume(), job.request.offset())) {
                     return true;
                 }
             }
--- a/testbed/src/main/java/garnetreel/testbed/node/OwnershipTable.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/ExtentTable.java
@@ -6,10 +6,10 @@
 import java.util.TreeSet;
 
 /**
- * The extents that a node serves and their versions. Extents that never migrated have no entry and are served under the
- * first version. Entries are durable at once; the set of pages changed during a copy is not.
+ * The extents that a node holds, their states and versions. Extents that never migrated have no entry and are served
+ * under the first version. Entries are durable at once; the set of pages changed during a copy is not.
  */
-public final class OwnershipTable {
+public final class ExtentTable {
     /** Version of extents that never migrated; gateways without a map use 0. */
     private static final long FIRST_VERSION = 1;
     /** Shift from bytes to megabytes, which stand in for extents while the extent size is unknown. */
@@ -23,7 +23,7 @@
         FENCED(1),
         /** The node is receiving the data of the extent. */
         RECEIVING(2),
-        /** The extent is owned by another node. */
+        /** Another node is the holder of the extent. */
         GONE(3);
 
         private final byte code;
@@ -32,22 +32,22 @@
             this.code = (byte) code;
         }
 
-        /** Code in an ownership report. */
+        /** Code in the report of LIST_EXTENTS. */
         byte code() {
             return code;
         }
     }
 
-    /** Ownership entry of an extent. */
-    static final class Ownership {
+    /** State and version of an extent at this node. */
+    static final class ExtentEntry {
         State state;
         long version;
-        /** Highest order number seen; orders with lower numbers are rejected. */
-        long highestOrder;
+        /** Highest sequence number of a command seen; commands with lower ones are rejected. */
+        long highestCommandSeq;
         /** Indexes of pages that were changed since they were last copied; null while changes are not tracked. */
         TreeSet<Integer> changedPages;
 
-        Ownership(State state, long version) {
+        ExtentEntry(State state, long version) {
             this.state = state;
             this.version = version;
         }
@@ -61,7 +61,7 @@
         }
     }
 
-    private final TreeMap<ExtentId, Ownership> entries = new TreeMap<>();
+    private final TreeMap<ExtentId, ExtentEntry> entries = new TreeMap<>();
     private final Map<Long, Integer> extentBytes = new HashMap<>();
 
     /** Extent of an offset; -1 if no extent of the volume ever took part in a migration here. */
@@ -76,25 +76,25 @@
         return extent < 0 ? offset >> MEGABYTE_SHIFT : extent;
     }
 
-    private Ownership find(long volume, long offset) {
+    private ExtentEntry find(long volume, long offset) {
         return entries.get(new ExtentId(volume, extent(volume, offset)));
     }
 
     /** Known version of the extent at an offset. */
     long knownVersion(long volume, long offset) {
-        Ownership entry = find(volume, offset);
+        ExtentEntry entry = find(volume, offset);
         return entry == null ? FIRST_VERSION : entry.version;
     }
 
     /** Whether a request that was routed by a version of the extent is served. */
     boolean serves(long volume, long offset, long version) {
-        Ownership entry = find(volume, offset);
+        ExtentEntry entry = find(volume, offset);
         return entry == null ? version <= FIRST_VERSION : entry.state == State.SERVING && entry.version == version;
     }
 
     /** Marks the pages of a range as changed if changes of its extent are tracked. */
     void markChanged(long volume, long offset, long length) {
-        Ownership entry = find(volume, offset);
+        ExtentEntry entry = find(volume, offset);
         if (entry == null || entry.changedPages == null) {
             return;
         }
@@ -116,15 +116,15 @@
      *
      * @param owned whether an extent without an entry is served by this node
      */
-    Ownership entry(long volume, long extent, int bytes, boolean owned) {
+    ExtentEntry entry(long volume, long extent, int bytes, boolean held) {
         extentBytes.put(volume, bytes);
         return entries.computeIfAbsent(
                 new ExtentId(volume, extent),
-                any -> owned ? new Ownership(State.SERVING, FIRST_VERSION) : new Ownership(State.GONE, 0));
+                any -> held ? new ExtentEntry(State.SERVING, FIRST_VERSION) : new ExtentEntry(State.GONE, 0));
     }
 
     /** The entries after an extent, in order. */
-    Map<ExtentId, Ownership> entriesAfter(long volume, long extent) {
+    Map<ExtentId, ExtentEntry> entriesAfter(long volume, long extent) {
         return entries.tailMap(new ExtentId(volume, extent), false);
     }
 
--- a/testbed/src/main/java/garnetreel/testbed/node/FakeNode.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/FakeNode.java
@@ -55,7 +55,7 @@
     private final ClientConnections connections;
     private final ExecutionQueue queue;
     private final RequestExecutor executor;
-    private final MapServiceOrderHandler orderHandler;
+    private final ControlCommandHandler commandHandler;
     private final ServedUnits servedUnits = new ServedUnits();
     private boolean started;
     private long drainAt = Long.MAX_VALUE;
@@ -80,7 +80,8 @@
         this.queue = new ExecutionQueue(settings, turn, disk, faults, random, warmUp, meter);
         this.connections = new ClientConnections(settings, turn, faults, random, queue::abandon);
         this.executor = new RequestExecutor(settings, turn, disk, meter, this.trace);
-        this.orderHandler = new MapServiceOrderHandler(settings, turn, disk, meter, queue, this.trace, nodeIncarnation);
+        this.commandHandler =
+                new ControlCommandHandler(settings, turn, disk, meter, queue, this.trace, nodeIncarnation);
     }
 
     @Override
@@ -196,8 +197,8 @@
             requestArrived(connection, request);
         } else if (message instanceof Cancel cancel) {
             queue.cancel(connection, cancel.id(), cancel.attempt());
-        } else if (message instanceof NodeMessage.ControlCommand order) {
-            orderArrived(connection, order);
+        } else if (message instanceof NodeMessage.ControlCommand command) {
+            commandArrived(connection, command);
         } else if (message instanceof Probe probe) {
             connections.write(connection, new ProbeReply(probe.id(), nodeIncarnation, load()));
         } else {
@@ -235,10 +236,10 @@
         }
     }
 
-    /** Orders bypass the queue; the pages that they read and write take no simulated time. */
-    private void orderArrived(ClientConnection connection, NodeMessage.ControlCommand order) {
+    /** Commands of the map service bypass the queue; the pages that they read and write take no simulated time. */
+    private void commandArrived(ClientConnection connection, NodeMessage.ControlCommand command) {
         if (!faults.suppressesAnswers() && !faults.isActive(NodeFault.Kind.CUT_OFF)) {
-            connections.write(connection, orderHandler.execute(order));
+            connections.write(connection, commandHandler.execute(command));
         }
     }
 
@@ -247,12 +248,12 @@
      * queued.
      */
     private boolean rejectIfStale(ClientConnection connection, Request request) {
-        OwnershipTable ownership = disk.ownership();
-        if (request.op() == Op.FLUSH || ownership.serves(request.volume(), request.offset(), request.version())) {
+        ExtentTable extents = disk.extents();
+        if (request.op() == Op.FLUSH || extents.serves(request.volume(), request.offset(), request.version())) {
             return false;
         }
         ByteBuffer knownVersion = ByteBuffer.allocate(Long.BYTES)
-                .putLong(ownership.knownVersion(request.volume(), request.offset()))
+                .putLong(extents.knownVersion(request.volume(), request.offset()))
                 .flip();
         answer(connection, request, Result.STALE, knownVersion);
         return true;
--- a/testbed/src/main/java/garnetreel/testbed/node/LoadMeter.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/LoadMeter.java
@@ -21,7 +21,7 @@
     /** Keeps the rates of a report finite if it immediately follows another. */
     private static final double MIN_SECONDS = 0.001;
 
-    private final Map<OwnershipTable.ExtentId, Long> unitsByExtent = new HashMap<>();
+    private final Map<ExtentTable.ExtentId, Long> unitsByExtent = new HashMap<>();
     private long units;
     private long workMicros;
     private long countedSince;
@@ -32,7 +32,7 @@
             countedSince = now;
         }
         units += requestUnits;
-        OwnershipTable.ExtentId id = new OwnershipTable.ExtentId(volume, extent);
+        ExtentTable.ExtentId id = new ExtentTable.ExtentId(volume, extent);
         if (unitsByExtent.size() < MAX_COUNTED_EXTENTS || unitsByExtent.containsKey(id)) {
             unitsByExtent.merge(id, (long) requestUnits, Long::sum);
         }
@@ -46,13 +46,13 @@
     /** Returns the report for {@link garnetreel.codec.node.NodeMessage.Step#LOAD} and resets all counts. */
     ByteBuffer takeReport(long now, int cores, long usedBytes, long capacity) {
         double seconds = Math.max(MIN_SECONDS, (now - (countedSince == 0 ? now : countedSince)) / 1e6);
-        List<Map.Entry<OwnershipTable.ExtentId, Long>> busiest = busiestExtents();
+        List<Map.Entry<ExtentTable.ExtentId, Long>> busiest = busiestExtents();
         ByteBuffer report = ByteBuffer.allocate(REPORT_HEADER + REPORT_ENTRY * busiest.size())
                 .putDouble(units / seconds)
                 .putDouble(workMicros / 1e6 / seconds / Math.max(1, cores))
                 .putLong(usedBytes)
                 .putLong(capacity);
-        for (Map.Entry<OwnershipTable.ExtentId, Long> extent : busiest) {
+        for (Map.Entry<ExtentTable.ExtentId, Long> extent : busiest) {
             report.putLong(extent.getKey().volume())
                     .putLong(extent.getKey().extent())
                     .putDouble(extent.getValue() / seconds);
@@ -64,9 +64,9 @@
         return report.flip();
     }
 
-    private List<Map.Entry<OwnershipTable.ExtentId, Long>> busiestExtents() {
-        List<Map.Entry<OwnershipTable.ExtentId, Long>> sorted = new ArrayList<>(unitsByExtent.entrySet());
-        sorted.sort(Map.Entry.<OwnershipTable.ExtentId, Long>comparingByValue(Comparator.reverseOrder())
+    private List<Map.Entry<ExtentTable.ExtentId, Long>> busiestExtents() {
+        List<Map.Entry<ExtentTable.ExtentId, Long>> sorted = new ArrayList<>(unitsByExtent.entrySet());
+        sorted.sort(Map.Entry.<ExtentTable.ExtentId, Long>comparingByValue(Comparator.reverseOrder())
                 .thenComparing(Map.Entry::getKey));
         return sorted.subList(0, Math.min(MAX_REPORTED_EXTENTS, sorted.size()));
     }
--- a/testbed/src/main/java/garnetreel/testbed/node/MemoryDisk.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/MemoryDisk.java
@@ -57,15 +57,15 @@
      */
     public record RequestIdentity(int gateway, long incarnation, long id) {}
 
-    private final OwnershipTable ownership = new OwnershipTable();
+    private final ExtentTable extents = new ExtentTable();
     private final Map<Long, Page> durable = new HashMap<>();
     private final Map<Long, Page> unflushed = new HashMap<>();
     private final Map<RequestIdentity, Long> durableExecutions = new HashMap<>();
     private final Map<RequestIdentity, Long> unflushedExecutions = new HashMap<>();
 
-    /** The ownership of extents; changes are durable at once. */
-    OwnershipTable ownership() {
-        return ownership;
+    /** The extents that the node holds; changes are durable at once. */
+    ExtentTable extents() {
+        return extents;
     }
 
     /** Whether the page at an offset is allocated. */
@@ -74,7 +74,7 @@
         return page != null && page != TRIMMED;
     }
 
-    /** Durably discards a range whose extent is owned by another node. */
+    /** Durably discards a range whose extent another node holds. */
     void discard(long volume, long offset, long length) {
         for (long index = offset / PAGE_BYTES; index < (offset + length) / PAGE_BYTES; index++) {
             unflushed.remove(key(volume, index));
@@ -204,7 +204,7 @@
     public void crash() {
         unflushed.clear();
         unflushedExecutions.clear();
-        ownership.crash();
+        extents.crash();
     }
 
     /** Allocated bytes. */
--- a/testbed/src/main/java/garnetreel/testbed/node/NodeFault.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/NodeFault.java
@@ -27,7 +27,7 @@
         REFUSE("refuse"),
         /** Flips one bit in the share {@code amount} of messages sent to clients. */
         CORRUPT("corrupt"),
-        /** The node ignores orders of the map service; gateways are served as usual. */
+        /** The node ignores commands of the map service, as if it were unreachable; gateways are served as usual. */
         CUT_OFF("cut_off"),
         /** Drains: notifies the node list, and answers new requests with FULL after {@code amount} microseconds. */
         DRAIN("drain");
--- a/testbed/src/main/java/garnetreel/testbed/node/NodeTrace.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/NodeTrace.java
@@ -35,23 +35,23 @@
         trace.add(TraceEvent.state(turn.now(), settings.name(), "", kind, op, settings.shard(), outcome));
     }
 
-    /** Records that an order of the map service was executed or rejected. */
-    void migrationStep(ControlCommand order, long nodeIncarnation, boolean ok) {
+    /** Records that a command of the map service was executed or rejected. */
+    void migrationStep(ControlCommand command, long nodeIncarnation, boolean ok) {
         trace.add(new TraceEvent(
                 turn.now(),
                 settings.name(),
                 "map",
                 Kind.MIGRATION_STEP,
                 0,
-                order.seq(),
+                command.seq(),
                 0,
                 nodeIncarnation,
-                TraceLabels.of(order.step()),
-                order.volume(),
+                TraceLabels.of(command.step()),
+                command.volume(),
                 settings.shard(),
                 0,
-                order.version(),
-                order.extent(),
+                command.version(),
+                command.extent(),
                 0,
                 0,
                 ok ? "ok" : "no"));
--- a/testbed/src/main/java/garnetreel/testbed/node/RequestExecutor.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/RequestExecutor.java
@@ -42,9 +42,9 @@
         }
         ByteBuffer data = access(request);
         if (request.op().changesData()) {
-            disk.ownership().markChanged(request.volume(), request.offset(), request.length());
+            disk.extents().markChanged(request.volume(), request.offset(), request.length());
         }
-        long extent = disk.ownership().extentOrMegabyte(request.volume(), request.offset());
+        long extent = disk.extents().extentOrMegabyte(request.volume(), request.offset());
         meter.countRequest(request.volume(), extent, request.units(), turn.now());
         if (request.deduplicated()) {
             disk.recordExecution(identity, turn.now());
--- a/testbed/src/main/java/garnetreel/testbed/peer/ScriptedPeer.java
+++ b/testbed/src/main/java/garnetreel/testbed/peer/ScriptedPeer.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * An upstream endpoint, client or discovery service of the operators' platform on loopback sockets, one step per call:
- * the test starts each step once it has seen the previous one's effect, so that races are forced rather than left to
+ * An upstream endpoint, client or discovery service of the HTTP platform on loopback sockets, one step per call: the
+ * test starts each step once it has seen the previous one's effect, so that races are forced rather than left to
  * timing. The peer only knows the end of an HTTP header and Content-Length. Each wait fails after a time limit.
  */
 public final class ScriptedPeer implements AutoCloseable {
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Creates a listening peer to which no connection gets established: its accept queue of minimum length is full, so
-     * the kernel drops further attempts. After {@link #emptyAcceptQueue} has emptied the queue, a client connects at its next
+     * Creates a listening peer that accepts no connections: its accept queue of minimum length is full, so the kernel
+     * drops further attempts. After {@link #emptyAcceptQueue} has emptied the queue, a client connects at its next
      * attempt, a second after its first.
      */
     public static ScriptedPeer listeningWithFullQueue() throws IOException {
--- a/testbed/src/main/java/garnetreel/testbed/peer/package-info.java
+++ b/testbed/src/main/java/garnetreel/testbed/peer/package-info.java
@@ -1,2 +1,2 @@
-/** A loopback peer that performs one scripted step at a time, for tests of the operators' platform. */
+/** A loopback peer that performs one scripted step at a time, for tests of the gateway for the HTTP platform. */
 package garnetreel.testbed.peer;
--- a/testbed/src/main/java/garnetreel/testbed/rules/OneAnswerRule.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/OneAnswerRule.java
@@ -27,7 +27,7 @@
                 case REPLY -> checkReply(run, event, requests, ended, findings);
                 case GIVE_UP -> {
                     boolean first = ended.putIfAbsent(event.tag(), event) == null;
-                    if (first && stoppedWhenGivenUp(run, event) == null) {
+                    if (first && unresponsiveWhenGivenUp(run, event) == null) {
                         findings.recordBreach(Run.requestName(event) + " (" + event.operation() + " of "
                                 + event.observer() + " at gateway " + event.counterpart()
                                 + ") got no answer before its client gave up");
@@ -83,28 +83,30 @@
         }
     }
 
-    /** Benefit of the doubt: a gateway that was stopped when its client disconnected could not have noticed that. */
+    /**
+     * Benefit of the doubt: a gateway that was unresponsive when its client disconnected could not have noticed that.
+     */
     private static boolean couldNotHaveNoticed(Run run, TraceEvent end, TraceEvent arrival) {
         return end.kind() == Kind.LEAVE
-                && run.gatewayStoppedPeriods(arrival.counterpart()).stream()
-                        .anyMatch(stop -> end.time() <= stop.to() && stop.contains(arrival.time()));
+                && run.gatewayUnresponsivePeriods(arrival.counterpart()).stream()
+                        .anyMatch(period -> end.time() <= period.to() && period.contains(arrival.time()));
     }
 
     /**
-     * The period for which a gateway was stopped when its client gave up; null if it was running. Benefit of the doubt:
-     * a stopped process cannot answer. It may answer as it resumes, but not later, and may send no attempts of requests
-     * that have ended.
+     * The period for which a gateway was unresponsive when its client gave up; null if it was responsive. Benefit of
+     * the doubt: such a process cannot answer. It may answer as it resumes, but not later, and may send no attempts of
+     * requests that have ended.
      */
-    private static UnresponsivePeriod stoppedWhenGivenUp(Run run, TraceEvent gaveUp) {
-        return run.gatewayStoppedPeriods(gaveUp.counterpart()).stream()
-                .filter(stop -> stop.contains(gaveUp.time()))
+    private static UnresponsivePeriod unresponsiveWhenGivenUp(Run run, TraceEvent gaveUp) {
+        return run.gatewayUnresponsivePeriods(gaveUp.counterpart()).stream()
+                .filter(period -> period.contains(gaveUp.time()))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Whether a reply to a client that gave up was sent right after the gateway resumed from being stopped. */
+    /** Whether a reply to a client that gave up was sent right after the gateway resumed from being unresponsive. */
     private static boolean isSentOnResuming(Run run, TraceEvent end, TraceEvent reply) {
-        UnresponsivePeriod stop = end.kind() == Kind.GIVE_UP ? stoppedWhenGivenUp(run, end) : null;
-        return stop != null && reply.time() <= stop.to() + run.transit();
+        UnresponsivePeriod period = end.kind() == Kind.GIVE_UP ? unresponsiveWhenGivenUp(run, end) : null;
+        return period != null && reply.time() <= period.to() + run.transit();
     }
 }
--- a/testbed/src/main/java/garnetreel/testbed/rules/RulesChecker.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/RulesChecker.java
@@ -24,7 +24,8 @@
     private RulesChecker() {}
 
     /**
-     * The verdicts on the seven safety rules, followed by an eighth on whether each read returned acknowledged data.
+     * The verdicts on the eight rules: the seven safety rules of the scheduler, and that each read returned
+     * acknowledged data.
      */
     public static List<Verdict> check(RuleSettings settings, List<TraceEvent> events) {
         Run run = new Run(settings, events);
--- a/testbed/src/main/java/garnetreel/testbed/rules/Run.java
+++ b/testbed/src/main/java/garnetreel/testbed/rules/Run.java
@@ -96,8 +96,8 @@
         return from;
     }
 
-    /** The periods in which a gateway did not run. */
-    List<UnresponsivePeriod> gatewayStoppedPeriods(String gateway) {
+    /** The periods in which a gateway was unresponsive. */
+    List<UnresponsivePeriod> gatewayUnresponsivePeriods(String gateway) {
         String process = GATEWAY_PREFIX + gateway;
         return unresponsive.stream()
                 .filter(period -> period.process().equals(process))
--- a/testbed/src/main/java/garnetreel/testbed/scenario/FaultSchedule.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/FaultSchedule.java
@@ -13,7 +13,10 @@
 
 /** Schedules the faults of a scenario on its timeline. */
 final class FaultSchedule {
-    /** A draining node is killed this many microseconds after its grace, and restarted after the same time again. */
+    /**
+     * A draining node is killed this many microseconds after the drain grace and the list's lag, and restarted after
+     * the same time again.
+     */
     private static final long DRAIN_MARGIN = 1_000_000;
     /**
      * Time from a restore of the map service to the operator's command to adopt the maps of the nodes, in microseconds.
@@ -121,12 +124,12 @@
     }
 
     private void drainNodes(ScheduledFault fault, long from, long to) {
-        long grace = scenario.rules().rules().drainGrace() + DRAIN_MARGIN + scenario.listLag();
-        long gone = Math.max(to, from + grace);
+        long killDelay = scenario.rules().rules().drainGrace() + DRAIN_MARGIN + scenario.listLag();
+        long killTime = Math.max(to, from + killDelay);
         forEachNode(fault, node -> {
-            timeline.schedule(from, () -> node.sendCommand(new NodeFault(NodeFault.Kind.DRAIN, grace)));
-            timeline.schedule(gone, node::crash);
-            timeline.schedule(gone + DRAIN_MARGIN, node::restart);
+            timeline.schedule(from, () -> node.sendCommand(new NodeFault(NodeFault.Kind.DRAIN, killDelay)));
+            timeline.schedule(killTime, node::crash);
+            timeline.schedule(killTime + DRAIN_MARGIN, node::restart);
         });
     }
 
--- a/testbed/src/main/java/garnetreel/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/Scenario.java
@@ -52,10 +52,10 @@
      * The map service of a scenario.
      *
      * @param settings creates the settings of the service from its listen address and the address of the node list
-     * @param begin the initial maps
+     * @param initialMaps the initial maps
      * @param migrations total number of migrations of randomly chosen extents
-     * @param migrationsFrom time of the first of them, relative to the scenario's start
-     * @param migrationsFor time over which they are spread evenly
+     * @param migrationsStart time of the first of them, relative to the scenario's start
+     * @param migrationsDuration time over which they are spread evenly
      * @param script further commands at given times: migrations of given extents, and drains
      */
     public record MapScenario(
--- a/testbed/src/main/java/garnetreel/testbed/scenario/ScenarioEnvironment.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/ScenarioEnvironment.java
@@ -3,7 +3,7 @@
 import garnetreel.core.io.NetEvent;
 import garnetreel.core.io.StateMachine;
 
-/** Environment in which a scenario runs: sockets and the system clock, or an emulated network and a virtual clock. */
+/** Environment in which a scenario runs: sockets and the system clock, or a simulated network and a virtual clock. */
 public interface ScenarioEnvironment {
     /** Current time in microseconds since the epoch. */
     long now();
--- a/testbed/src/main/java/garnetreel/testbed/scenario/ScenarioRunner.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/ScenarioRunner.java
@@ -32,11 +32,11 @@
     /**
      * The result of a scenario.
      *
-     * @param tallies outcomes of the requests of each NBD load, by operation
-     * @param folders outcomes of the runs of each rsync load
+     * @param nbdTallies outcomes of the requests of each NBD load, by operation
+     * @param rsyncTallies outcomes of the runs of each rsync load
      * @param verdicts the verdict on each rule
      * @param events the trace, in order of time
-     * @param unverified number of places that were written and not read back
+     * @param unverified number of slots that were written and not read back
      */
     public record Result(
             Map<String, Map<String, NbdLoadGenerator.Tally>> nbdTallies,
@@ -44,7 +44,7 @@
             List<Verdict> verdicts,
             List<TraceEvent> events,
             int unverified) {
-        /** Whether all rules were kept and each written place was read back. */
+        /** Whether all rules were kept and each written slot was read back. */
         public boolean passed() {
             return unverified == 0 && verdicts.stream().allMatch(Verdict::isKept);
         }
--- a/testbed/src/main/java/garnetreel/testbed/scenario/ScheduledFault.java
+++ b/testbed/src/main/java/garnetreel/testbed/scenario/ScheduledFault.java
@@ -49,7 +49,7 @@
         NODE_CORRUPT("node-corrupt"),
         /** Nodes drain, are killed, and are restarted cold. */
         NODE_DRAIN("node-drain"),
-        /** Nodes and the map service cannot reach each other; gateways reach both. */
+        /** Nodes ignore commands of the map service, as if they were unreachable; gateways are served as usual. */
         NODE_CUT_OFF("node-cut-off"),
         /** The node list shows changes {@code amount} seconds late. */
         LIST_LAG("list-lag"),
--- a/testbed/src/main/java/garnetreel/testbed/trace/TraceEvent.java
+++ b/testbed/src/main/java/garnetreel/testbed/trace/TraceEvent.java
@@ -9,8 +9,8 @@
  * An event observed on a socket by a component of the testbed. Fields that do not apply to an event are 0, -1 or empty.
  *
  * @param time microseconds since the epoch
- * @param observer the fake node, fake node list or load generator that observed the event
- * @param counterpart the gateway, by its number or address, as known to the observer
+ * @param observer the fake node, fake node list or load generator that observed the event; for a stall, the gateway
+ * @param counterpart the gateway, by its number or address, as known to the observer; "map" for a migration step
  * @param kind kind of the event
  * @param tag the client's identifier of its request, the same at the client and at the nodes
  * @param request the gateway's id of the request
--- a/testbed/src/test/java/garnetreel/testbed/node/MigrationFailureTest.java
+++ b/testbed/src/test/java/garnetreel/testbed/node/MigrationFailureTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A migration must neither lose acknowledged writes nor have two owners when a participant crashes or a message is lost.
+ * A migration must neither lose acknowledged writes nor have two holders when a participant crashes or a message is lost.
  * All failures are tried exhaustively at each step and at each pair of steps. A client writes between any two steps.
  */
 class MigrationFailureTest {
@@ -45,7 +45,7 @@
         }
 
         boolean serves(long version) {
-            return disk.ownership().serves(VOLUME, EXTENT_OFFSET, version);
+            return disk.extents().serves(VOLUME, EXTENT_OFFSET, version);
         }
     }
 
@@ -55,14 +55,14 @@
         Migration durable = new Migration(1, VOLUME, EXTENT, 0, 1, 1, 0, Migration.State.COPYING);
         MigrationStateMachine migration = new MigrationStateMachine(durable);
         long version = 1;
-        int owner;
+        int holder;
         long seq = 1L << 40;
         long stamp;
         int steps;
 
         MigrationRun() {
             // Gives the target node the extent size, so that it knows that it does not own this extent.
-            nodes[1].disk.ownership().entry(VOLUME, EXTENT, EXTENT_BYTES, false);
+            nodes[1].disk.extents().entry(VOLUME, EXTENT, EXTENT_BYTES, false);
             for (int page = 0; page < 4; page++) {
                 write(page);
             }
@@ -70,12 +70,12 @@
 
         /** A client that knows the current map writes a page; the write is acknowledged if the node serves the extent. */
         void write(int page) {
-            if (nodes[owner].serves(version)) {
+            if (nodes[holder].serves(version)) {
                 ByteBuffer data = ByteBuffer.allocate(MemoryDisk.PAGE_BYTES).putLong(0, ++stamp);
                 long offset = EXTENT_OFFSET + (long) page * MemoryDisk.PAGE_BYTES;
-                nodes[owner].disk.write(VOLUME, offset, data);
-                nodes[owner].disk.ownership().markChanged(VOLUME, offset, MemoryDisk.PAGE_BYTES);
-                nodes[owner].disk.flush(0);
+                nodes[holder].disk.write(VOLUME, offset, data);
+                nodes[holder].disk.extents().markChanged(VOLUME, offset, MemoryDisk.PAGE_BYTES);
+                nodes[holder].disk.flush(0);
                 acknowledged.put(page, stamp);
             }
         }
@@ -97,20 +97,20 @@
                 step(failure);
                 write(steps % 8);
                 // Clients with the old version and clients with the new version must never both be served.
-                assertFalse(nodes[0].serves(1) && nodes[1].serves(2), "two owners at step " + steps + " " + failures);
+                assertFalse(nodes[0].serves(1) && nodes[1].serves(2), "two holders at step " + steps + " " + failures);
             }
             for (Map.Entry<Integer, Long> page : acknowledged.entrySet()) {
                 ByteBuffer data = ByteBuffer.allocate(MemoryDisk.PAGE_BYTES);
-                nodes[owner].disk.read(
+                nodes[holder].disk.read(
                         VOLUME,
                         EXTENT_OFFSET + (long) page.getKey() * MemoryDisk.PAGE_BYTES,
                         MemoryDisk.PAGE_BYTES,
                         data);
                 assertEquals(page.getValue(), data.getLong(0), "page " + page.getKey() + " " + failures);
             }
-            assertTrue(nodes[owner].serves(version), "the owner does not serve the extent " + failures);
+            assertTrue(nodes[holder].serves(version), "the holder does not serve the extent " + failures);
             assertFalse(
-                    nodes[1 - owner].serves(1) || nodes[1 - owner].serves(2),
+                    nodes[1 - holder].serves(1) || nodes[1 - holder].serves(2),
                     "the other node serves the extent " + failures);
         }
 
@@ -122,7 +122,7 @@
                         1, VOLUME, EXTENT, 0, 1, 1, switches || durable.newVersion() > 0 ? 2 : 0, commit.state());
                 if (switches) {
                     version = 2;
-                    owner = 1;
+                    holder = 1;
                 }
                 if (failure == Failure.SERVICE_CRASH_AFTER_ORDER || failure == Failure.REPORT_LOST) {
                     restartService(); // the commit is durable, but the service crashes before it is notified
@@ -159,7 +159,7 @@
         MigrationRun run = new MigrationRun();
         run.runToEnd(Map.of());
         assertEquals(Migration.State.DONE, run.durable.state());
-        assertEquals(1, run.owner);
+        assertEquals(1, run.holder);
         return run.steps;
     }
 
