--- a/cli/src/main/java/garnetreel/cli/GatewayState.java
+++ b/cli/src/main/java/garnetreel/cli/GatewayState.java
@@ -3,7 +3,7 @@
 import garnetreel.core.connection.MapServiceClient;
 import garnetreel.core.connection.NodeListClient;
 import garnetreel.core.server.rsync.FileCatalogueStore.StoredCatalogue;
-import garnetreel.net.BackgroundJournalWriter;
+import garnetreel.net.BackgroundStoreWriter;
 import garnetreel.store.Journal;
 import garnetreel.store.StateDirectory;
 import java.io.IOException;
@@ -17,7 +17,7 @@
  * @param files its file catalogue
  * @param writer stores later states in the directory; null for an instance without one
  */
-record GatewayState(byte[] nodeList, byte[] maps, StoredCatalogue files, BackgroundJournalWriter writer) {
+record GatewayState(byte[] nodeList, byte[] maps, StoredCatalogue files, BackgroundStoreWriter writer) {
     /** File name of the file catalogue's journal. */
     static final String FILES_JOURNAL = "files.journal";
 
@@ -40,6 +40,6 @@
             Journal.Contents contents = journal.contents();
             files = new StoredCatalogue(contents.snapshot(), contents.records());
         }
-        return new GatewayState(nodeList, maps, files, new BackgroundJournalWriter(directory, journal));
+        return new GatewayState(nodeList, maps, files, new BackgroundStoreWriter(directory, journal));
     }
 }
--- a/cli/src/main/java/garnetreel/cli/MapServiceCommand.java
+++ b/cli/src/main/java/garnetreel/cli/MapServiceCommand.java
@@ -7,7 +7,7 @@
 import garnetreel.cli.lifecycle.ProcessSignals;
 import garnetreel.map.MapState;
 import garnetreel.mapservice.MapService;
-import garnetreel.net.BackgroundJournalWriter;
+import garnetreel.net.BackgroundStoreWriter;
 import garnetreel.net.EventLoop;
 import garnetreel.store.Journal;
 import garnetreel.store.StateDirectory;
@@ -59,7 +59,7 @@
         Journal journal = new Journal(directory.resolve("map.journal"));
         Journal.Contents contents = journal.contents();
         MapState state = MapState.recover(settings.initialMaps(), contents.snapshot(), contents.records());
-        BackgroundJournalWriter writer = new BackgroundJournalWriter(new StateDirectory(directory), journal);
+        BackgroundStoreWriter writer = new BackgroundStoreWriter(new StateDirectory(directory), journal);
         process.closeWithProcess(writer, writer::close);
         MapService service = new MapService(
                 settings.mapService(listen, settings.nodeListAddress(), process.clock.currentMicros()), state);
--- a/cli/src/main/java/garnetreel/cli/ServiceProcess.java
+++ b/cli/src/main/java/garnetreel/cli/ServiceProcess.java
@@ -100,7 +100,7 @@
      */
     public void drainOnShutdown(EventLoop gateway, long longestDeadlineMicros) {
         ProcessSignals.beforeExit("drain", () -> {
-            gateway.submitCommand(new Gateway.Drain());
+            gateway.submitCommand(new Gateway.Shutdown());
             int code = ExitCode.OK;
             try {
                 gateway.stopped().get(longestDeadlineMicros, TimeUnit.MICROSECONDS);
--- a/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
+++ b/core/src/main/java/garnetreel/core/server/rsync/RsyncSession.java
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public void drained(int bytes) {
+    public void written(int bytes) {
         outbound -= bytes;
         server.byteBudget().release(bytes);
         pump();
--- a/emulator/src/main/java/garnetreel/emulator/VirtualNetwork.java
+++ b/emulator/src/main/java/garnetreel/emulator/VirtualNetwork.java
@@ -141,7 +141,7 @@
             int bytes = data.remaining();
             to.process.deliver(new NetEvent.Received(to.connectionId, data));
             if (to.peer != null && !to.peer.closed) {
-                to.peer.process.deliver(new NetEvent.Drained(to.peer.connectionId, bytes));
+                to.peer.process.deliver(new NetEvent.Written(to.peer.connectionId, bytes));
             }
         }
         if (to.closeArrived && to.unread.isEmpty() && !to.closed) {
--- a/emulator/src/test/java/garnetreel/emulator/SimulationTest.java
+++ b/emulator/src/test/java/garnetreel/emulator/SimulationTest.java
@@ -99,10 +99,10 @@
         perform(process, client, new NetAction.SetReadInterest(-1, false));
         perform(serverProcess, server, new NetAction.Write(1, ByteBuffer.allocate(500)));
         assertEquals(0, client.receivedBytes());
-        assertTrue(server.handledEvents.stream().noneMatch(event -> event instanceof NetEvent.Drained));
+        assertTrue(server.handledEvents.stream().noneMatch(event -> event instanceof NetEvent.Written));
         perform(process, client, new NetAction.SetReadInterest(-1, true));
         assertEquals(500, client.receivedBytes());
-        assertTrue(server.handledEvents.contains(new NetEvent.Drained(1, 500)));
+        assertTrue(server.handledEvents.contains(new NetEvent.Written(1, 500)));
     }
 
     @Test
