--- a/cli/src/main/java/garnetreel/cli/ServeCommand.java
+++ b/cli/src/main/java/garnetreel/cli/ServeCommand.java
@@ -51,7 +51,7 @@
         String state = settings.stateDirectory(number);
         EventLoop gateway = process.startGateway(gatewaySettings, state.isEmpty() ? null : Path.of(state));
         String address = ServiceProcess.bound(gateway, Gateway.NBD);
-        process.drainOnShutdown(gateway, settings.longestDeadline());
+        process.drainOnShutdown(gateway, settings.longestTimeLimit());
         printReady(gateway, gatewaySettings, address);
         return ServiceProcess.awaitStopped(gateway);
     }
--- a/cli/src/main/java/garnetreel/cli/config/Settings.java
+++ b/cli/src/main/java/garnetreel/cli/config/Settings.java
@@ -136,7 +136,7 @@
     }
 
     /** The longest time limit of a request class, in microseconds. */
-    public long longestDeadline() {
+    public long longestTimeLimit() {
         return scheduling.longestTimeLimit();
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/LocalService.java
+++ b/cli/src/main/java/garnetreel/cli/testing/LocalService.java
@@ -50,7 +50,7 @@
             throws IOException, SettingsException {
         List<Entry> entries = new ArrayList<>();
         for (int shard = 0; shard < nodes; shard++) {
-            NodeSettings node = NodeSettings.free("node-" + shard, "127.0.0.1:0", "", shard);
+            NodeSettings node = NodeSettings.instantaneous("node-" + shard, "127.0.0.1:0", "", shard);
             EventLoop eventLoop = process.run(node.name(), new FakeNode(node, new MemoryDisk(), Trace.NONE, shard, 1));
             entries.add(new Entry(ServiceProcess.bound(eventLoop, "node"), node.zone(), shard, State.UP, 1, 0));
         }
@@ -70,7 +70,7 @@
     }
 
     long longestDeadline() {
-        return settings.longestDeadline();
+        return settings.longestTimeLimit();
     }
 
     private static String embeddedSettings() throws IOException {
--- a/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
+++ b/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
@@ -119,7 +119,7 @@
         List<Entry> entries = new ArrayList<>();
         for (int shard = 0; shard < shards; shard++) {
             NodeSettings node = NodeFile.of(settings)
-                    .getOrDefault("n" + shard, NodeSettings.free("n" + shard, "127.0.0.1:0", "", shard));
+                    .getOrDefault("n" + shard, NodeSettings.instantaneous("n" + shard, "127.0.0.1:0", "", shard));
             MemoryDisk disk = new MemoryDisk();
             EventLoop eventLoop = run(node.name(), new FakeNode(node, disk, this::recordEvent, shard, incarnation));
             String address = ServiceProcess.bound(eventLoop, "node");
--- a/cli/src/test/java/garnetreel/cli/testing/MapCommandTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/MapCommandTest.java
@@ -90,7 +90,7 @@
             EventLoop node = process.run(
                     "n" + shard,
                     new FakeNode(
-                            NodeSettings.free("n" + shard, "127.0.0.1:0", "", shard),
+                            NodeSettings.instantaneous("n" + shard, "127.0.0.1:0", "", shard),
                             disks.get(shard),
                             Trace.NONE,
                             shard,
--- a/cli/src/test/java/garnetreel/cli/testing/RsyncTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/RsyncTest.java
@@ -117,7 +117,9 @@
                         .formatted(module);
         Settings settings = Settings.of(HclFile.parse("rsync.hcl", text));
         var node = process.run(
-                "n0", new FakeNode(NodeSettings.free("n0", "127.0.0.1:0", "", 0), new MemoryDisk(), Trace.NONE, 1, 1));
+                "n0",
+                new FakeNode(
+                        NodeSettings.instantaneous("n0", "127.0.0.1:0", "", 0), new MemoryDisk(), Trace.NONE, 1, 1));
         var list = process.run(
                 "list",
                 new FakeNodeList(
--- a/core/src/main/java/garnetreel/core/io/NetAction.java
+++ b/core/src/main/java/garnetreel/core/io/NetAction.java
@@ -24,7 +24,7 @@
     /** Opens a connection under a negative id that the state machine has never used before. */
     record Connect(long connectionId, String address) implements NetAction {}
 
-    /** Writes bytes and takes over the buffer; {@link NetEvent.Drained} reports when the bytes have left. */
+    /** Writes bytes and takes over the buffer; {@link NetEvent.Written} reports when the bytes have left. */
     record Write(long connectionId, ByteBuffer data) implements NetAction {}
 
     /** Starts or stops reading. While stopped, TCP flow control eventually blocks the peer's writes. */
--- a/testbed/src/main/java/garnetreel/testbed/node/NodeSettings.java
+++ b/testbed/src/main/java/garnetreel/testbed/node/NodeSettings.java
@@ -53,7 +53,7 @@
         long capacity) {
 
     /** A node whose work takes no time: it answers within the turn in which a request arrives. */
-    public static NodeSettings free(String name, String listen, String list, int shard) {
+    public static NodeSettings instantaneous(String name, String listen, String list, int shard) {
         return new NodeSettings(
                 name, listen, list, "zone-a", shard, 1, 4096, 256, 0, 0, 1e9, true, 1, 0, 0, 0, 0, 1_000_000, false, 0,
                 0, 5_000_000, 1L << 40);
