--- a/cli/src/main/java/garnetreel/cli/testing/soak/FakeDiscovery.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/FakeDiscovery.java
@@ -18,34 +18,34 @@
 import java.util.stream.Collectors;
 
 /**
- * Discovery as the platform's protocol describes it, with faults. Each gateway is given an address of its own, and another one to
- * which a new configuration may move it, so that it is known who was told what and when.
+ * A fake discovery service of the platform's protocol with injectable faults. Each gateway gets its own address, and a
+ * further one with each reconfiguration, so that it is known which gateway was notified of what and when.
  */
 final class FakeDiscovery implements AutoCloseable {
     private static final long HEARTBEAT_MILLIS = 2_000;
-    private static final long TURN_MILLIS = 2_000;
+    private static final long RESPONSE_DELAY_MILLIS = 2_000;
 
-    /** What one server is said to be. */
-    record Entry(String host, String dial, int shard, String health, long bornMillis) {
+    /** The list entry of one server. */
+    record Entry(String host, String address, int shard, String health, long startMillis) {
         String json() {
             return String.format(
                     Locale.ROOT,
                     "{\"host\":\"%s\",\"dial\":\"%s\",\"site\":\"a\",\"class\":\"m\",\"block\":%d,"
                             + "\"health\":\"%s\",\"share\":1.0,\"born_ms\":%d}",
                     host,
-                    dial,
+                    address,
                     shard,
                     health,
-                    bornMillis);
+                    startMillis);
         }
     }
 
-    /** What calls meet. */
+    /** How calls are handled. */
     enum Mode {
         UP,
         DOWN,
         REFUSING,
-        CROWDED,
+        PARTLY_UNAVAILABLE,
         SLOW
     }
 
@@ -53,26 +53,26 @@
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<Change> changes = new ArrayList<>();
-    /** When a gateway's process was written that a server drains or is gone. */
-    private final Map<String, Map<String, Long>> told = new ConcurrentHashMap<>();
+    /** By gateway and host: when the notification that the server drains or is removed was written to the gateway. */
+    private final Map<String, Map<String, Long>> notifiedTimes = new ConcurrentHashMap<>();
 
     private final List<ServerSocket> listeners = new ArrayList<>();
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private final long epoch;
+    private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
+    private final long startedAt;
     private long version = 1;
     private volatile Mode mode = Mode.UP;
     private volatile long reachableSince;
-    /** Watches opened before this time say nothing more. */
+    /** Watches opened before this time get no further updates. */
     private volatile long silentBefore = Long.MIN_VALUE;
 
     private volatile boolean closed;
 
     FakeDiscovery() {
         reachableSince = System.nanoTime();
-        epoch = reachableSince;
+        startedAt = reachableSince;
     }
 
-    /** An address at which one gateway asks. */
+    /** Opens a listener for one gateway and returns its address. */
     synchronized String listen(String gateway) throws IOException {
         ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
         listeners.add(server);
@@ -80,7 +80,7 @@
             while (!closed) {
                 try {
                     Socket socket = server.accept();
-                    Threads.start("registry-call", () -> call(gateway, socket));
+                    Threads.start("registry-call", () -> serve(gateway, socket));
                 } catch (IOException e) {
                     return;
                 }
@@ -106,48 +106,49 @@
         return List.copyOf(entries.values());
     }
 
-    synchronized String wholeList() {
-        return object(true, entries());
+    synchronized String fullList() {
+        return listJson(true, entries());
     }
 
-    private synchronized String object(boolean whole, List<Entry> some) {
-        return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":["
-                + some.stream().map(Entry::json).collect(Collectors.joining(",\n  ")) + "]}";
+    private synchronized String listJson(boolean full, List<Entry> listed) {
+        return "{\"seq\":" + version + ",\"whole\":" + full + ",\"hosts\":["
+                + listed.stream().map(Entry::json).collect(Collectors.joining(",\n  ")) + "]}";
     }
 
-    /** A new process of a gateway has the list as it is now. */
-    void startsWithList(String gateway) {
-        Map<String, Long> known = new ConcurrentHashMap<>();
-        told.put(gateway, known);
+    /** Records that a new process of a gateway starts with the current list from its configuration. */
+    void recordInitialList(String gateway) {
+        Map<String, Long> times = new ConcurrentHashMap<>();
+        notifiedTimes.put(gateway, times);
         synchronized (this) {
-            changes.forEach(change -> note(known, change, System.nanoTime()));
+            changes.forEach(change -> applyChange(times, change, System.nanoTime()));
         }
     }
 
-    private static void note(Map<String, Long> known, Change change, long at) {
+    private static void applyChange(Map<String, Long> times, Change change, long at) {
         if (change.entry().health().equals("up")) {
-            known.remove(change.entry().host());
+            times.remove(change.entry().host());
         } else {
-            known.putIfAbsent(change.entry().host(), at);
+            times.putIfAbsent(change.entry().host(), at);
         }
     }
 
     /**
-     * When a gateway counts as told that a server drains or is gone; {@link Long#MAX_VALUE} where the server is up. It does when
-     * it was written, or 6 s after discovery had the change and could be reached.
+     * When a gateway counts as notified that a server drains or is removed; {@link Long#MAX_VALUE} if the server is up.
+     * That is when the notification was written to it, or 6 s after discovery had the change and was reachable,
+     * whichever is earlier.
      */
     long notifiedAt(String gateway, String host) {
-        long written = told.getOrDefault(gateway, Map.of()).getOrDefault(host, Long.MAX_VALUE);
+        long writtenAt = notifiedTimes.getOrDefault(gateway, Map.of()).getOrDefault(host, Long.MAX_VALUE);
         synchronized (this) {
             long changedAt = unavailableSince(host);
             if (changedAt == Long.MAX_VALUE || mode == Mode.DOWN || mode == Mode.REFUSING) {
-                return changedAt == Long.MAX_VALUE ? changedAt : written;
+                return changedAt == Long.MAX_VALUE ? changedAt : writtenAt;
             }
-            return Math.min(written, Math.max(changedAt, reachableSince) + 6_000_000_000L);
+            return Math.min(writtenAt, Math.max(changedAt, reachableSince) + 6_000_000_000L);
         }
     }
 
-    /** When a server that drains or is gone last ceased to be up; {@link Long#MAX_VALUE} for one that is up. */
+    /** When a server that drains or is removed last ceased to be up; {@link Long#MAX_VALUE} if it is up. */
     private long unavailableSince(String host) {
         long since = Long.MAX_VALUE;
         for (Change change : changes) {
@@ -161,7 +162,7 @@
 
     // ---------------------------------------------------------------- faults
 
-    void mode(Mode next) throws IOException {
+    void setMode(Mode next) throws IOException {
         boolean reachable = mode != Mode.DOWN && mode != Mode.REFUSING;
         mode = next;
         if (next == Mode.DOWN || next == Mode.REFUSING) {
@@ -171,104 +172,108 @@
         }
     }
 
-    /** All watches that are open fall silent. */
+    /** Stops updates and heartbeats on all open watches, without closing them. */
     void silenceWatches() {
         silentBefore = System.nanoTime();
     }
 
     void closeAll() throws IOException {
-        for (Socket socket : open) {
+        for (Socket socket : connections) {
             Sockets.reset(socket);
         }
     }
 
     // ---------------------------------------------------------------- calls
 
-    private void call(String gateway, Socket socket) {
-        open.add(socket);
+    private void serve(String gateway, Socket socket) {
+        connections.add(socket);
         try (socket) {
             socket.setTcpNoDelay(true);
             Message request = new HttpReader(new BufferedInputStream(socket.getInputStream())).read();
             if (request == null) {
                 return;
             }
-            Mode met = mode;
+            Mode currentMode = mode;
             OutputStream out = socket.getOutputStream();
-            if (met == Mode.REFUSING) {
+            if (currentMode == Mode.REFUSING) {
                 Sockets.reset(socket);
-            } else if (met == Mode.DOWN || met == Mode.CROWDED && Math.floorMod(socket.getPort(), 3) > 0) {
-                Threads.pause(met == Mode.CROWDED && socket.getPort() % 3 == 1 ? 1 : TURN_MILLIS);
+            } else if (currentMode == Mode.DOWN
+                    || currentMode == Mode.PARTLY_UNAVAILABLE && Math.floorMod(socket.getPort(), 3) > 0) {
+                Threads.pause(
+                        currentMode == Mode.PARTLY_UNAVAILABLE && socket.getPort() % 3 == 1
+                                ? 1
+                                : RESPONSE_DELAY_MILLIS);
                 out.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             } else {
-                Threads.pause(met == Mode.SLOW ? TURN_MILLIS * 3 / 4 : 0);
-                answer(gateway, request.startLine().split(" ")[1], out);
+                Threads.pause(currentMode == Mode.SLOW ? RESPONSE_DELAY_MILLIS * 3 / 4 : 0);
+                respond(gateway, request.startLine().split(" ")[1], out);
             }
         } catch (IOException e) {
-            // the gateway ended the call
+            // the gateway closed the connection
         } finally {
-            open.remove(socket);
+            connections.remove(socket);
         }
     }
 
-    private void answer(String gateway, String target, OutputStream out) throws IOException {
+    private void respond(String gateway, String target, OutputStream out) throws IOException {
         boolean watch = target.contains("watch=1");
-        int from = target.indexOf("from=");
-        long opened = System.nanoTime();
-        long sent;
+        int fromIndex = target.indexOf("from=");
+        long openedAt = System.nanoTime();
+        long sentVersion;
         String first;
         synchronized (this) {
-            sent = version;
-            first = from < 0 ? wholeList() : since(Long.parseLong(target.substring(from + 5)));
+            sentVersion = version;
+            first = fromIndex < 0 ? fullList() : changesSince(Long.parseLong(target.substring(fromIndex + 5)));
         }
-        told.computeIfAbsent(gateway, any -> new ConcurrentHashMap<>());
+        notifiedTimes.computeIfAbsent(gateway, key -> new ConcurrentHashMap<>());
         if (!watch) {
             out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + first.length() + "\r\n\r\n" + first)
                     .getBytes(StandardCharsets.US_ASCII));
-            wrote(gateway, 0, sent);
+            recordDelivery(gateway, 0, sentVersion);
             return;
         }
         out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         chunk(out, first + "\n");
-        wrote(gateway, 0, sent);
+        recordDelivery(gateway, 0, sentVersion);
         while (!closed) {
             String next;
-            long before = sent;
+            long previousVersion = sentVersion;
             synchronized (this) {
-                if (version == sent) {
+                if (version == sentVersion) {
                     Threads.await(this, HEARTBEAT_MILLIS);
                 }
-                if (opened < silentBefore) {
+                if (openedAt < silentBefore) {
                     next = null;
                 } else {
-                    next = version == sent ? "" : since(sent);
-                    sent = version;
+                    next = version == sentVersion ? "" : changesSince(sentVersion);
+                    sentVersion = version;
                 }
             }
             if (next == null) {
                 Threads.pause(HEARTBEAT_MILLIS);
-                if (System.nanoTime() - opened > 60_000_000_000L) {
+                if (System.nanoTime() - openedAt > 60_000_000_000L) {
                     return;
                 }
             } else {
                 chunk(out, next + "\n");
-                wrote(gateway, before, sent);
+                recordDelivery(gateway, previousVersion, sentVersion);
             }
         }
     }
 
-    /** Changes up to a version have been written to a gateway whole. */
-    private synchronized void wrote(String gateway, long after, long upTo) {
+    /** Records that the changes in a range of versions were completely written to a gateway. */
+    private synchronized void recordDelivery(String gateway, long after, long upTo) {
         long now = System.nanoTime();
         changes.stream()
                 .filter(change -> change.version() > after && change.version() <= upTo)
-                .forEach(change -> note(told.get(gateway), change, now));
+                .forEach(change -> applyChange(notifiedTimes.get(gateway), change, now));
     }
 
-    private synchronized String since(long known) {
-        return object(
+    private synchronized String changesSince(long knownVersion) {
+        return listJson(
                 false,
                 changes.stream()
-                        .filter(change -> change.version() > known)
+                        .filter(change -> change.version() > knownVersion)
                         .map(Change::entry)
                         .toList());
     }
@@ -277,17 +282,17 @@
         out.write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A time as seconds since the registry began, for messages. */
-    String seconds(long nanos) {
-        return nanos == Long.MAX_VALUE ? "never" : String.format(Locale.ROOT, "%.3f s", (nanos - epoch) / 1e9);
+    /** Formats a time as seconds since the start of this service. */
+    String formatTime(long nanos) {
+        return nanos == Long.MAX_VALUE ? "never" : String.format(Locale.ROOT, "%.3f s", (nanos - startedAt) / 1e9);
     }
 
-    /** What a gateway has been told of a server, and when, for messages. */
-    String describe(String gateway, String host) {
-        long written = told.getOrDefault(gateway, Map.of()).getOrDefault(host, Long.MAX_VALUE);
+    /** Describes when a server became unavailable and when a gateway was notified. */
+    String describeNotification(String gateway, String host) {
+        long writtenAt = notifiedTimes.getOrDefault(gateway, Map.of()).getOrDefault(host, Long.MAX_VALUE);
         synchronized (this) {
-            return "changed at " + seconds(unavailableSince(host)) + ", written to it at " + seconds(written)
-                    + ", discovery up since " + seconds(reachableSince);
+            return "changed at " + formatTime(unavailableSince(host)) + ", written to it at " + formatTime(writtenAt)
+                    + ", discovery up since " + formatTime(reachableSince);
         }
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/soak/FaultProxy.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/FaultProxy.java
@@ -13,45 +13,48 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The network between gateways and one server: bytes pass both ways, or late, in pieces, or not at all, and connections are reset.
- * It knows when each byte came from a gateway, which is what rules on sends are judged by, whatever the network then does.
+ * A TCP proxy between gateways and one server that delays, splits or drops traffic and resets connections. It records
+ * when each byte arrived from a gateway; checks of the times of sends use these times, regardless of the injected
+ * network faults.
  */
 final class FaultProxy implements AutoCloseable {
-    private static final int PIECE = 16 << 10;
+    private static final int BUFFER_BYTES = 16 << 10;
     private static final int BACKLOG = 16;
-    /** Connections that fill the listener's queue, so that further ones do not come up; the system tries those again after 1 s. */
+    /** Connections that fill the listener's queue; the kernel retries further ones after 1 s. */
     private static final int FILLERS = BACKLOG + 3;
 
-    private static final int FILLER_MILLIS = 20;
-    /** The system goes on trying to complete handshakes, and sends first bytes again, for about so long after the queue was full. */
-    private static final long HANDSHAKE_NANOS = 10_000_000_000L;
-    /** How well it is known when bytes left the gateway, worst first. */
+    private static final int FILLER_CONNECT_TIMEOUT_MILLIS = 20;
+    /**
+     * How long after the queue was full the kernel still retries handshakes and retransmits first bytes, approximately.
+     */
+    private static final long HANDSHAKE_RETRY_NANOS = 10_000_000_000L;
+    /** How reliably it is known when bytes left the gateway, worst first. */
     enum Certainty {
-        /** They had come before the connection was accepted, which may have been long before. */
+        /** The bytes arrived before the connection was accepted, possibly long before. */
         UNKNOWN,
         /**
-         * The listener's queue was full lately: the connection may have been open for the gateway alone, its first bytes
-         * lost and sent again.
+         * The listener's queue was full recently: the connection may have been established on the gateway's side only,
+         * and its first bytes lost and retransmitted.
          */
         DOUBTFUL,
         KNOWN
     }
 
-    /** When bytes of one connection came from the gateway, by their offset. */
+    /** Arrival times of the bytes of one connection from the gateway, by stream offset. */
     static final class Arrivals {
         private final TreeMap<Long, Long> times = new TreeMap<>();
         private long offset;
         private Certainty certainty = Certainty.KNOWN;
 
-        private synchronized void certainty(Certainty as) {
-            certainty = as;
+        private synchronized void setCertainty(Certainty level) {
+            certainty = level;
         }
 
         synchronized Certainty certainty() {
             return certainty;
         }
 
-        private synchronized void came(int bytes) {
+        private synchronized void recordArrival(int bytes) {
             times.put(offset, System.nanoTime());
             offset += bytes;
             if (times.size() > 4_096) {
@@ -59,25 +62,25 @@
             }
         }
 
-        /** When the byte at an offset came. */
-        synchronized long at(long byteOffset) {
-            Map.Entry<Long, Long> piece = times.floorEntry(byteOffset);
-            return piece == null ? System.nanoTime() : piece.getValue();
+        /** The arrival time of the byte at an offset. */
+        synchronized long timeOf(long byteOffset) {
+            Map.Entry<Long, Long> read = times.floorEntry(byteOffset);
+            return read == null ? System.nanoTime() : read.getValue();
         }
     }
 
     private final ServerSocket listener;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
     private final Set<Integer> fillers = ConcurrentHashMap.newKeySet();
     private final Map<Integer, Arrivals> arrivals = new ConcurrentHashMap<>();
     private final SplittableRandom random;
     private volatile int target;
-    private volatile long cutUntil = System.nanoTime();
-    private volatile long acceptAfter = System.nanoTime() - HANDSHAKE_NANOS;
-    private volatile double resets;
-    private volatile boolean inPieces;
+    private volatile long partitionedUntil = System.nanoTime();
+    private volatile long acceptAfter = System.nanoTime() - HANDSHAKE_RETRY_NANOS;
+    private volatile double resetProbability;
+    private volatile boolean splitWrites;
 
-    /** @param target the server's port; 0 while it does not run */
+    /** @param target port of the server; 0 while it does not run */
     FaultProxy(int target, SplittableRandom random) throws IOException {
         this.target = target;
         this.random = random;
@@ -89,43 +92,43 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** What came from the gateway on the connection that the server sees from this port. */
+    /** Arrivals on the connection that the server sees as coming from this port. */
     Arrivals arrivals(int port) {
-        return arrivals.computeIfAbsent(port, any -> new Arrivals());
+        return arrivals.computeIfAbsent(port, key -> new Arrivals());
     }
 
-    void target(int port) {
+    void setTarget(int port) {
         target = port;
     }
 
-    /** Nothing passes for so long; then what was open is reset. */
-    void cut(long millis) {
-        cutUntil = System.nanoTime() + millis * 1_000_000;
+    /** Forwards nothing for a period; connections with traffic in the period are reset at its end. */
+    void partition(long millis) {
+        partitionedUntil = System.nanoTime() + millis * 1_000_000;
     }
 
-    /** New connections come up late: the listener's queue is full meanwhile. */
-    void lateConnections(long millis) {
+    /** Delays new connections by keeping the listener's queue full for a period. */
+    void delayConnections(long millis) {
         acceptAfter = System.nanoTime() + millis * 1_000_000;
         for (int i = 0; i < FILLERS; i++) {
             Socket filler = new Socket();
             try {
-                filler.connect(listener.getLocalSocketAddress(), FILLER_MILLIS);
+                filler.connect(listener.getLocalSocketAddress(), FILLER_CONNECT_TIMEOUT_MILLIS);
                 fillers.add(filler.getLocalPort());
-                open.add(filler);
+                connections.add(filler);
             } catch (IOException e) {
                 Sockets.close(filler); // the queue is full
             }
         }
     }
 
-    /** Part of pieces at which a connection is reset, and whether pieces are of a few bytes. */
-    void rough(double resetPart, boolean small) {
-        resets = resetPart;
-        inPieces = small;
+    /** Sets the probability of a reset per read, and whether data is forwarded in writes of a few bytes. */
+    void degrade(double newResetProbability, boolean split) {
+        resetProbability = newResetProbability;
+        splitWrites = split;
     }
 
     void resetAll() {
-        open.forEach(Sockets::reset);
+        connections.forEach(Sockets::reset);
     }
 
     private synchronized double draw() {
@@ -143,7 +146,9 @@
                 }
                 Certainty certainty = gateway.getInputStream().available() > 0
                         ? Certainty.UNKNOWN
-                        : System.nanoTime() - acceptAfter < HANDSHAKE_NANOS ? Certainty.DOUBTFUL : Certainty.KNOWN;
+                        : System.nanoTime() - acceptAfter < HANDSHAKE_RETRY_NANOS
+                                ? Certainty.DOUBTFUL
+                                : Certainty.KNOWN;
                 Threads.start("proxy-connection", () -> connect(gateway, certainty));
             } catch (IOException e) {
                 return;
@@ -156,60 +161,60 @@
     }
 
     private void connect(Socket gateway, Certainty certainty) {
-        open.add(gateway);
+        connections.add(gateway);
         try {
             Socket server = new Socket(InetAddress.getLoopbackAddress(), target);
-            open.add(server);
+            connections.add(server);
             gateway.setTcpNoDelay(true);
             server.setTcpNoDelay(true);
-            Arrivals came = arrivals(server.getLocalPort());
-            came.certainty(certainty);
-            Threads.start("proxy-answers", () -> pump(server, gateway, null));
-            pump(gateway, server, came);
+            Arrivals requestArrivals = arrivals(server.getLocalPort());
+            requestArrivals.setCertainty(certainty);
+            Threads.start("proxy-answers", () -> copy(server, gateway, null));
+            copy(gateway, server, requestArrivals);
             arrivals.remove(server.getLocalPort());
         } catch (IOException e) {
             Sockets.reset(gateway);
         } finally {
-            open.remove(gateway);
+            connections.remove(gateway);
         }
     }
 
-    private void pump(Socket from, Socket to, Arrivals came) {
-        byte[] piece = new byte[PIECE];
+    private void copy(Socket from, Socket to, Arrivals requestArrivals) {
+        byte[] buffer = new byte[BUFFER_BYTES];
         try {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
-            for (int got = in.read(piece); got >= 0; got = in.read(piece)) {
-                if (came != null) {
-                    came.came(got);
+            for (int got = in.read(buffer); got >= 0; got = in.read(buffer)) {
+                if (requestArrivals != null) {
+                    requestArrivals.recordArrival(got);
                 }
-                if (System.nanoTime() < cutUntil) {
-                    pauseUntil(cutUntil);
-                    throw new IOException("cut");
+                if (System.nanoTime() < partitionedUntil) {
+                    pauseUntil(partitionedUntil);
+                    throw new IOException("network partitioned by the soak");
                 }
-                if (draw() < resets) {
-                    throw new IOException("reset");
+                if (draw() < resetProbability) {
+                    throw new IOException("connection reset by the soak");
                 }
-                pass(piece, got, out);
+                forward(buffer, got, out);
             }
             to.shutdownOutput();
         } catch (IOException e) {
             Sockets.reset(from);
             Sockets.reset(to);
         } finally {
-            open.remove(from);
+            connections.remove(from);
         }
     }
 
-    private void pass(byte[] piece, int length, OutputStream out) throws IOException {
-        if (!inPieces) {
-            out.write(piece, 0, length);
+    private void forward(byte[] buffer, int length, OutputStream out) throws IOException {
+        if (!splitWrites) {
+            out.write(buffer, 0, length);
             return;
         }
-        for (int at = 0; at < length; ) {
-            int some = Math.min(length - at, 1 + (int) (draw() * 40));
-            out.write(piece, at, some);
-            at += some;
+        for (int position = 0; position < length; ) {
+            int chunkLength = Math.min(length - position, 1 + (int) (draw() * 40));
+            out.write(buffer, position, chunkLength);
+            position += chunkLength;
         }
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/soak/FaultSoak.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/FaultSoak.java
@@ -12,23 +12,24 @@
 import java.util.SplittableRandom;
 
 /**
- * One run of the randomized fault soak: real gateways under load, and faults that a seed draws, two or three at a time. The seed
- * fixes which faults come when; what they cross is up to real time. The verdict is the invariants'.
+ * One run of the randomized fault soak: gateway processes under load, with two or three random faults at a time. The
+ * seed fixes which faults start when; how they interleave with requests depends on real time. The run passes if no
+ * invariant is violated.
  */
 public final class FaultSoak {
-    private static final double TROUBLES_A_SECOND = 0.8;
-    private static final long QUIET_START_MILLIS = 500;
-    private static final long CLIENTS_END_MILLIS = 6_000;
-    private static final int CLIENTS_A_HEAD = 8;
-    private static final int THINK_MILLIS = 60;
+    private static final double FAULTS_PER_SECOND = 0.8;
+    private static final long FIRST_FAULT_MILLIS = 500;
+    private static final long CLIENT_TAIL_MILLIS = 6_000;
+    private static final int CLIENTS_PER_GATEWAY = 8;
+    private static final int MEAN_THINK_MILLIS = 60;
 
     /**
-     * What to run.
+     * The parameters of a run.
      *
-     * @param slackMillis what verdicts on times allow this machine
-     * @param mainClass of the gateways' processes
-     * @param environment further variables of theirs, as NAME=VALUE
-     * @param withShim whether to load the library of failing calls, if it can be built
+     * @param slackMillis scheduling delay of this machine that checks of times tolerate
+     * @param mainClass main class of the gateway processes
+     * @param environment additional environment variables of the gateway processes, as NAME=VALUE
+     * @param withShim whether to load the system call fault library, if it can be built
      */
     public record Plan(
             long seed,
@@ -40,30 +41,30 @@
             boolean withShim,
             Path directory) {}
 
-    /** What a run gave: the broken rules, and those among them that compare no times. */
+    /** The result of a run: all violations, and the subset whose checks compare no times. */
     public record Result(List<String> violations, List<String> untimed, String summary) {}
 
-    private record Planned(long atMillis, SoakFault fault, SplittableRandom random) {}
+    private record ScheduledFault(long atMillis, SoakFault fault, SplittableRandom random) {}
 
     private final Plan plan;
     private final PrintWriter out;
 
-    /** @param out where faults are told as they come */
+    /** @param out receives a line for each fault when it starts */
     public FaultSoak(Plan plan, PrintWriter out) {
         this.plan = plan;
         this.out = out;
     }
 
-    /** Plays the plan to its end. */
+    /** Runs the plan to its end. */
     public Result run() throws IOException {
         SplittableRandom random = new SplittableRandom(plan.seed());
         Path directory = Files.createDirectories(plan.directory());
         Optional<Path> shim = plan.withShim() ? ProcessFaults.build(directory) : Optional.empty();
         if (shim.isEmpty()) {
-            out.println("no failing system calls and no stepped clocks: "
-                    + (plan.withShim() ? "no C compiler" : "not wanted"));
+            out.println("system call faults and wall clock steps are disabled: "
+                    + (plan.withShim() ? "no C compiler" : "not requested"));
         }
-        List<Planned> faults = draw(random);
+        List<ScheduledFault> faults = scheduleFaults(random);
         try (SoakEnvironment environment = new SoakEnvironment(
                 directory,
                 random.split(),
@@ -74,31 +75,31 @@
                 shim)) {
             environment.startGateways();
             List<Thread> clients = startClients(environment, random);
-            List<Thread> playing = play(environment, faults);
-            join(playing);
+            List<Thread> faultThreads = startFaults(environment, faults);
+            join(faultThreads);
             join(clients);
-            end(environment);
+            stopGateways(environment);
             return result(environment);
         }
     }
 
-    private List<Planned> draw(SplittableRandom random) {
-        List<Planned> faults = new ArrayList<>();
-        int count = (int) Math.ceil(plan.seconds() * TROUBLES_A_SECOND);
+    private List<ScheduledFault> scheduleFaults(SplittableRandom random) {
+        List<ScheduledFault> faults = new ArrayList<>();
+        int count = (int) Math.ceil(plan.seconds() * FAULTS_PER_SECOND);
         for (int i = 0; i < count; i++) {
             SoakFault fault = SoakFault.values()[random.nextInt(SoakFault.values().length)];
-            faults.add(
-                    new Planned(QUIET_START_MILLIS + random.nextLong(plan.seconds() * 1_000L), fault, random.split()));
+            faults.add(new ScheduledFault(
+                    FIRST_FAULT_MILLIS + random.nextLong(plan.seconds() * 1_000L), fault, random.split()));
         }
-        faults.sort(Comparator.comparingLong(Planned::atMillis));
+        faults.sort(Comparator.comparingLong(ScheduledFault::atMillis));
         return faults;
     }
 
     private List<Thread> startClients(SoakEnvironment environment, SplittableRandom random) {
-        long until = System.nanoTime() + (plan.seconds() * 1_000L + CLIENTS_END_MILLIS) * 1_000_000;
+        long until = System.nanoTime() + (plan.seconds() * 1_000L + CLIENT_TAIL_MILLIS) * 1_000_000;
         List<Thread> clients = new ArrayList<>();
         for (GatewayProcess gateway : environment.gateways) {
-            for (int i = 0; i < CLIENTS_A_HEAD; i++) {
+            for (int i = 0; i < CLIENTS_PER_GATEWAY; i++) {
                 clients.add(Threads.start(
                         "client-" + gateway.name,
                         new SoakClient(
@@ -106,29 +107,29 @@
                                 environment.ledger,
                                 random.split(),
                                 SoakEnvironment.SHARDS,
-                                THINK_MILLIS,
+                                MEAN_THINK_MILLIS,
                                 until)));
             }
         }
         return clients;
     }
 
-    private List<Thread> play(SoakEnvironment environment, List<Planned> faults) {
-        List<Thread> playing = new ArrayList<>();
+    private List<Thread> startFaults(SoakEnvironment environment, List<ScheduledFault> faults) {
+        List<Thread> faultThreads = new ArrayList<>();
         long start = System.nanoTime();
-        for (Planned planned : faults) {
-            Threads.pause(planned.atMillis() - (System.nanoTime() - start) / 1_000_000);
-            out.printf(Locale.ROOT, "  %6.2f s  %s%n", (System.nanoTime() - start) / 1e9, planned.fault());
+        for (ScheduledFault scheduled : faults) {
+            Threads.pause(scheduled.atMillis() - (System.nanoTime() - start) / 1_000_000);
+            out.printf(Locale.ROOT, "  %6.2f s  %s%n", (System.nanoTime() - start) / 1e9, scheduled.fault());
             out.flush();
-            playing.add(Threads.start("trouble-" + planned.fault(), () -> {
+            faultThreads.add(Threads.start("trouble-" + scheduled.fault(), () -> {
                 try {
-                    planned.fault().play(environment, planned.random());
+                    scheduled.fault().inject(environment, scheduled.random());
                 } catch (IOException e) {
-                    out.println("  " + planned.fault() + " could not be played whole: " + e.getMessage());
+                    out.println("  " + scheduled.fault() + " was not injected completely: " + e.getMessage());
                 }
             }));
         }
-        return playing;
+        return faultThreads;
     }
 
     private static void join(List<Thread> threads) {
@@ -142,28 +143,28 @@
         }
     }
 
-    private void end(SoakEnvironment environment) throws IOException {
-        List<Thread> ending = new ArrayList<>();
+    private void stopGateways(SoakEnvironment environment) throws IOException {
+        List<Thread> stopThreads = new ArrayList<>();
         for (GatewayProcess gateway : environment.gateways) {
-            ending.add(Threads.start("end-" + gateway.name, () -> {
+            stopThreads.add(Threads.start("end-" + gateway.name, () -> {
                 try {
                     gateway.terminate();
                 } catch (IOException e) {
-                    out.println("  " + gateway.name + " could not be ended: " + e.getMessage());
+                    out.println("  " + gateway.name + " could not be terminated: " + e.getMessage());
                 }
             }));
         }
-        join(ending);
+        join(stopThreads);
         for (GatewayProcess gateway : environment.gateways) {
-            gateway.collectReports();
+            gateway.collectReportedViolations();
         }
     }
 
     private static Result result(SoakEnvironment environment) {
-        List<Violation> all = environment.ledger.verdict();
+        List<Violation> violations = environment.ledger.findViolations();
         return new Result(
-                all.stream().map(Violation::toString).toList(),
-                all.stream()
+                violations.stream().map(Violation::toString).toList(),
+                violations.stream()
                         .filter(violation -> !violation.timed())
                         .map(Violation::toString)
                         .toList(),
--- a/cli/src/main/java/garnetreel/cli/testing/soak/GatewayProcess.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/GatewayProcess.java
@@ -17,36 +17,36 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One gateway as a process of its own, over its lives: started, told, held up, ended and killed. */
+/** One gateway as a separate process, over its restarts: starts, reconfigures, suspends, terminates and kills it. */
 final class GatewayProcess {
-    private static final long READY_SECONDS = 30;
-    /** A gateway has the longest deadline and 0.7 s from SIGTERM on; what is more, is late. */
-    private static final long END_MILLIS = 3_700;
+    private static final long READY_TIMEOUT_SECONDS = 30;
+    /** Time that a gateway has to exit after SIGTERM: the longest deadline and 0.7 s. */
+    private static final long EXIT_TIMEOUT_MILLIS = 3_700;
 
-    private static final Pattern REPORT = Pattern.compile("invariant violations: (\\d+)");
+    private static final Pattern INVARIANT_VIOLATIONS = Pattern.compile("invariant violations: (\\d+)");
 
     private static final Pattern DEFECT =
             Pattern.compile(" ERROR |Exception in thread|the module (sends|left)|OutOfMemory");
 
-    /** For where the class path holds no simpler provider of logging, as that of tests. */
-    private static final String LOGGING =
+    /** Used if logback is the logging provider on the class path; that of tests has a simpler one. */
+    private static final String LOGBACK_CONFIGURATION =
             """
             <configuration><appender name="out" class="ch.qos.logback.core.ConsoleAppender">
             <encoder><pattern>%r %level %logger{0} - %msg%n</pattern></encoder></appender>
             <root level="INFO"><appender-ref ref="out"/></root></configuration>
             """;
 
-    /** What the gateway runs as. */
+    /** The state of the process. */
     enum State {
         DOWN,
         STARTING,
         READY,
-        ENDING
+        STOPPING
     }
 
     final String name;
     private final Path directory;
-    private final FakeDiscovery registry;
+    private final FakeDiscovery discovery;
     private final RequestLedger ledger;
     private final String settings;
     private final String mainClass;
@@ -55,23 +55,23 @@
     private final ProcessFaults faults;
     private final List<Path> logs = new ArrayList<>();
     private java.lang.Process process;
-    private String discovery;
+    private String discoveryAddress;
     private volatile State state = State.DOWN;
-    /** Whether the process that runs was told to end, and whether it was killed. */
+    /** Whether SIGTERM was sent to the current process, and whether it was killed. */
     private boolean terminated;
 
     private boolean killed;
-    /** When the last signal that ends it was sent, and when it was last killed; nanoseconds. */
-    private volatile long endingSince = Long.MAX_VALUE;
+    /** When SIGTERM was last sent, and when the process was last killed; nanoseconds. */
+    private volatile long stoppingSince = Long.MAX_VALUE;
 
     private volatile long killedAt = Long.MIN_VALUE;
-    private volatile long crowdedUntil = Long.MIN_VALUE;
-    private volatile long leavingUntil = System.nanoTime();
+    private volatile long socketsExhaustedUntil = Long.MIN_VALUE;
+    private volatile long disconnectBurstUntil = System.nanoTime();
 
     GatewayProcess(
             String name,
             Path directory,
-            FakeDiscovery registry,
+            FakeDiscovery discovery,
             RequestLedger ledger,
             String settings,
             String mainClass,
@@ -80,13 +80,13 @@
             throws IOException {
         this.name = name;
         this.directory = Files.createDirectories(directory);
-        this.registry = registry;
+        this.discovery = discovery;
         this.ledger = ledger;
         this.settings = settings;
         this.mainClass = mainClass;
         this.environment = environment;
         this.port = Sockets.freePort(new SplittableRandom());
-        this.discovery = registry.listen(name);
+        this.discoveryAddress = discovery.listen(name);
         this.faults = shim.isPresent() ? ProcessFaults.of(shim.get(), directory.resolve("faults")) : null;
     }
 
@@ -98,32 +98,32 @@
         return Optional.ofNullable(faults);
     }
 
-    /** Whether clients may open connections: for 0.35 s after SIGTERM they still do. */
-    boolean takesConnections() {
-        return state == State.READY || state == State.ENDING && System.nanoTime() - endingSince < 350_000_000L;
+    /** Whether clients may open connections; they continue to do so for 0.35 s after SIGTERM. */
+    boolean acceptsConnections() {
+        return state == State.READY || state == State.STOPPING && System.nanoTime() - stoppingSince < 350_000_000L;
     }
 
-    /** Whether the process that ran at a time has been killed since, so that what it held is nobody's fault. */
+    /** Whether the process that ran at a time has been killed since, so that lost requests are no violation. */
     boolean killedSince(long nanos) {
         return killedAt >= nanos;
     }
 
-    /** Whether idle clients fill the descriptors, so that new connections may be closed unread. */
-    boolean crowdedSince(long nanos) {
-        return crowdedUntil >= nanos;
+    /** Whether idle clients have exhausted the sockets since a time, so that new connections may be closed unread. */
+    boolean socketsExhaustedSince(long nanos) {
+        return socketsExhaustedUntil >= nanos;
     }
 
-    /** For so long most of its clients leave. */
-    void clientsLeave(long millis) {
-        leavingUntil = System.nanoTime() + millis * 1_000_000;
+    /** Makes most clients disconnect before their response, for a period. */
+    void startDisconnectBurst(long millis) {
+        disconnectBurstUntil = System.nanoTime() + millis * 1_000_000;
     }
 
-    boolean clientsLeave() {
-        return System.nanoTime() < leavingUntil;
+    boolean inDisconnectBurst() {
+        return System.nanoTime() < disconnectBurstUntil;
     }
 
-    void crowded(long millis) {
-        crowdedUntil = System.nanoTime() + millis * 1_000_000;
+    void markSocketsExhausted(long millis) {
+        socketsExhaustedUntil = System.nanoTime() + millis * 1_000_000;
     }
 
     Socket connect() throws IOException {
@@ -132,13 +132,13 @@
         return socket;
     }
 
-    // ---------------------------------------------------------------- its life
+    // ---------------------------------------------------------------- lifecycle
 
     synchronized void start() throws IOException {
         state = State.STARTING;
         terminated = false;
         killed = false;
-        registry.startsWithList(name);
+        discovery.recordInitialList(name);
         writeConfiguration();
         Path log = directory.resolve("log-" + logs.size() + ".txt");
         logs.add(log);
@@ -157,7 +157,8 @@
                 "-Xmx64m",
                 "-Xss256k",
                 "-XX:MaxDirectMemorySize=8m",
-                "-Dlogback.configurationFile=" + Files.writeString(directory.resolve("logging.xml"), LOGGING),
+                "-Dlogback.configurationFile="
+                        + Files.writeString(directory.resolve("logging.xml"), LOGBACK_CONFIGURATION),
                 "-cp",
                 System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
                 mainClass));
@@ -166,7 +167,7 @@
                 .redirectOutput(log.toFile())
                 .start();
         java.lang.Process started = process;
-        process.onExit().thenAccept(ended -> exited(started));
+        process.onExit().thenAccept(exitedProcess -> exited(started));
     }
 
     private Path configuration() {
@@ -180,19 +181,19 @@
                         + "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":512},\"known\":%s,\"settings\":%s}",
                 name,
                 port,
-                discovery,
+                discoveryAddress,
                 System.nanoTime(),
-                registry.wholeList(),
+                discovery.fullList(),
                 settings);
-        Path next = Files.writeString(directory.resolve("config.next"), text);
-        Files.move(next, configuration(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = Files.writeString(directory.resolve("config.next"), text);
+        Files.move(temporary, configuration(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Waits until it says that it is ready; a violation if it does not within 30 s. */
+    /** Waits until the gateway reports ready; reports a violation if it does not within 30 s. */
     void awaitReady() {
-        long until = System.nanoTime() + READY_SECONDS * 1_000_000_000L;
+        long until = System.nanoTime() + READY_TIMEOUT_SECONDS * 1_000_000_000L;
         while (System.nanoTime() < until && process.isAlive()) {
-            if (saysReady()) {
+            if (isReady()) {
                 state = State.READY;
                 return;
             }
@@ -201,33 +202,35 @@
         if (process.isAlive()) {
             ledger.report(Violation.timed(
                     Kind.NOT_READY,
-                    name + " is not ready after " + READY_SECONDS + " s; " + logs.get(logs.size() - 1)));
+                    name + " is not ready after " + READY_TIMEOUT_SECONDS + " s; " + logs.get(logs.size() - 1)));
         }
     }
 
-    private boolean saysReady() {
+    private boolean isReady() {
         try (Socket socket = connect()) {
             socket.setSoTimeout(1_000);
             socket.getOutputStream()
                     .write("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            HttpReader.Message answer = new HttpReader(socket.getInputStream()).read();
-            return answer != null && answer.status() == 200;
+            HttpReader.Message response = new HttpReader(socket.getInputStream()).read();
+            return response != null && response.status() == 200;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** A gateway may end after SIGTERM and by SIGKILL; any other end is a crash. */
-    private void exited(java.lang.Process ended) {
+    /** Exits after SIGTERM with status 0 and by SIGKILL are expected; any other exit is a crash. */
+    private void exited(java.lang.Process exitedProcess) {
         synchronized (this) {
-            if (ended != process) {
+            if (exitedProcess != process) {
                 return;
             }
             state = State.DOWN;
-            boolean asToldTo = terminated && (ended.exitValue() == 0 || killed) || killed;
-            if (!asToldTo) {
+            boolean expected = terminated && (exitedProcess.exitValue() == 0 || killed) || killed;
+            if (!expected) {
                 ledger.report(Violation.of(
-                        Kind.CRASH, name + " ended with " + ended.exitValue() + "; " + logs.get(logs.size() - 1)));
+                        Kind.CRASH,
+                        name + " exited unexpectedly with status " + exitedProcess.exitValue() + "; "
+                                + logs.get(logs.size() - 1)));
             }
             killedAt = terminated ? killedAt : System.nanoTime();
         }
@@ -240,21 +243,21 @@
                 .join();
     }
 
-    /** Ends it as a planned restart does, and waits for the end. */
+    /** Terminates the gateway as a planned restart does, and waits for its exit. */
     void terminate() throws IOException {
         synchronized (this) {
             if (state != State.READY) {
                 return;
             }
-            endingSince = System.nanoTime();
-            state = State.ENDING;
+            stoppingSince = System.nanoTime();
+            state = State.STOPPING;
             terminated = true;
         }
         signal("TERM");
         try {
-            if (!process.waitFor(END_MILLIS + ledger.slack() / 1_000_000, TimeUnit.MILLISECONDS)) {
-                ledger.report(
-                        Violation.timed(Kind.SLOW_END, name + " runs on after SIGTERM; " + logs.get(logs.size() - 1)));
+            if (!process.waitFor(EXIT_TIMEOUT_MILLIS + ledger.slack() / 1_000_000, TimeUnit.MILLISECONDS)) {
+                ledger.report(Violation.timed(
+                        Kind.SLOW_END, name + " did not exit in time after SIGTERM; " + logs.get(logs.size() - 1)));
                 killed = true;
                 process.destroyForcibly().waitFor();
             }
@@ -266,7 +269,7 @@
 
     void kill() {
         synchronized (this) {
-            if (state == State.ENDING || state == State.DOWN) {
+            if (state == State.STOPPING || state == State.DOWN) {
                 return;
             }
             killedAt = System.nanoTime();
@@ -277,40 +280,40 @@
         killedAt = System.nanoTime();
     }
 
-    /** Holds the process up, as a machine without time for it does. */
-    void holdUp(long millis) throws IOException {
+    /** Suspends the process, as an overloaded machine does. */
+    void suspend(long millis) throws IOException {
         signal("STOP");
         Threads.pause(millis);
         signal("CONT");
     }
 
-    /** A new configuration, which moves discovery; {@code half} first leaves a part of it in place, as a slow writer does. */
-    void reconfigure(boolean half) throws IOException {
+    /** Moves discovery to a new address; {@code partial} first writes a truncated file, as a slow writer does. */
+    void reconfigure(boolean partial) throws IOException {
         synchronized (this) {
             if (state != State.READY) {
                 return;
             }
-            discovery = registry.listen(name);
-            if (half) {
+            discoveryAddress = discovery.listen(name);
+            if (partial) {
                 writeConfiguration();
-                String whole = Files.readString(configuration());
-                Files.writeString(configuration(), whole.substring(0, whole.length() / 3));
+                String text = Files.readString(configuration());
+                Files.writeString(configuration(), text.substring(0, text.length() / 3));
             } else {
                 writeConfiguration();
             }
         }
         signal("HUP");
-        if (half) {
+        if (partial) {
             Threads.pause(300);
             writeConfiguration();
         }
     }
 
-    /** What its processes have said of their own invariants. */
-    void collectReports() throws IOException {
+    /** Reports invariant violations and errors found in the logs of the gateway's processes. */
+    void collectReportedViolations() throws IOException {
         for (Path log : logs) {
             for (String line : Files.readAllLines(log, StandardCharsets.ISO_8859_1)) {
-                Matcher matcher = REPORT.matcher(line);
+                Matcher matcher = INVARIANT_VIOLATIONS.matcher(line);
                 if (matcher.find() && Long.parseLong(matcher.group(1)) > 0
                         || DEFECT.matcher(line).find()) {
                     ledger.report(Violation.of(Kind.HEAD_REPORTS, name + ": " + line + "; " + log));
--- a/cli/src/main/java/garnetreel/cli/testing/soak/HttpReader.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/HttpReader.java
@@ -8,22 +8,22 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Reads HTTP/1.1 messages from a blocking stream, as plainly as a peer of the soak needs it. */
+/** Reads HTTP/1.1 messages with Content-Length bodies from a blocking stream; supports only what the soak needs. */
 final class HttpReader {
-    private static final int HEAD_MOST = 64 << 10;
+    private static final int MAX_HEADER_BYTES = 64 << 10;
 
     /**
-     * One message.
+     * An HTTP message.
      *
-     * @param firstByte offset of its first byte in the stream
-     * @param end offset behind its last byte
+     * @param firstByte stream offset of the first byte
+     * @param end stream offset after the last byte
      */
-    record Message(String startLine, Map<String, String> fields, byte[] body, long firstByte, long end) {
-        String field(String name) {
-            return fields.get(name.toLowerCase(Locale.ROOT));
+    record Message(String startLine, Map<String, String> headers, byte[] body, long firstByte, long end) {
+        String header(String name) {
+            return headers.get(name.toLowerCase(Locale.ROOT));
         }
 
-        /** Status of an answer, or -1. */
+        /** The status code of a response; -1 if there is none. */
         int status() {
             String[] parts = startLine.split(" ");
             return parts.length > 1 && parts[1].matches("[0-9]{3}") ? Integer.parseInt(parts[1]) : -1;
@@ -37,40 +37,40 @@
         this.in = in;
     }
 
-    /** The next message; null where the stream ends ahead of its first byte. */
+    /** Reads the next message; null if the stream ends before its first byte. */
     Message read() throws IOException {
-        ByteArrayOutputStream head = new ByteArrayOutputStream();
+        ByteArrayOutputStream headerBytes = new ByteArrayOutputStream();
         long firstByte = offset;
-        int last = 0;
-        while (last != 0x0d0a0d0a) {
-            int one = in.read();
-            if (one < 0) {
-                if (head.size() == 0) {
+        int lastFourBytes = 0;
+        while (lastFourBytes != 0x0d0a0d0a) {
+            int next = in.read();
+            if (next < 0) {
+                if (headerBytes.size() == 0) {
                     return null;
                 }
-                throw new IOException("ended in a head");
+                throw new IOException("connection closed within a message header");
             }
             offset++;
-            head.write(one);
-            last = last << 8 | one;
-            if (head.size() > HEAD_MOST) {
-                throw new IOException("head without end");
+            headerBytes.write(next);
+            lastFourBytes = lastFourBytes << 8 | next;
+            if (headerBytes.size() > MAX_HEADER_BYTES) {
+                throw new IOException("message header exceeds 64 KiB");
             }
         }
-        String[] lines = head.toString(StandardCharsets.ISO_8859_1).split("\r\n");
-        Map<String, String> fields = new HashMap<>();
+        String[] lines = headerBytes.toString(StandardCharsets.ISO_8859_1).split("\r\n");
+        Map<String, String> headers = new HashMap<>();
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
-            fields.put(
+            headers.put(
                     lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
                     lines[i].substring(colon + 1).trim());
         }
-        int length = Integer.parseInt(fields.getOrDefault("content-length", "0"));
+        int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("ended in a body");
+            throw new IOException("connection closed within a message body");
         }
         offset += length;
-        return new Message(lines[0], fields, body, firstByte, offset);
+        return new Message(lines[0], headers, body, firstByte, offset);
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/soak/MisbehavingClient.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/MisbehavingClient.java
@@ -8,13 +8,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
 
-/** A client that sends what can't be read, or stops in the middle and stays. It is owed an error or a close within 3 s. */
+/** Sends malformed or incomplete requests; the gateway has to answer with an error or close within 3 s. */
 final class MisbehavingClient implements Runnable {
-    private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
-    private static final long OWED_MILLIS = 3_000;
+    private static final String READY_REQUEST = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
+    private static final long RESPONSE_LIMIT_MILLIS = 3_000;
 
-    /** What it does. */
-    enum Way {
+    /** The kinds of misuse. */
+    enum Misuse {
         NOISE,
         SILENCE,
         HALF_HEAD,
@@ -29,42 +29,43 @@
 
     private final GatewayProcess gateway;
     private final RequestLedger ledger;
-    private final Way way;
+    private final Misuse misuse;
     private final SplittableRandom random;
 
-    MisbehavingClient(GatewayProcess gateway, RequestLedger ledger, Way way, SplittableRandom random) {
+    MisbehavingClient(GatewayProcess gateway, RequestLedger ledger, Misuse misuse, SplittableRandom random) {
         this.gateway = gateway;
         this.ledger = ledger;
-        this.way = way;
+        this.misuse = misuse;
         this.random = random;
     }
 
     @Override
     public void run() {
-        long begun = System.nanoTime();
+        long startedAt = System.nanoTime();
         try (Socket socket = gateway.connect()) {
-            socket.setSoTimeout((int) (OWED_MILLIS + ledger.slack() / 1_000_000));
+            socket.setSoTimeout((int) (RESPONSE_LIMIT_MILLIS + ledger.slack() / 1_000_000));
             InputStream in = socket.getInputStream();
-            if (way == Way.HALF_AFTER_A_REQUEST) {
-                send(socket, READY);
+            if (misuse == Misuse.HALF_AFTER_A_REQUEST) {
+                send(socket, READY_REQUEST);
                 new HttpReader(in).read();
             }
-            send(socket, text());
-            if (way == Way.FLOOD_AND_GO) {
+            send(socket, request());
+            if (misuse == Misuse.FLOOD_AND_GO) {
                 Threads.pause(random.nextInt(50));
                 return;
             }
-            if (way == Way.BYTE_BY_BYTE) {
-                dribble(socket);
+            if (misuse == Misuse.BYTE_BY_BYTE) {
+                sendSlowly(socket);
             }
             in.read();
         } catch (SocketTimeoutException e) {
-            if (!gateway.killedSince(begun)) {
+            if (!gateway.killedSince(startedAt)) {
                 ledger.report(Violation.timed(
-                        Kind.BAD_CLIENT_IGNORED, gateway.name + " left a client alone that sent " + way));
+                        Kind.BAD_CLIENT_IGNORED,
+                        gateway.name + " neither answered nor closed a client that sent " + misuse));
             }
         } catch (IOException e) {
-            // closed, which is what it is owed
+            // the gateway closed the connection, as it should
         }
     }
 
@@ -72,15 +73,15 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static void dribble(Socket socket) throws IOException {
+    private static void sendSlowly(Socket socket) throws IOException {
         for (int i = 0; i < 12; i++) {
             socket.getOutputStream().write('x');
             Threads.pause(250);
         }
     }
 
-    private String text() {
-        return switch (way) {
+    private String request() {
+        return switch (misuse) {
             case NOISE -> "\0\1\2\3 noise\r\n\r\n";
             case SILENCE -> "";
             case HALF_HEAD, HALF_AFTER_A_REQUEST, BYTE_BY_BYTE -> "PUT /write/a HTTP/1.1\r\nHost: a\r\nX-Corr";
@@ -88,8 +89,8 @@
             case HUGE_LENGTH -> "PUT /write/a HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999\r\n\r\nx";
             case NO_ID -> "PUT /write/a HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
             case BOTH_LENGTHS -> "PUT /write/a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-                    + READY;
-            case FLOOD_AND_GO -> READY.repeat(300);
+                    + READY_REQUEST;
+            case FLOOD_AND_GO -> READY_REQUEST.repeat(300);
         };
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/soak/ProcessFaults.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/ProcessFaults.java
@@ -13,16 +13,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Failing system calls and a stepped wall clock in one process, by a small library loaded into it (faultshim.c). Its build needs
- * a C compiler; where there is none, the soak goes without and says so.
+ * Injects failing system calls and wall clock steps into one process through a preloaded library (faultshim.c).
+ * Building the library needs a C compiler; without one the soak runs without these faults and prints a note.
  */
 final class ProcessFaults {
     static final String VARIABLE = "GARNETREEL_FAULT_CONTROL";
-    private static final int PAGE = 4096;
-    private static final int RATES = 8;
-    private static final int COUNTS = 72;
+    private static final int PAGE_BYTES = 4096;
+    private static final int RATES_OFFSET = 8;
+    private static final int COUNTS_OFFSET = 72;
 
-    /** Calls that may fail, in the library's order. */
+    /** Calls that may fail, in the order of {@code enum fault} in faultshim.c. */
     enum Call {
         ACCEPT,
         SOCKET,
@@ -30,7 +30,7 @@
         SHORT_READ,
         SHORT_WRITE,
         INTERRUPT,
-        BROKEN_AS,
+        RESET_ERROR,
         FILE_WRITE,
         FILE_SYNC
     }
@@ -42,19 +42,19 @@
     private ProcessFaults(Path library, Path control) throws IOException {
         this.library = library;
         this.control = control;
-        Files.write(control, new byte[PAGE]);
+        Files.write(control, new byte[PAGE_BYTES]);
         try (FileChannel channel = FileChannel.open(control, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            page = channel.map(FileChannel.MapMode.READ_WRITE, 0, PAGE);
+            page = channel.map(FileChannel.MapMode.READ_WRITE, 0, PAGE_BYTES);
         }
         page.order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Builds the library; empty where there is no compiler. */
+    /** Builds the library; empty if there is no compiler or the build fails. */
     static Optional<Path> build(Path directory) throws IOException {
         Path source = directory.resolve("faultshim.c");
         Path library = directory.resolve("faultshim.so");
-        try (InputStream text = ProcessFaults.class.getResourceAsStream("faultshim.c")) {
-            Files.copy(text, source, StandardCopyOption.REPLACE_EXISTING);
+        try (InputStream resource = ProcessFaults.class.getResourceAsStream("faultshim.c")) {
+            Files.copy(resource, source, StandardCopyOption.REPLACE_EXISTING);
         }
         try {
             Process compiler = new ProcessBuilder(
@@ -72,22 +72,22 @@
         }
     }
 
-    /** Faults of one process, none at first. */
+    /** Creates the control page of one process, with all faults off. */
     static ProcessFaults of(Path library, Path control) throws IOException {
         return new ProcessFaults(library, control);
     }
 
-    /** The wall clock is off by so much. */
+    /** Sets the offset of the wall clock of the process. */
     void stepWallClock(long nanos) {
         page.putLong(0, nanos);
     }
 
-    void fail(Call call, double part) {
-        page.putInt(RATES + 4 * call.ordinal(), (int) (part * 1_000_000));
+    void fail(Call call, double probability) {
+        page.putInt(RATES_OFFSET + 4 * call.ordinal(), (int) (probability * 1_000_000));
     }
 
-    /** How often a call was made to fail. */
-    long raised(Call call) {
-        return page.getLong(COUNTS + 8 * call.ordinal());
+    /** The number of times that the library made this call fail. */
+    long failureCount(Call call) {
+        return page.getLong(COUNTS_OFFSET + 8 * call.ordinal());
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/soak/RequestLedger.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/RequestLedger.java
@@ -9,19 +9,19 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What clients asked and were told, and what servers were sent and ran; at the end the two sides are held against each other.
- * Times are nanoseconds of the monotonic clock.
+ * Records the requests and outcomes of clients and the attempts and runs of servers, and checks both sides against each
+ * other. Times are nanoseconds of the monotonic clock.
  */
 final class RequestLedger {
-    /** What may be done about a class of requests whose attempt may have run; named as the settings name it. */
+    /** Whether a request may be sent again after an attempt that may have run; named as in the settings. */
     enum Effect {
         REPEATABLE,
         BY_KEY,
         ONCE
     }
 
-    /** How a request ended for its client. */
-    enum Ended {
+    /** The outcome of a request for its client. */
+    enum Outcome {
         OPEN,
         SERVED,
         REFUSED,
@@ -31,13 +31,13 @@
     }
 
     /**
-     * An attempt as a server saw it.
+     * An attempt as seen by a server.
      *
-     * @param certainty whether its times are those at which its bytes left the gateway
+     * @param certainty how reliably its times are those at which its bytes left the gateway
      */
     record Attempt(String server, long firstByteAt, long lastByteAt, double timeLeft, FaultProxy.Certainty certainty) {
-        /** Whether times of the gateway can be judged by it. */
-        boolean timed() {
+        /** Whether timing invariants of the gateway can be checked with this attempt. */
+        boolean hasExactTimes() {
             return certainty == FaultProxy.Certainty.KNOWN;
         }
     }
@@ -50,19 +50,26 @@
         final byte[] body;
         final long sentAt;
         final long deadline;
-        /** Whether it is the first on its connection. */
-        final boolean first;
+        /** Whether the request is the first on its connection. */
+        final boolean firstOnConnection;
 
         final List<Attempt> attempts = new ArrayList<>(1);
         final List<Long> runs = new ArrayList<>(1);
-        final List<String> made = new ArrayList<>(1);
-        Ended ended = Ended.OPEN;
+        final List<String> responses = new ArrayList<>(1);
+        Outcome outcome = Outcome.OPEN;
         int status;
-        long leftAt = Long.MAX_VALUE;
-
-        Request(String id, Effect effect, String gateway, byte[] body, long sentAt, long deadline, boolean first) {
+        long disconnectedAt = Long.MAX_VALUE;
+
+        Request(
+                String id,
+                Effect effect,
+                String gateway,
+                byte[] body,
+                long sentAt,
+                long deadline,
+                boolean firstOnConnection) {
             this.id = id;
-            this.first = first;
+            this.firstOnConnection = firstOnConnection;
             this.effect = effect;
             this.gateway = gateway;
             this.body = body;
@@ -73,12 +80,12 @@
 
     private final Map<String, Request> requests = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<Violation> violations = new ConcurrentLinkedQueue<>();
-    private final Map<Ended, LongAdder> ends = new ConcurrentHashMap<>();
+    private final Map<Outcome, LongAdder> outcomeCounts = new ConcurrentHashMap<>();
     private final long slack;
     private final long repeatWindow;
 
     /**
-     * @param slack what a verdict on times allows the machine that the soak runs on, nanoseconds
+     * @param slack scheduling delay of the machine that checks of times tolerate, nanoseconds
      * @param repeatWindow how long servers drop repeats of keyed requests, nanoseconds
      */
     RequestLedger(long slack, long repeatWindow) {
@@ -94,7 +101,7 @@
         violations.add(violation);
     }
 
-    void asked(Request request) {
+    void recordRequest(Request request) {
         requests.put(request.id, request);
     }
 
@@ -102,26 +109,28 @@
         return requests.get(id);
     }
 
-    void ended(Request request, Ended how, int status) {
+    void recordOutcome(Request request, Outcome outcome, int status) {
         synchronized (request) {
-            request.ended = how;
+            request.outcome = outcome;
             request.status = status;
         }
-        ends.computeIfAbsent(how, any -> new LongAdder()).increment();
+        outcomeCounts.computeIfAbsent(outcome, key -> new LongAdder()).increment();
     }
 
-    void left(Request request, long at) {
+    void recordDisconnect(Request request, long at) {
         synchronized (request) {
-            request.leftAt = at;
+            request.disconnectedAt = at;
         }
-        ended(request, Ended.LEFT, 0);
+        recordOutcome(request, Outcome.LEFT, 0);
     }
 
-    /** A server has read an attempt whole; false if no client sent it so. */
-    boolean attempted(Attempt attempt, String id, byte[] body) {
+    /** Records an attempt that a server has read completely; false if no client sent such a request. */
+    boolean recordAttempt(Attempt attempt, String id, byte[] body) {
         Request request = id == null ? null : requests.get(id);
         if (request == null || !java.util.Arrays.equals(body, request.body)) {
-            report(Violation.of(Kind.ALTERED, attempt.server() + " was sent request " + id + " as no client sent it"));
+            report(Violation.of(
+                    Kind.ALTERED,
+                    attempt.server() + " received request " + id + " with an id or body that no client sent"));
             return false;
         }
         synchronized (request) {
@@ -130,72 +139,72 @@
         return true;
     }
 
-    /** A server begins to run a request; the answer that it makes is remembered. */
-    void runs(String id, long at, String answer) {
+    /** Records that a server starts to run a request, and the response body that it will send. */
+    void recordRun(String id, long at, String response) {
         Request request = requests.get(id);
         synchronized (request) {
             request.runs.add(at);
-            request.made.add(answer);
+            request.responses.add(response);
         }
     }
 
-    boolean made(Request request, String answer) {
+    boolean hasProduced(Request request, String response) {
         synchronized (request) {
-            return request.made.contains(answer);
+            return request.responses.contains(response);
         }
     }
 
-    /** Holds all against the rules. */
-    List<Violation> verdict() {
-        List<Violation> all = new ArrayList<>(violations);
+    /** Checks the recorded requests; returns all violations, including those reported during the run. */
+    List<Violation> findViolations() {
+        List<Violation> found = new ArrayList<>(violations);
         for (Request request : requests.values()) {
             synchronized (request) {
-                judge(request, all);
+                check(request, found);
             }
         }
-        return all;
+        return found;
     }
 
-    private void judge(Request request, List<Violation> all) {
-        String name =
-                "request " + request.id + " (" + request.effect + ", " + request.gateway + ", " + request.ended + ") ";
-        if (request.ended == Ended.OPEN) {
-            all.add(Violation.of(Kind.UNANSWERED, name + "was never answered"));
+    private void check(Request request, List<Violation> found) {
+        String label = "request " + request.id + " (" + request.effect + ", " + request.gateway + ", " + request.outcome
+                + ") ";
+        if (request.outcome == Outcome.OPEN) {
+            found.add(Violation.of(Kind.UNANSWERED, label + "got no response"));
         }
         if (request.effect == Effect.ONCE && request.runs.size() > 1) {
-            all.add(Violation.of(Kind.RUN_TWICE, name + "ran " + request.runs.size() + " times"));
+            found.add(Violation.of(Kind.RUN_TWICE, label + "ran " + request.runs.size() + " times"));
         }
         if (request.effect == Effect.BY_KEY
                 && request.runs.size() > 1
                 && request.runs.get(request.runs.size() - 1) - request.runs.get(0) > repeatWindow) {
-            all.add(Violation.of(Kind.RUN_TWICE, name + "ran again past the window of repeats"));
+            found.add(Violation.of(Kind.RUN_TWICE, label + "ran again after the repeat window"));
         }
-        if (request.ended == Ended.REFUSED && request.effect != Effect.REPEATABLE && !request.runs.isEmpty()) {
-            all.add(Violation.of(Kind.REFUSED_BUT_RAN, name + "ran"));
+        if (request.outcome == Outcome.REFUSED && request.effect != Effect.REPEATABLE && !request.runs.isEmpty()) {
+            found.add(Violation.of(Kind.REFUSED_BUT_RAN, label + "ran"));
         }
         for (Attempt attempt : request.attempts) {
-            long late = attempt.firstByteAt() - request.leftAt;
-            boolean beganThen = attempt.certainty() != FaultProxy.Certainty.UNKNOWN;
-            if (beganThen && request.leftAt != Long.MAX_VALUE && late > 100_000_000 + slack) {
-                all.add(Violation.timed(
+            long delay = attempt.firstByteAt() - request.disconnectedAt;
+            boolean startTimeUsable = attempt.certainty() != FaultProxy.Certainty.UNKNOWN;
+            if (startTimeUsable && request.disconnectedAt != Long.MAX_VALUE && delay > 100_000_000 + slack) {
+                found.add(Violation.timed(
                         Kind.SENT_AFTER_LEAVE,
-                        name + "was sent to " + attempt.server() + " " + late / 1_000_000
-                                + " ms after its client left"));
+                        label + "was sent to " + attempt.server() + " " + delay / 1_000_000
+                                + " ms after its client disconnected"));
             }
-            double over = attempt.timeLeft() - (request.deadline - attempt.firstByteAt()) / 1e9;
-            if (attempt.timed() && over > 0.15 + slack / 1e9) {
-                all.add(Violation.timed(
+            double excess = attempt.timeLeft() - (request.deadline - attempt.firstByteAt()) / 1e9;
+            if (attempt.hasExactTimes() && excess > 0.15 + slack / 1e9) {
+                found.add(Violation.timed(
                         Kind.TIME_LEFT,
-                        name + "told " + attempt.server() + " " + over + " s too many: "
+                        label + "was sent to " + attempt.server() + " with time left " + excess + " s too high: "
                                 + attempt.timeLeft() + " s, " + (attempt.firstByteAt() - request.sentAt) / 1_000_000
-                                + " ms after it was sent as the "
-                                + (request.first ? "first" : "next") + " of its connection"));
+                                + " ms after the client sent it as the "
+                                + (request.firstOnConnection ? "first" : "next") + " request of its connection"));
             }
         }
     }
 
     @Override
     public String toString() {
-        return requests.size() + " requests " + ends;
+        return requests.size() + " requests " + outcomeCounts;
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/soak/SoakEnvironment.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/SoakEnvironment.java
@@ -12,12 +12,15 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** All parties of one run: gateways as processes; servers behind fault proxies, and discovery, in this one. */
+/**
+ * All parties of one run: gateways as separate processes; storage servers behind fault proxies and discovery in this
+ * process.
+ */
 final class SoakEnvironment implements AutoCloseable {
     static final int SHARDS = 3;
-    private static final int SERVERS_A_SHARD = 2;
-    private static final long REPEAT_WINDOW = 1_500_000_000L;
-    private static final long IDLE_MILLIS = 3_000;
+    private static final int SERVERS_PER_SHARD = 2;
+    private static final long REPEAT_WINDOW_NANOS = 1_500_000_000L;
+    private static final long IDLE_TIMEOUT_MILLIS = 3_000;
     private static final String SETTINGS =
             """
             {"balancers": %d, "discovery": "subscribe", "tick": 0.002,
@@ -32,54 +35,56 @@
              "specifics": {"unit-mean": 2, "most-units": 8, "young-limit": 200, "class-writes": [false, true, true]}}""";
 
     final RequestLedger ledger;
-    final FakeDiscovery registry = new FakeDiscovery();
+    final FakeDiscovery discovery = new FakeDiscovery();
     final List<GatewayProcess> gateways = new ArrayList<>();
     final List<StorageServer> servers = new CopyOnWriteArrayList<>();
-    private final Map<Integer, StorageServer.Repeats> repeats = new HashMap<>();
+    private final Map<Integer, StorageServer.RepeatFilter> repeatFilters = new HashMap<>();
     private final SplittableRandom random;
-    private int lastServer;
+    private int lastServerNumber;
 
-    /** @param slackMillis what a verdict on times allows this machine */
+    /** @param slackMillis scheduling delay of this machine that checks of times tolerate */
     SoakEnvironment(
             Path directory,
             SplittableRandom random,
-            int headCount,
+            int gatewayCount,
             long slackMillis,
             String mainClass,
             List<String> environment,
             Optional<Path> shim)
             throws IOException {
         this.random = random;
-        ledger = new RequestLedger(slackMillis * 1_000_000, REPEAT_WINDOW);
-        for (int i = 0; i < SHARDS * SERVERS_A_SHARD; i++) {
+        ledger = new RequestLedger(slackMillis * 1_000_000, REPEAT_WINDOW_NANOS);
+        for (int i = 0; i < SHARDS * SERVERS_PER_SHARD; i++) {
             addServer(i % SHARDS);
         }
-        String settings = String.format(SETTINGS, headCount);
-        for (int i = 0; i < headCount; i++) {
-            Path own = Files.createDirectories(directory.resolve("head-" + i));
-            gateways.add(new GatewayProcess("n" + i, own, registry, ledger, settings, mainClass, shim, environment));
+        String settings = String.format(SETTINGS, gatewayCount);
+        for (int i = 0; i < gatewayCount; i++) {
+            Path gatewayDirectory = Files.createDirectories(directory.resolve("head-" + i));
+            gateways.add(new GatewayProcess(
+                    "n" + i, gatewayDirectory, discovery, ledger, settings, mainClass, shim, environment));
         }
     }
 
-    /** Starts a server and lists it. */
+    /** Starts a server and adds it to discovery. */
     synchronized StorageServer addServer(int shard) throws IOException {
-        StorageServer.Repeats shared = repeats.computeIfAbsent(shard, any -> new StorageServer.Repeats(REPEAT_WINDOW));
-        StorageServer server =
-                new StorageServer("s-" + ++lastServer, shard, registry, ledger, shared, random.split(), IDLE_MILLIS);
+        StorageServer.RepeatFilter repeatFilter =
+                repeatFilters.computeIfAbsent(shard, key -> new StorageServer.RepeatFilter(REPEAT_WINDOW_NANOS));
+        StorageServer server = new StorageServer(
+                "s-" + ++lastServerNumber, shard, discovery, ledger, repeatFilter, random.split(), IDLE_TIMEOUT_MILLIS);
         servers.add(server);
-        registry.put(server.entry("up"));
+        discovery.put(server.entry("up"));
         return server;
     }
 
-    static long idleMillis() {
-        return IDLE_MILLIS;
+    static long idleTimeoutMillis() {
+        return IDLE_TIMEOUT_MILLIS;
     }
 
-    /** Takes a server out of the list, and ends it. */
+    /** Removes a server from discovery and closes it. */
     void removeServer(StorageServer server) throws IOException {
         servers.remove(server);
-        Entry gone = server.entry("removed");
-        registry.put(gone);
+        Entry removedEntry = server.entry("removed");
+        discovery.put(removedEntry);
         server.close();
     }
 
@@ -98,6 +103,6 @@
         for (StorageServer server : servers) {
             server.close();
         }
-        registry.close();
+        discovery.close();
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/soak/Sockets.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/Sockets.java
@@ -6,44 +6,44 @@
 import java.net.Socket;
 import java.util.SplittableRandom;
 
-/** Ways to begin and end connections. */
+/** Socket utilities. */
 final class Sockets {
     private static final int FIRST_PORT = 20_000;
-    private static final int PORTS = 12_000;
-    private static final int PORT_TRIES = 100;
+    private static final int PORT_COUNT = 12_000;
+    private static final int MAX_PORT_ATTEMPTS = 100;
 
     private Sockets() {}
 
-    /** Ends a connection with a reset. */
+    /** Closes a connection with a TCP reset. */
     static void reset(Socket socket) {
         try {
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            // it had ended
+            // already closed
         }
     }
 
-    /** Ends a connection in order. */
+    /** Closes a connection gracefully. */
     static void close(Socket socket) {
         try {
             socket.close();
         } catch (IOException e) {
-            // it had ended
+            // already closed
         }
     }
 
-    /** A port that nobody listens at, below those that the system gives to connections: a gateway keeps its port over restarts. */
+    /** Returns an unused port below the ephemeral range, so that no connection takes it while its gateway restarts. */
     static int freePort(SplittableRandom random) throws IOException {
-        IOException last = null;
-        for (int i = 0; i < PORT_TRIES; i++) {
-            int port = FIRST_PORT + random.nextInt(PORTS);
+        IOException lastFailure = null;
+        for (int i = 0; i < MAX_PORT_ATTEMPTS; i++) {
+            int port = FIRST_PORT + random.nextInt(PORT_COUNT);
             try (ServerSocket server = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return server.getLocalPort();
             } catch (IOException e) {
-                last = e;
+                lastFailure = e;
             }
         }
-        throw last;
+        throw lastFailure;
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/soak/StorageServer.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/StorageServer.java
@@ -17,96 +17,96 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A storage server that does what the platform's protocol says of one, well or badly, and tells the ledger. */
+/** A fake storage server of the platform's protocol with injectable faults. It records all attempts in the ledger. */
 final class StorageServer implements AutoCloseable {
-    /** How it treats a request; each with a part in all of them. */
-    enum Habit {
+    /** Faults in the handling of a request; each applies to a share of the requests. */
+    enum ResponseFault {
         SLOW,
         HANG,
         ERROR,
-        RESET_BEFORE,
-        RESET_AFTER,
+        RESET_BEFORE_RUN,
+        RESET_MID_RESPONSE,
         NO_LENGTH,
         NO_LENGTH_RESET,
-        SPOILT,
-        SECOND_COPY,
-        FULL,
-        LONG_ANSWER
+        MALFORMED_RESPONSE,
+        DUPLICATE_RESPONSE,
+        OVERLOADED,
+        LARGE_RESPONSE
     }
 
-    /** Keyed requests that servers of a shard remember. */
-    static final class Repeats {
-        private final Map<String, Long> first = new ConcurrentHashMap<>();
+    /** The keyed requests seen by the servers of one shard, to detect repeats. */
+    static final class RepeatFilter {
+        private final Map<String, Long> firstArrivals = new ConcurrentHashMap<>();
         private final long window;
 
-        Repeats(long window) {
+        RepeatFilter(long window) {
             this.window = window;
         }
 
-        /** Whether this is a repeat that is to be dropped. */
-        boolean drops(String id, Attempt attempt) {
-            Long before = first.putIfAbsent(id, attempt.lastByteAt());
-            return before != null && attempt.firstByteAt() - before <= window;
+        /** Whether the attempt is a repeat within the window, which must not run again. */
+        boolean isRepeat(String id, Attempt attempt) {
+            Long firstArrival = firstArrivals.putIfAbsent(id, attempt.lastByteAt());
+            return firstArrival != null && attempt.firstByteAt() - firstArrival <= window;
         }
     }
 
-    /** What the settings allow after a drain is told, and the 50 ms of the protocol's page; nanoseconds. */
-    private static final long DRAIN_GRACE = 300_000_000;
+    /** How long sends may follow a drain notification: stop-sending-within (250 ms) and the 50 ms of the protocol. */
+    private static final long DRAIN_GRACE_NANOS = 300_000_000;
 
     final String name;
     final int shard;
     final FaultProxy proxy;
-    final long bornMillis = System.currentTimeMillis();
+    final long startMillis = System.currentTimeMillis();
     private final ServerSocket listener;
-    private final FakeDiscovery registry;
+    private final FakeDiscovery discovery;
     private final RequestLedger ledger;
-    private final Repeats repeats;
+    private final RepeatFilter repeatFilter;
     private final SplittableRandom random;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private final Map<Habit, Double> habits = new ConcurrentHashMap<>();
+    private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
+    private final Map<ResponseFault, Double> faultProbabilities = new ConcurrentHashMap<>();
     private volatile boolean draining;
-    private volatile long idleMillis;
+    private volatile long idleTimeoutMillis;
 
     StorageServer(
             String name,
             int shard,
-            FakeDiscovery registry,
+            FakeDiscovery discovery,
             RequestLedger ledger,
-            Repeats repeats,
+            RepeatFilter repeatFilter,
             SplittableRandom random,
-            long idleMillis)
+            long idleTimeoutMillis)
             throws IOException {
         this.name = name;
         this.shard = shard;
-        this.registry = registry;
+        this.discovery = discovery;
         this.ledger = ledger;
-        this.repeats = repeats;
+        this.repeatFilter = repeatFilter;
         this.random = random;
-        this.idleMillis = idleMillis;
+        this.idleTimeoutMillis = idleTimeoutMillis;
         listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
         proxy = new FaultProxy(listener.getLocalPort(), random.split());
         Threads.start(name, this::accept);
     }
 
     FakeDiscovery.Entry entry(String health) {
-        return new FakeDiscovery.Entry(name, proxy.address(), shard, health, bornMillis);
+        return new FakeDiscovery.Entry(name, proxy.address(), shard, health, startMillis);
     }
 
-    /** From now on new requests are turned away. */
-    void drain(boolean on) {
+    /** Sets whether new requests are refused. */
+    void setDraining(boolean on) {
         draining = on;
     }
 
-    void habit(Habit habit, double part) {
-        habits.put(habit, part);
+    void setFault(ResponseFault fault, double probability) {
+        faultProbabilities.put(fault, probability);
     }
 
-    void idleClose(long millis) {
-        idleMillis = millis;
+    void setIdleTimeout(long millis) {
+        idleTimeoutMillis = millis;
     }
 
     void resetAll() {
-        open.forEach(Sockets::reset);
+        connections.forEach(Sockets::reset);
     }
 
     private synchronized double draw() {
@@ -125,24 +125,24 @@
     }
 
     private void serve(Socket socket) {
-        open.add(socket);
+        connections.add(socket);
         try (socket) {
             socket.setTcpNoDelay(true);
             FaultProxy.Arrivals arrivals = proxy.arrivals(socket.getPort());
             HttpReader reader = new HttpReader(new BufferedInputStream(socket.getInputStream()));
-            socket.setSoTimeout((int) idleMillis);
-            boolean goesOn = true;
-            while (goesOn) {
+            socket.setSoTimeout((int) idleTimeoutMillis);
+            boolean keepOpen = true;
+            while (keepOpen) {
                 Message request = reader.read();
                 if (request == null) {
                     return;
                 }
-                goesOn = handle(request, arrivals, socket);
+                keepOpen = handle(request, arrivals, socket);
             }
         } catch (IOException e) {
-            // idle for too long, or reset
+            // idle timeout or reset
         } finally {
-            open.remove(socket);
+            connections.remove(socket);
         }
     }
 
@@ -152,101 +152,104 @@
             write(out, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
             return true;
         }
-        String id = request.field("X-Correlation-Id");
+        String id = request.header("X-Correlation-Id");
         Attempt attempt = new Attempt(
                 name,
-                arrivals.at(request.firstByte()),
-                arrivals.at(request.end() - 1),
-                Double.parseDouble(request.field("X-Time-Left")),
+                arrivals.timeOf(request.firstByte()),
+                arrivals.timeOf(request.end() - 1),
+                Double.parseDouble(request.header("X-Time-Left")),
                 arrivals.certainty());
-        if (!ledger.attempted(attempt, id, request.body())) {
+        if (!ledger.recordAttempt(attempt, id, request.body())) {
             write(out, "HTTP/1.1 400 Unknown\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
-        judgeDrain(ledger.find(id), attempt);
-        Habit habit = habit();
-        if (draining || habit == Habit.FULL) {
+        checkDrain(ledger.find(id), attempt);
+        ResponseFault fault = drawFault();
+        if (draining || fault == ResponseFault.OVERLOADED) {
             write(out, "HTTP/1.1 503 Turned away\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
-        if (habit == Habit.RESET_BEFORE) {
+        if (fault == ResponseFault.RESET_BEFORE_RUN) {
             Sockets.reset(socket);
             return false;
         }
-        String answer =
-                "made by " + name + " for " + id + (habit == Habit.LONG_ANSWER ? " " + "x".repeat(200_000) : "");
-        run(ledger.find(id), attempt, answer);
-        Threads.pause((long) (1 + draw() * (habit == Habit.SLOW ? 1_500 : 12)));
-        return answer(habit, answer, socket, out);
+        String body = "made by " + name + " for " + id
+                + (fault == ResponseFault.LARGE_RESPONSE ? " " + "x".repeat(200_000) : "");
+        execute(ledger.find(id), attempt, body);
+        Threads.pause((long) (1 + draw() * (fault == ResponseFault.SLOW ? 1_500 : 12)));
+        return respond(fault, body, socket, out);
     }
 
-    private void judgeDrain(Request request, Attempt attempt) {
-        long notifiedAt = registry.notifiedAt(request.gateway, name);
-        if (attempt.timed()
+    private void checkDrain(Request request, Attempt attempt) {
+        long notifiedAt = discovery.notifiedAt(request.gateway, name);
+        if (attempt.hasExactTimes()
                 && notifiedAt != Long.MAX_VALUE
-                && attempt.firstByteAt() > notifiedAt + DRAIN_GRACE + ledger.slack()) {
+                && attempt.firstByteAt() > notifiedAt + DRAIN_GRACE_NANOS + ledger.slack()) {
             ledger.report(Violation.timed(
                     Kind.SENT_TO_DRAINING,
                     request.gateway + " sent " + request.id + " to " + name + " "
                             + (attempt.firstByteAt() - notifiedAt) / 1_000_000
-                            + " ms after it counted as notified that this drains or is gone; "
-                            + registry.describe(request.gateway, name) + ", begun at "
-                            + registry.seconds(attempt.firstByteAt())));
+                            + " ms after it counted as notified that the server drains or is removed; "
+                            + discovery.describeNotification(request.gateway, name) + ", first byte at "
+                            + discovery.formatTime(attempt.firstByteAt())));
         }
     }
 
-    private void run(Request request, Attempt attempt, String answer) {
-        if (request.effect == Effect.BY_KEY && repeats.drops(request.id, attempt)) {
+    private void execute(Request request, Attempt attempt, String body) {
+        if (request.effect == Effect.BY_KEY && repeatFilter.isRepeat(request.id, attempt)) {
             synchronized (request) {
-                request.made.add(answer); // the repeat is answered as the first would be
+                request.responses.add(body); // a repeat gets a response as the first run does
             }
             return;
         }
-        ledger.runs(request.id, attempt.lastByteAt(), answer);
+        ledger.recordRun(request.id, attempt.lastByteAt(), body);
     }
 
-    private boolean answer(Habit habit, String answer, Socket socket, OutputStream out) throws IOException {
-        String whole = "HTTP/1.1 200 OK\r\nContent-Length: " + answer.length() + "\r\n\r\n" + answer;
-        if (habit == null) {
-            write(out, whole);
+    private boolean respond(ResponseFault fault, String body, Socket socket, OutputStream out) throws IOException {
+        String response = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+        if (fault == null) {
+            write(out, response);
             return true;
         }
-        switch (habit) {
+        switch (fault) {
             case HANG -> Threads.pause(4_000);
             case ERROR -> write(out, "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n");
-            case RESET_AFTER -> {
-                write(out, whole.substring(0, whole.length() / 2));
+            case RESET_MID_RESPONSE -> {
+                write(out, response.substring(0, response.length() / 2));
                 Sockets.reset(socket);
             }
             case NO_LENGTH, NO_LENGTH_RESET -> {
                 write(
                         out,
                         "HTTP/1.1 200 OK\r\n\r\n"
-                                + answer.substring(0, habit == Habit.NO_LENGTH ? answer.length() : 5));
-                if (habit == Habit.NO_LENGTH) {
+                                + body.substring(0, fault == ResponseFault.NO_LENGTH ? body.length() : 5));
+                if (fault == ResponseFault.NO_LENGTH) {
                     socket.shutdownOutput();
                 } else {
                     Sockets.reset(socket);
                 }
             }
-            case SPOILT -> write(
+            case MALFORMED_RESPONSE -> write(
                     out, draw() < 0.5 ? "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nnoise" : "\0\1\2noise\r\n\r\n");
-            case SECOND_COPY -> {
-                write(out, whole);
+            case DUPLICATE_RESPONSE -> {
+                write(out, response);
                 Threads.pause((long) (draw() * 2));
-                write(out, whole);
+                write(out, response);
             }
-            default -> write(out, whole);
+            default -> write(out, response);
         }
-        return habit == Habit.ERROR || habit == Habit.SLOW || habit == Habit.LONG_ANSWER || habit == Habit.SECOND_COPY;
+        return fault == ResponseFault.ERROR
+                || fault == ResponseFault.SLOW
+                || fault == ResponseFault.LARGE_RESPONSE
+                || fault == ResponseFault.DUPLICATE_RESPONSE;
     }
 
-    private Habit habit() {
-        double left = draw();
-        for (Map.Entry<Habit, Double> one : habits.entrySet()) {
-            left -= one.getValue();
-            if (left < 0) {
-                return one.getKey();
+    private ResponseFault drawFault() {
+        double remaining = draw();
+        for (Map.Entry<ResponseFault, Double> entry : faultProbabilities.entrySet()) {
+            remaining -= entry.getValue();
+            if (remaining < 0) {
+                return entry.getKey();
             }
         }
         return null;
@@ -256,7 +259,7 @@
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Dies: connections are reset and new ones refused. */
+    /** Stops as a crashed server does: connections are reset and new ones refused. */
     @Override
     public void close() throws IOException {
         listener.close();
--- a/cli/src/main/java/garnetreel/cli/testing/soak/Threads.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/Threads.java
@@ -2,24 +2,24 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-/** Threads of the soak's peers. They end with their sockets, and none keeps the process alive. */
+/** Daemon threads of the soak's clients and servers. They end when their sockets are closed. */
 final class Threads {
-    private static final int STACK = 256 << 10;
+    private static final int STACK_BYTES = 256 << 10;
 
     private Threads() {}
 
-    static Thread start(String name, Runnable work) {
-        Thread thread = new Thread(null, work, name, STACK);
+    static Thread start(String name, Runnable task) {
+        Thread thread = new Thread(null, task, name, STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
         return thread;
     }
 
-    /** Lets real time pass: the peers of real processes have no other. */
+    /** Sleeps in real time, since the gateways are real processes with no simulated clock. */
     static void pause(long millis) {
-        long until = System.nanoTime() + millis * 1_000_000;
-        while (System.nanoTime() < until && !Thread.currentThread().isInterrupted()) {
-            LockSupport.parkNanos(until - System.nanoTime());
+        long deadline = System.nanoTime() + millis * 1_000_000;
+        while (System.nanoTime() < deadline && !Thread.currentThread().isInterrupted()) {
+            LockSupport.parkNanos(deadline - System.nanoTime());
         }
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/soak/Violation.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/Violation.java
@@ -1,8 +1,8 @@
 package garnetreel.cli.testing.soak;
 
-/** One broken rule. {@code timed} where the verdict compares times, so that a stalled machine could be at fault. */
-record Violation(Kind kind, boolean timed, String what) {
-    /** The rules that the soak holds gateways to. */
+/** A violated invariant. {@code timed} if the check compares times, so that a stalled machine could have caused it. */
+record Violation(Kind kind, boolean timed, String detail) {
+    /** The invariants that the soak checks. */
     enum Kind {
         UNANSWERED,
         WRONG_ANSWER,
@@ -20,16 +20,16 @@
         HEAD_REPORTS
     }
 
-    static Violation of(Kind kind, String what) {
-        return new Violation(kind, false, what);
+    static Violation of(Kind kind, String detail) {
+        return new Violation(kind, false, detail);
     }
 
-    static Violation timed(Kind kind, String what) {
-        return new Violation(kind, true, what);
+    static Violation timed(Kind kind, String detail) {
+        return new Violation(kind, true, detail);
     }
 
     @Override
     public String toString() {
-        return kind + (timed ? " (timed): " : ": ") + what;
+        return kind + (timed ? " (timed): " : ": ") + detail;
     }
 }
--- a/cli/src/main/java/garnetreel/cli/testing/soak/package-info.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/package-info.java
@@ -1,2 +1,2 @@
-/** The fault soak: gateways as real processes under random overlapping faults, judged by invariants. */
+/** The fault soak: runs gateway processes under random overlapping faults and checks invariants. */
 package garnetreel.cli.testing.soak;
--- a/cli/src/main/resources/garnetreel/cli/testing/soak/faultshim.c
+++ b/cli/src/main/resources/garnetreel/cli/testing/soak/faultshim.c
@@ -1,8 +1,9 @@
 /*
- * Faults of the operating system for the fault soak, loaded into a process with LD_PRELOAD. A file that the soak shares with the
- * process (GARNETREEL_FAULT_CONTROL) says how often which call fails and by how much the wall clock is off; without it nothing
- * is changed. Only errors that accept(2), socket(2), connect(2), epoll_wait(2), read(2), write(2), fsync(2) document are raised,
- * and only where the kernel may raise them for reasons of its own. The monotonic clock is never touched.
+ * System call faults for the fault soak, loaded into a process with LD_PRELOAD. A file that the soak shares with the
+ * process (GARNETREEL_FAULT_CONTROL) sets the failure probability of each call and the offset of the wall clock;
+ * without it the library changes nothing. Returns only errors that accept(2), socket(2), connect(2), epoll_wait(2),
+ * read(2), write(2) and fsync(2) document, and only where the kernel may return them on its own. The monotonic clock is
+ * not changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -19,17 +20,17 @@
 #include <time.h>
 #include <unistd.h>
 
-enum fault { ACCEPT, SOCKET, CONNECT, SHORT_READ, SHORT_WRITE, INTERRUPT, BROKEN_AS, FILE_WRITE, FILE_SYNC, FAULTS };
+enum fault { ACCEPT, SOCKET, CONNECT, SHORT_READ, SHORT_WRITE, INTERRUPT, RESET_ERROR, FILE_WRITE, FILE_SYNC, FAULT_COUNT };
 
-/* Layout known to ProcessFaults.java: little-endian, one page. */
+/* Layout shared with ProcessFaults.java: little-endian, one page. */
 struct control {
     int64_t wall_offset_nanos;
     uint32_t per_million[16];
-    uint64_t raised[16];
+    uint64_t fail_counts[16];
 };
 
 static volatile struct control *control;
-static _Thread_local uint64_t state;
+static _Thread_local uint64_t random_state;
 
 __attribute__((constructor)) static void map_control(void) {
     const char *path = getenv("GARNETREEL_FAULT_CONTROL");
@@ -41,26 +42,26 @@
     }
 }
 
-static uint64_t draw(void) {
-    if (state == 0) {
-        state = (uint64_t)(uintptr_t)&state * 0x9E3779B97F4A7C15u | 1;
+static uint64_t next_random(void) {
+    if (random_state == 0) {
+        random_state = (uint64_t)(uintptr_t)&random_state * 0x9E3779B97F4A7C15u | 1;
     }
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    return state;
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    return random_state;
 }
 
-static int raised(enum fault fault) {
-    if (control == NULL || control->per_million[fault] == 0 || draw() % 1000000 >= control->per_million[fault]) {
+static int should_fail(enum fault fault) {
+    if (control == NULL || control->per_million[fault] == 0 || next_random() % 1000000 >= control->per_million[fault]) {
         return 0;
     }
-    __sync_fetch_and_add(&control->raised[fault], 1);
+    __sync_fetch_and_add(&control->fail_counts[fault], 1);
     return 1;
 }
 
-static int one_of(const int *errors, int count) {
-    return errors[draw() % count];
+static int pick(const int *errors, int count) {
+    return errors[next_random() % count];
 }
 
 static int is_socket(int fd) {
@@ -73,11 +74,11 @@
     return fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-#define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
+#define NEXT_SYMBOL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
     static int (*real)(clockid_t, struct timespec *);
-    real = real ? real : REAL(clock_gettime);
+    real = real ? real : NEXT_SYMBOL(clock_gettime);
     int result = real(clock, now);
     if (result == 0 && clock == CLOCK_REALTIME && control != NULL && control->wall_offset_nanos != 0) {
         int64_t nanos = now->tv_nsec + control->wall_offset_nanos % 1000000000;
@@ -103,10 +104,10 @@
     return result;
 }
 
-static int failing_accept(void) {
+static int accept_fails(void) {
     static const int errors[] = {ECONNABORTED, EINTR, ENFILE, ENOBUFS, ENOMEM, EMFILE};
-    if (raised(ACCEPT)) {
-        errno = one_of(errors, 6);
+    if (should_fail(ACCEPT)) {
+        errno = pick(errors, 6);
         return 1;
     }
     return 0;
@@ -114,22 +115,22 @@
 
 int accept(int fd, struct sockaddr *restrict peer, socklen_t *restrict length) {
     static int (*real)(int, struct sockaddr *, socklen_t *);
-    real = real ? real : REAL(accept);
-    return failing_accept() ? -1 : real(fd, peer, length);
+    real = real ? real : NEXT_SYMBOL(accept);
+    return accept_fails() ? -1 : real(fd, peer, length);
 }
 
 int accept4(int fd, struct sockaddr *restrict peer, socklen_t *restrict length, int flags) {
     static int (*real)(int, struct sockaddr *, socklen_t *, int);
-    real = real ? real : REAL(accept4);
-    return failing_accept() ? -1 : real(fd, peer, length, flags);
+    real = real ? real : NEXT_SYMBOL(accept4);
+    return accept_fails() ? -1 : real(fd, peer, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
     static int (*real)(int, int, int);
     static const int errors[] = {ENFILE, EMFILE, ENOBUFS, ENOMEM};
-    real = real ? real : REAL(socket);
-    if ((domain == AF_INET || domain == AF_INET6) && raised(SOCKET)) {
-        errno = one_of(errors, 4);
+    real = real ? real : NEXT_SYMBOL(socket);
+    if ((domain == AF_INET || domain == AF_INET6) && should_fail(SOCKET)) {
+        errno = pick(errors, 4);
         return -1;
     }
     return real(domain, type, protocol);
@@ -138,45 +139,45 @@
 int connect(int fd, const struct sockaddr *peer, socklen_t length) {
     static int (*real)(int, const struct sockaddr *, socklen_t);
     static const int errors[] = {EADDRNOTAVAIL, ENETUNREACH, EAGAIN, EINTR};
-    real = real ? real : REAL(connect);
-    if (peer->sa_family != AF_UNIX && raised(CONNECT)) {
-        errno = one_of(errors, 2); /* EAGAIN and EINTR would have to leave the call going on, which can't be played here */
+    real = real ? real : NEXT_SYMBOL(connect);
+    if (peer->sa_family != AF_UNIX && should_fail(CONNECT)) {
+        errno = pick(errors, 2); /* after EAGAIN and EINTR the call would have to continue */
         return -1;
     }
     return real(fd, peer, length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     static int (*real)(int, struct epoll_event *, int, int);
-    real = real ? real : REAL(epoll_wait);
-    if (raised(INTERRUPT)) {
+    real = real ? real : NEXT_SYMBOL(epoll_wait);
+    if (should_fail(INTERRUPT)) {
         errno = EINTR;
         return -1;
     }
-    return real(fd, events, most, timeout);
+    return real(fd, events, max_events, timeout);
 }
 
-static ssize_t broken_as(ssize_t result) {
+static ssize_t vary_reset_error(ssize_t result) {
     static const int errors[] = {ETIMEDOUT, EHOSTUNREACH, ENETUNREACH};
-    if (result < 0 && errno == ECONNRESET && raised(BROKEN_AS)) {
-        errno = one_of(errors, 3);
+    if (result < 0 && errno == ECONNRESET && should_fail(RESET_ERROR)) {
+        errno = pick(errors, 3);
     }
     return result;
 }
 
 ssize_t read(int fd, void *buffer, size_t count) {
     static ssize_t (*real)(int, void *, size_t);
-    real = real ? real : REAL(read);
-    if (count > 1 && control != NULL && control->per_million[SHORT_READ] != 0 && is_socket(fd) && raised(SHORT_READ)) {
-        count = 1 + draw() % (count < 64 ? count : 64);
+    real = real ? real : NEXT_SYMBOL(read);
+    if (count > 1 && control != NULL && control->per_million[SHORT_READ] != 0 && is_socket(fd) && should_fail(SHORT_READ)) {
+        count = 1 + next_random() % (count < 64 ? count : 64);
     }
-    return broken_as(real(fd, buffer, count));
+    return vary_reset_error(real(fd, buffer, count));
 }
 
-static int failing_file(int fd, enum fault fault) {
+static int file_call_fails(int fd, enum fault fault) {
     static const int errors[] = {ENOSPC, EIO};
-    if (control != NULL && control->per_million[fault] != 0 && is_file(fd) && raised(fault)) {
-        errno = one_of(errors, 2);
+    if (control != NULL && control->per_million[fault] != 0 && is_file(fd) && should_fail(fault)) {
+        errno = pick(errors, 2);
         return 1;
     }
     return 0;
@@ -184,45 +185,45 @@
 
 ssize_t write(int fd, const void *buffer, size_t count) {
     static ssize_t (*real)(int, const void *, size_t);
-    real = real ? real : REAL(write);
-    if (failing_file(fd, FILE_WRITE)) {
+    real = real ? real : NEXT_SYMBOL(write);
+    if (file_call_fails(fd, FILE_WRITE)) {
         return -1;
     }
-    if (count > 1 && control != NULL && control->per_million[SHORT_WRITE] != 0 && is_socket(fd) && raised(SHORT_WRITE)) {
-        count = 1 + draw() % count;
+    if (count > 1 && control != NULL && control->per_million[SHORT_WRITE] != 0 && is_socket(fd) && should_fail(SHORT_WRITE)) {
+        count = 1 + next_random() % count;
     }
-    return broken_as(real(fd, buffer, count));
+    return vary_reset_error(real(fd, buffer, count));
 }
 
-ssize_t writev(int fd, const struct iovec *parts, int count) {
+ssize_t writev(int fd, const struct iovec *buffers, int count) {
     static ssize_t (*real)(int, const struct iovec *, int);
-    real = real ? real : REAL(writev);
-    if (count > 1 && control != NULL && control->per_million[SHORT_WRITE] != 0 && is_socket(fd) && raised(SHORT_WRITE)) {
-        count = 1 + draw() % count;
+    real = real ? real : NEXT_SYMBOL(writev);
+    if (count > 1 && control != NULL && control->per_million[SHORT_WRITE] != 0 && is_socket(fd) && should_fail(SHORT_WRITE)) {
+        count = 1 + next_random() % count;
     }
-    return broken_as(real(fd, parts, count));
+    return vary_reset_error(real(fd, buffers, count));
 }
 
-ssize_t pwrite(int fd, const void *buffer, size_t count, off_t at) {
+ssize_t pwrite(int fd, const void *buffer, size_t count, off_t offset) {
     static ssize_t (*real)(int, const void *, size_t, off_t);
-    real = real ? real : REAL(pwrite);
-    return failing_file(fd, FILE_WRITE) ? -1 : real(fd, buffer, count, at);
+    real = real ? real : NEXT_SYMBOL(pwrite);
+    return file_call_fails(fd, FILE_WRITE) ? -1 : real(fd, buffer, count, offset);
 }
 
-ssize_t pwrite64(int fd, const void *buffer, size_t count, off64_t at) {
+ssize_t pwrite64(int fd, const void *buffer, size_t count, off64_t offset) {
     static ssize_t (*real)(int, const void *, size_t, off64_t);
-    real = real ? real : REAL(pwrite64);
-    return failing_file(fd, FILE_WRITE) ? -1 : real(fd, buffer, count, at);
+    real = real ? real : NEXT_SYMBOL(pwrite64);
+    return file_call_fails(fd, FILE_WRITE) ? -1 : real(fd, buffer, count, offset);
 }
 
 int fsync(int fd) {
     static int (*real)(int);
-    real = real ? real : REAL(fsync);
-    return failing_file(fd, FILE_SYNC) ? -1 : real(fd);
+    real = real ? real : NEXT_SYMBOL(fsync);
+    return file_call_fails(fd, FILE_SYNC) ? -1 : real(fd);
 }
 
 int fdatasync(int fd) {
     static int (*real)(int);
-    real = real ? real : REAL(fdatasync);
-    return failing_file(fd, FILE_SYNC) ? -1 : real(fd);
+    real = real ? real : NEXT_SYMBOL(fdatasync);
+    return file_call_fails(fd, FILE_SYNC) ? -1 : real(fd);
 }
--- a/cli/src/test/java/garnetreel/cli/testing/soak/FailingCallsTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/soak/FailingCallsTest.java
@@ -21,87 +21,87 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A head as a real process, some of whose system calls fail. Left out, and said so, where there is no C compiler. */
+/** Runs a gateway process with failing system calls. Skipped, and reported as such, if there is no C compiler. */
 @Timeout(120)
 class FailingCallsTest {
-    private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
-    /** What a client of the platform waits at most, with the half second in which an answer only earns nothing. */
-    private static final int CLIENT_WAITS_MILLIS = 3_000;
+    private static final String READY_REQUEST = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
+    /** The longest wait of the platform's clients, including 0.5 s in which a late response earns nothing. */
+    private static final int CLIENT_TIMEOUT_MILLIS = 3_000;
 
     @TempDir
     Path directory;
 
-    private SoakEnvironment world;
-    private GatewayProcess head;
+    private SoakEnvironment environment;
+    private GatewayProcess gateway;
     private ProcessFaults faults;
 
     @BeforeEach
     void start() throws IOException {
         Optional<Path> library = ProcessFaults.build(directory);
         assumeTrue(library.isPresent(), "no C compiler");
-        world = new SoakEnvironment(
+        environment = new SoakEnvironment(
                 directory, new SplittableRandom(1), 1, 1_000, "garnetreel.cli.PlatformMain", List.of(), library);
-        world.startGateways();
-        head = world.gateways.get(0);
-        faults = head.faults().orElseThrow();
+        environment.startGateways();
+        gateway = environment.gateways.get(0);
+        faults = gateway.faults().orElseThrow();
     }
 
     @AfterEach
-    void end() throws IOException {
-        if (world != null) {
-            world.close();
+    void close() throws IOException {
+        if (environment != null) {
+            environment.close();
         }
     }
 
-    private Socket ask() throws IOException {
-        Socket socket = head.connect();
-        socket.setSoTimeout(CLIENT_WAITS_MILLIS);
-        socket.getOutputStream().write(READY.getBytes(StandardCharsets.US_ASCII));
+    private Socket sendReadyRequest() throws IOException {
+        Socket socket = gateway.connect();
+        socket.setSoTimeout(CLIENT_TIMEOUT_MILLIS);
+        socket.getOutputStream().write(READY_REQUEST.getBytes(StandardCharsets.US_ASCII));
         return socket;
     }
 
-    private void untilRaised(Call call, int times) {
-        for (int i = 0; faults.raised(call) < times && i < 2_000; i++) {
+    private void awaitFailures(Call call, int times) {
+        for (int i = 0; faults.failureCount(call) < times && i < 2_000; i++) {
             Threads.pause(10);
         }
-        assertTrue(faults.raised(call) >= times, call + " was made to fail " + faults.raised(call) + " times");
+        assertTrue(faults.failureCount(call) >= times, call + " failed " + faults.failureCount(call) + " times");
     }
 
-    /** Accepting fails some times in a row; a client that waits meanwhile is answered before it gives up. */
+    /** accept fails several times in a row; a client that waits meanwhile is answered before its time-out. */
     @Test
-    void aClientThatWaitsWhileAcceptFailsIsAnswered() throws IOException {
+    void clientWaitingWhileAcceptFailsGetsResponse() throws IOException {
         faults.fail(Call.ACCEPT, 1);
-        try (Socket client = ask()) {
-            untilRaised(Call.ACCEPT, 4);
+        try (Socket client = sendReadyRequest()) {
+            awaitFailures(Call.ACCEPT, 4);
             faults.fail(Call.ACCEPT, 0);
             assertEquals(200, new HttpReader(client.getInputStream()).read().status());
         } catch (SocketTimeoutException e) {
-            throw new AssertionError("no answer " + CLIENT_WAITS_MILLIS + " ms after accept works again", e);
+            throw new AssertionError("no response " + CLIENT_TIMEOUT_MILLIS + " ms after accept works again", e);
         }
     }
 
-    /** Accepting fails now and then for some seconds, which must not add up: each client is answered in its time. */
+    /** accept fails intermittently for seconds; the delays must not accumulate, so each client is answered in time. */
     @Test
-    void clientsAreAnsweredWhileAcceptFailsNowAndThen() throws IOException {
+    void clientsGetResponsesWhileAcceptFailsIntermittently() throws IOException {
         faults.fail(Call.ACCEPT, 0.5);
         for (int i = 0; i < 60; i++) {
-            try (Socket client = ask()) {
+            try (Socket client = sendReadyRequest()) {
                 assertEquals(200, new HttpReader(client.getInputStream()).read().status());
             } catch (SocketTimeoutException e) {
-                throw new AssertionError("client " + i + " has no answer after " + CLIENT_WAITS_MILLIS + " ms", e);
+                throw new AssertionError("client " + i + " got no response within " + CLIENT_TIMEOUT_MILLIS + " ms", e);
             }
         }
-        assertTrue(faults.raised(Call.ACCEPT) > 10);
+        assertTrue(faults.failureCount(Call.ACCEPT) > 10);
     }
 
-    /** For want of a descriptor or a port no connection can be opened: that is this machine's fault, and no server is marked for it. */
+    /** A lack of descriptors or ports is a local failure, for which no server may be marked unreachable. */
     @Test
-    void aHeadThatCannotConnectBlamesNoServer() throws IOException {
+    void failureToOpenSocketsMarksNoServerUnreachable() throws IOException {
         faults.fail(Call.SOCKET, 1);
         faults.fail(Call.CONNECT, 1);
         for (int shard = 0; shard < SoakEnvironment.SHARDS; shard++) {
-            try (Socket client = head.connect()) {
-                client.setSoTimeout(CLIENT_WAITS_MILLIS);
+            try (Socket client = gateway.connect()) {
+                client.setSoTimeout(CLIENT_TIMEOUT_MILLIS);
                 client.getOutputStream()
                         .write(("GET /read/a HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 000000000000000" + shard
                                         + "\r\nTier: gold\r\nX-Time-Left: 2.000\r\nIO-Info: volume=0000000000000001,units=1,shard="
@@ -109,25 +109,27 @@
                                         + ",hosts=1\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII));
                 assertEquals(
-                        503, new HttpReader(client.getInputStream()).read().status(), "nothing was sent: a refusal");
+                        503,
+                        new HttpReader(client.getInputStream()).read().status(),
+                        "nothing was sent, so the request is refused");
             }
         }
-        assertTrue(faults.raised(Call.SOCKET) + faults.raised(Call.CONNECT) > 0);
+        assertTrue(faults.failureCount(Call.SOCKET) + faults.failureCount(Call.CONNECT) > 0);
         String log = Files.readString(directory.resolve("head-0").resolve("log-0.txt"));
         assertFalse(log.contains(": unreachable"), log);
     }
 
-    /** Reads and writes of a few bytes, and waits that are interrupted, change nothing but the speed. */
+    /** Short reads and writes and interrupted waits only slow the gateway down. */
     @Test
     void shortReadsAndWritesAndInterruptedWaitsAreHarmless() throws IOException {
         for (Call call : List.of(Call.SHORT_READ, Call.SHORT_WRITE, Call.INTERRUPT)) {
             faults.fail(call, 0.7);
         }
         for (int i = 0; i < 50; i++) {
-            try (Socket client = ask()) {
+            try (Socket client = sendReadyRequest()) {
                 assertEquals(200, new HttpReader(client.getInputStream()).read().status());
             }
         }
-        assertTrue(faults.raised(Call.SHORT_READ) + faults.raised(Call.INTERRUPT) > 0);
+        assertTrue(faults.failureCount(Call.SHORT_READ) + faults.failureCount(Call.INTERRUPT) > 0);
     }
 }
--- a/cli/src/test/java/garnetreel/cli/testing/soak/FailingDiskTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/soak/FailingDiskTest.java
@@ -21,26 +21,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A journal whose disk fails for a while: it goes on when that works again, and has all that it said was durable. */
+/**
+ * A journal on a temporarily failing disk resumes when the disk works again, and keeps every record reported as
+ * durable.
+ */
 @Timeout(120)
 class FailingDiskTest {
     private static final int WAIT_SECONDS = 20;
-    /** Part of the writes and syncs that fail while a journal is to make progress all the same. */
-    private static final double FAILING_PART = 0.1;
+    /** Share of writes and syncs that fail while the journal still has to make progress. */
+    private static final double FAILURE_PROBABILITY = 0.1;
     /**
-     * Faults that one record may meet; then the disk works until that record is durable. How many attempts a snapshot takes
-     * while each call fails by chance has no bound, so without this one no wait for the next record has one either.
+     * Maximum number of faults per record; after these the disk works until the record is durable. A snapshot whose
+     * calls fail at random takes an unbounded number of attempts, so without this bound the wait for the next record is
+     * unbounded too.
      */
     private static final int MAX_FAULTS_PER_RECORD = 30;
 
     @TempDir
     Path directory;
 
-    private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> durableLines = new LinkedBlockingQueue<>();
     private java.lang.Process writer;
     private long durable;
 
-    private ProcessFaults start() throws IOException {
+    private ProcessFaults startWriter() throws IOException {
         Optional<Path> library = ProcessFaults.build(directory);
         assumeTrue(library.isPresent(), "no C compiler");
         ProcessFaults faults = ProcessFaults.of(library.get(), directory.resolve("faults"));
@@ -58,97 +62,98 @@
                 new BufferedReader(new InputStreamReader(writer.getInputStream(), StandardCharsets.UTF_8));
         Threads.start(
                 "writer-output",
-                () -> lines.lines().filter(line -> line.startsWith("durable ")).forEach(said::add));
+                () -> lines.lines().filter(line -> line.startsWith("durable ")).forEach(durableLines::add));
         return faults;
     }
 
     @AfterEach
-    void end() throws InterruptedException {
+    void stopWriter() throws InterruptedException {
         if (writer != null) {
             writer.destroyForcibly().waitFor();
         }
     }
 
-    private void awaitDurable(int more) throws InterruptedException {
-        for (int i = 0; i < more; i++) {
-            String line = said.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+    private void awaitDurable(int count) throws InterruptedException {
+        for (int i = 0; i < count; i++) {
+            String line = durableLines.poll(WAIT_SECONDS, TimeUnit.SECONDS);
             if (line == null) {
-                throw new AssertionError("nothing durable any more after record " + durable);
+                throw new AssertionError("no further record became durable after record " + durable);
             }
             durable = Long.parseLong(line.substring("durable ".length()));
         }
     }
 
-    private static void failWritesAndSyncs(ProcessFaults faults, double part) {
-        faults.fail(Call.FILE_WRITE, part);
-        faults.fail(Call.FILE_SYNC, part);
+    private static void failWritesAndSyncs(ProcessFaults faults, double probability) {
+        faults.fail(Call.FILE_WRITE, probability);
+        faults.fail(Call.FILE_SYNC, probability);
     }
 
-    private static long raised(ProcessFaults faults) {
-        return faults.raised(Call.FILE_WRITE) + faults.raised(Call.FILE_SYNC);
+    private static long failureCount(ProcessFaults faults) {
+        return faults.failureCount(Call.FILE_WRITE) + faults.failureCount(Call.FILE_SYNC);
     }
 
-    /** Awaits further records while calls fail. Their number is bounded, so each record comes; only the test's limit is on time. */
-    private void awaitDurableWhileCallsFail(int more, ProcessFaults faults) throws InterruptedException {
-        for (int i = 0; i < more; i++) {
-            failWritesAndSyncs(faults, FAILING_PART);
-            long raisedBefore = raised(faults);
-            String line = said.poll(1, TimeUnit.MILLISECONDS);
+    /** Awaits records while calls fail. Faults per record are bounded; the only time limit is that of the test. */
+    private void awaitDurableWhileCallsFail(int count, ProcessFaults faults) throws InterruptedException {
+        for (int i = 0; i < count; i++) {
+            failWritesAndSyncs(faults, FAILURE_PROBABILITY);
+            long failuresBefore = failureCount(faults);
+            String line = durableLines.poll(1, TimeUnit.MILLISECONDS);
             while (line == null) {
-                assertTrue(writer.isAlive(), "the writer ended after record " + durable);
-                if (raised(faults) - raisedBefore >= MAX_FAULTS_PER_RECORD) {
+                assertTrue(writer.isAlive(), "the writer process exited after record " + durable);
+                if (failureCount(faults) - failuresBefore >= MAX_FAULTS_PER_RECORD) {
                     failWritesAndSyncs(faults, 0);
                 }
-                line = said.poll(1, TimeUnit.MILLISECONDS);
+                line = durableLines.poll(1, TimeUnit.MILLISECONDS);
             }
             durable = Long.parseLong(line.substring("durable ".length()));
         }
-        failWritesAndSyncs(faults, FAILING_PART);
+        failWritesAndSyncs(faults, FAILURE_PROBABILITY);
     }
 
     @ParameterizedTest
     @EnumSource(
             value = Call.class,
             names = {"FILE_WRITE", "FILE_SYNC"})
-    void theJournalGoesOnWhenItsDiskWorksAgain(Call call) throws Exception {
-        ProcessFaults faults = start();
+    void journalResumesWhenDiskWorksAgain(Call call) throws Exception {
+        ProcessFaults faults = startWriter();
         awaitDurable(50);
         faults.fail(call, 1);
-        for (int i = 0; faults.raised(call) < 3 && i < 1_000; i++) {
+        for (int i = 0; faults.failureCount(call) < 3 && i < 1_000; i++) {
             Threads.pause(10);
         }
-        assertTrue(faults.raised(call) > 0);
+        assertTrue(faults.failureCount(call) > 0);
         faults.fail(call, 0);
-        said.clear();
+        durableLines.clear();
         awaitDurable(100);
         writer.destroyForcibly().waitFor();
-        awaitAll();
-        assertKept();
+        drainOutput();
+        assertDurableRecordsKept();
     }
 
-    private void awaitAll() {
-        for (String line = said.poll(); line != null; line = said.poll()) {
+    private void drainOutput() {
+        for (String line = durableLines.poll(); line != null; line = durableLines.poll()) {
             durable = Long.parseLong(line.substring("durable ".length()));
         }
     }
 
-    private void assertKept() throws IOException {
+    private void assertDurableRecordsKept() throws IOException {
         try (Journal journal = new Journal(directory.resolve("state").resolve("journal"))) {
             assertTrue(
                     journal.lastSequence() >= durable,
-                    "the last kept is " + journal.lastSequence() + ", said to be durable " + durable);
+                    "the journal ends with record " + journal.lastSequence() + ", reported as durable: " + durable);
         }
     }
 
-    /** A kill in the midst of writes that fail now and then loses nothing that was durable. */
+    /** Killing the process during intermittent write failures loses no durable record. */
     @Test
-    void aKillWhileWritesFailLosesNothing() throws Exception {
-        ProcessFaults faults = start();
+    void killDuringWriteFailuresLosesNoDurableRecord() throws Exception {
+        ProcessFaults faults = startWriter();
         awaitDurable(20);
         awaitDurableWhileCallsFail(60, faults);
-        assertTrue(faults.raised(Call.FILE_WRITE) > 0 && faults.raised(Call.FILE_SYNC) > 0, "no call failed");
+        assertTrue(
+                faults.failureCount(Call.FILE_WRITE) > 0 && faults.failureCount(Call.FILE_SYNC) > 0, "no call failed");
         writer.destroyForcibly().waitFor();
-        awaitAll();
-        assertKept();
+        drainOutput();
+        assertDurableRecordsKept();
     }
 }
--- a/cli/src/test/java/garnetreel/cli/testing/soak/FaultSoakTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/soak/FaultSoakTest.java
@@ -12,11 +12,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A short fault soak of fixed seeds. Only rules whose verdict compares no times count here; the command judges all. */
+/**
+ * A short fault soak with fixed seeds. Checks only invariants that compare no times; the fault-soak command checks all.
+ */
 @Timeout(300)
 class FaultSoakTest {
     private static final int SECONDS = 6;
-    private static final int HEADS = 3;
+    private static final int GATEWAYS = 3;
     private static final long SLACK_MILLIS = 3_000;
 
     @TempDir
@@ -24,11 +26,11 @@
 
     @ParameterizedTest
     @ValueSource(longs = {3, 8})
-    void noRuleIsBroken(long seed) throws IOException {
-        StringWriter said = new StringWriter();
+    void noInvariantIsViolated(long seed) throws IOException {
+        StringWriter output = new StringWriter();
         FaultSoak.Plan plan = new FaultSoak.Plan(
-                seed, SECONDS, HEADS, SLACK_MILLIS, "garnetreel.cli.PlatformMain", List.of(), true, directory);
-        FaultSoak.Result result = new FaultSoak(plan, new PrintWriter(said, true)).run();
-        assertEquals(List.of(), result.untimed(), said + result.summary());
+                seed, SECONDS, GATEWAYS, SLACK_MILLIS, "garnetreel.cli.PlatformMain", List.of(), true, directory);
+        FaultSoak.Result result = new FaultSoak(plan, new PrintWriter(output, true)).run();
+        assertEquals(List.of(), result.untimed(), output + result.summary());
     }
 }
--- a/cli/src/test/java/garnetreel/cli/testing/soak/JournalWriter.java
+++ b/cli/src/test/java/garnetreel/cli/testing/soak/JournalWriter.java
@@ -6,24 +6,24 @@
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
 
-/** A process that adds record after record to a journal, and says which are durable. Ended by a kill. */
+/** A process that appends records to a journal and prints the number of each durable one, until it is killed. */
 final class JournalWriter {
-    private static final int RECORD = 2_000;
-    private static final int SNAPSHOT_EVERY = 40;
+    private static final int RECORD_BYTES = 2_000;
+    private static final int SNAPSHOT_INTERVAL = 40;
 
     private JournalWriter() {}
 
     public static void main(String[] arguments) throws Exception {
         Path directory = Path.of(arguments[0]);
-        BackgroundJournalWriter keeper =
+        BackgroundJournalWriter journalWriter =
                 new BackgroundJournalWriter(new StateDirectory(directory), new Journal(directory.resolve("journal")));
-        for (long seq = 1; ; seq++) {
+        for (long sequence = 1; ; sequence++) {
             CountDownLatch durable = new CountDownLatch(1);
-            keeper.append(seq, new byte[RECORD], durable::countDown);
+            journalWriter.append(sequence, new byte[RECORD_BYTES], durable::countDown);
             durable.await();
-            System.out.println("durable " + seq);
-            if (seq % SNAPSHOT_EVERY == 0) {
-                keeper.snapshot(seq, new byte[RECORD], SNAPSHOT_EVERY);
+            System.out.println("durable " + sequence);
+            if (sequence % SNAPSHOT_INTERVAL == 0) {
+                journalWriter.snapshot(sequence, new byte[RECORD_BYTES], SNAPSHOT_INTERVAL);
             }
         }
     }
