--- a/cli/src/test/java/garnetreel/cli/testing/soak/JournalWriter.java
+++ b/cli/src/test/java/garnetreel/cli/testing/soak/JournalWriter.java
@@ -1,6 +1,6 @@
 package garnetreel.cli.testing.soak;
 
-import garnetreel.net.BackgroundJournalWriter;
+import garnetreel.net.BackgroundStoreWriter;
 import garnetreel.store.Journal;
 import garnetreel.store.StateDirectory;
 import java.nio.file.Path;
@@ -15,8 +15,8 @@
 
     public static void main(String[] arguments) throws Exception {
         Path directory = Path.of(arguments[0]);
-        BackgroundJournalWriter journalWriter =
-                new BackgroundJournalWriter(new StateDirectory(directory), new Journal(directory.resolve("journal")));
+        BackgroundStoreWriter journalWriter =
+                new BackgroundStoreWriter(new StateDirectory(directory), new Journal(directory.resolve("journal")));
         for (long sequence = 1; ; sequence++) {
             CountDownLatch durable = new CountDownLatch(1);
             journalWriter.append(sequence, new byte[RECORD_BYTES], durable::countDown);
