--- a/cli/src/main/java/garnetreel/cli/testing/soak/GatewayProcess.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/GatewayProcess.java
@@ -26,7 +26,7 @@
     private static final Pattern INVARIANT_VIOLATIONS = Pattern.compile("invariant violations: (\\d+)");
 
     private static final Pattern DEFECT =
-            Pattern.compile(" ERROR |Exception in thread|the module (sends|left)|OutOfMemory");
+            Pattern.compile(" ERROR |Exception in thread|the scheduler (decided to send|did not answer)|OutOfMemory");
 
     /** Used if logback is the logging provider on the class path; that of tests has a simpler one. */
     private static final String LOGBACK_CONFIGURATION =
