--- a/cli/src/main/java/garnetreel/cli/testing/DevCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/DevCommand.java
@@ -65,7 +65,7 @@
                 rsyncListen, gateway.files().modules(), gateway.files().challengeSecret()));
         EventLoop eventLoop = process.startGateway(gateway, null);
         String address = ServiceProcess.bound(eventLoop, Gateway.NBD);
-        process.drainOnShutdown(eventLoop, service.longestDeadline());
+        process.drainOnShutdown(eventLoop, service.longestTimeLimit());
         for (Volume volume : gateway.volumes()) {
             if (exports.containsKey(volume.name())) {
                 spec.commandLine().getOut().println("ready nbd://" + address + "/" + volume.name());
--- a/cli/src/main/java/garnetreel/cli/testing/LocalService.java
+++ b/cli/src/main/java/garnetreel/cli/testing/LocalService.java
@@ -69,7 +69,7 @@
         return settings.gateway(0, process.clock.currentMicros(), listen, list, "");
     }
 
-    long longestDeadline() {
+    long longestTimeLimit() {
         return settings.longestTimeLimit();
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/MapLabCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/MapLabCommand.java
@@ -12,12 +12,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs the measurements of docs/extent-map.md. */
+/** Measures extent maps and migrations, for docs/extent-map.md. */
 @Command(
         name = "map-lab",
         mixinStandardHelpOptions = true,
         description = "Measures extent maps: the cost of migrations under load "
-                + "by how gateways learn of them, bytes of a refresh, recovery of the map service, memory.")
+                + "for each way that gateways learn of them, size of a refresh, recovery of the map service, memory.")
 final class MapLabCommand implements Callable<Integer> {
     @Spec
     CommandSpec spec;
--- a/cli/src/main/java/garnetreel/cli/testing/NodeCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/NodeCommand.java
@@ -55,7 +55,7 @@
         return ServiceProcess.awaitStopped(eventLoop);
     }
 
-    /** Stops the state machines first, so that the last line of the trace is complete. */
+    /** Closes the trace and halts. State machines are stopped first, so that the last line of the trace is complete. */
     static void endTrace(ServiceProcess process, Trace trace) {
         process.close();
         if (trace instanceof TraceFile traceWriter) {
--- a/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
+++ b/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Validates settings read from a scenario file.
+     * Reads a scenario from the settings of a scenario file and validates it.
      *
      * @param name name of the file, without its extension
      */
@@ -168,7 +168,7 @@
     }
 
     /**
-     * The scenario with a seed.
+     * The scenario, to be run with a seed.
      *
      * @param transit time that the checker allows for transmission, in microseconds
      */
--- a/cli/src/main/java/garnetreel/cli/testing/bench/GatewayBenchmark.java
+++ b/cli/src/main/java/garnetreel/cli/testing/bench/GatewayBenchmark.java
@@ -51,7 +51,7 @@
                         + " | module us a request | module's share of the time | head thread's bytes a request | errors |");
         out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         List<String> percentiles = new ArrayList<>();
-        // Loads both targets before the measurements; otherwise the first cases would include JIT compilation.
+        // Warm-up of both targets; without it the first cases would include JIT compilation.
         for (String target : List.of(memory, gateway)) {
             NbdLoad.run(target, export, size, new Case(true, SIZES[0], 2, 16), 0, WARM_UP_SECONDS);
             NbdLoad.run(target, export, size, new Case(false, SIZES[0], 2, 1), 0, WARM_UP_SECONDS);
@@ -67,8 +67,8 @@
             Outcome gatewayOutcome = NbdLoad.run(gateway, export, size, benchmarkCase, seconds / 2, seconds);
             double elapsedNanos = System.nanoTime() - start;
             double schedulerNanos = scheduler.nanos() - schedulerNanosBefore;
-            // Both figures include the warm-up and the end of the run, so they are divided by the requests of all
-            // that time.
+            // The scheduler time and the allocated bytes include the warm-up and the end of the run, so they are
+            // divided by the approximate number of requests in all that time.
             double requests = gatewayOutcome.rate() * elapsedNanos / 1e9;
             out.printf(
                     "| %s | %.0f | %.0f | %.2f | %.0f | %.0f | %.0f | %.1f | %.2f | %.0f | %d |%n",
--- a/cli/src/main/java/garnetreel/cli/testing/lab/MovesLab.java
+++ b/cli/src/main/java/garnetreel/cli/testing/lab/MovesLab.java
@@ -23,7 +23,7 @@
 /**
  * Measures the cost of migrations: runs the same scenario without migrations, with gateways that request the map after
  * a stale answer of a node, and with gateways that subscribe to the map service. The runs are emulated, so that the
- * rows differ by that alone.
+ * rows differ in nothing else.
  *
  * <p>All migrations are of the first volume, so that the other volumes show the cost for requests that are not
  * affected.
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Sums over the runs of one row. */
+    /** Sums over the runs of one row; the histograms are in microseconds. */
     private static final class Row {
         long migrations;
         long attempts;
@@ -59,7 +59,9 @@
         long brokenRules;
         final Histogram othersBefore = new Histogram(3);
         final Histogram othersDuring = new Histogram(3);
+        /** For each migration with stale answers, the time from its switch to the last of them. */
         final Histogram lastStaleDelay = new Histogram(3);
+
         final Histogram movedVolumeDuring = new Histogram(3);
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/soak/FakeDiscovery.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/FakeDiscovery.java
@@ -43,9 +43,13 @@
     /** How calls are handled. */
     enum Mode {
         UP,
+        /** Answers 503 after 2 s. */
         DOWN,
+        /** Resets the connection. */
         REFUSING,
+        /** Answers about two thirds of the calls with 503, at once or after 2 s, and serves the others. */
         PARTLY_UNAVAILABLE,
+        /** Serves calls after 1.5 s. */
         SLOW
     }
 
@@ -135,7 +139,7 @@
     /**
      * When a gateway counts as notified that a server drains or is removed; {@link Long#MAX_VALUE} if the server is up.
      * That is when the notification was written to it, or 6 s after discovery had the change and was reachable,
-     * whichever is earlier.
+     * whichever is earlier; while discovery is unreachable, only the former.
      */
     long notifiedAt(String gateway, String host) {
         long writtenAt = notifiedTimes.getOrDefault(gateway, Map.of()).getOrDefault(host, Long.MAX_VALUE);
@@ -172,7 +176,7 @@
         }
     }
 
-    /** Stops updates and heartbeats on all open watches, without closing them. */
+    /** Stops updates and heartbeats on all open watches; each stays open until 60 s after it was opened. */
     void silenceWatches() {
         silentBefore = System.nanoTime();
     }
@@ -209,7 +213,7 @@
                 respond(gateway, request.startLine().split(" ")[1], out);
             }
         } catch (IOException e) {
-            // the gateway closed the connection
+            // the connection was closed by the gateway or reset by a fault
         } finally {
             connections.remove(socket);
         }
--- a/cli/src/main/java/garnetreel/cli/testing/soak/FaultProxy.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/FaultProxy.java
@@ -14,13 +14,12 @@
 
 /**
  * A TCP proxy between gateways and one server that delays, splits or drops traffic and resets connections. It records
- * when each byte arrived from a gateway; checks of the times of sends use these times, regardless of the injected
- * network faults.
+ * when each byte arrived from a gateway, so that the injected network faults do not distort the checks of send times.
  */
 final class FaultProxy implements AutoCloseable {
     private static final int BUFFER_BYTES = 16 << 10;
     private static final int BACKLOG = 16;
-    /** Connections that fill the listener's queue; the kernel retries further ones after 1 s. */
+    /** Number of connections that fill the listener's queue; the kernel retries further ones after 1 s. */
     private static final int FILLERS = BACKLOG + 3;
 
     private static final int FILLER_CONNECT_TIMEOUT_MILLIS = 20;
@@ -62,10 +61,10 @@
             }
         }
 
-        /** The arrival time of the byte at an offset. */
+        /** The arrival time of the byte at an offset; the current time if it is not recorded. */
         synchronized long timeOf(long byteOffset) {
-            Map.Entry<Long, Long> read = times.floorEntry(byteOffset);
-            return read == null ? System.nanoTime() : read.getValue();
+            Map.Entry<Long, Long> arrival = times.floorEntry(byteOffset);
+            return arrival == null ? System.nanoTime() : arrival.getValue();
         }
     }
 
--- a/cli/src/main/java/garnetreel/cli/testing/soak/FaultSoak.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/FaultSoak.java
@@ -19,17 +19,21 @@
 public final class FaultSoak {
     private static final double FAULTS_PER_SECOND = 0.8;
     private static final long FIRST_FAULT_MILLIS = 500;
+    /** How long clients continue after the period in which faults start. */
     private static final long CLIENT_TAIL_MILLIS = 6_000;
+
     private static final int CLIENTS_PER_GATEWAY = 8;
     private static final int MEAN_THINK_MILLIS = 60;
 
     /**
      * The parameters of a run.
      *
+     * @param seconds period in which faults start
      * @param slackMillis scheduling delay of this machine that checks of times tolerate
      * @param mainClass main class of the gateway processes
      * @param environment additional environment variables of the gateway processes, as NAME=VALUE
      * @param withShim whether to load the system call fault library, if it can be built
+     * @param directory for configurations, logs and the library
      */
     public record Plan(
             long seed,
--- a/cli/src/main/java/garnetreel/cli/testing/soak/FaultSoakCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/FaultSoakCommand.java
@@ -30,7 +30,7 @@
     @Option(
             names = "--seconds",
             defaultValue = "30",
-            description = "period of a run in which faults start (default ${DEFAULT-VALUE})")
+            description = "seconds of a run in which faults start (default ${DEFAULT-VALUE})")
     private int seconds;
 
     @Option(
--- a/cli/src/main/java/garnetreel/cli/testing/soak/FaultyGateway.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/FaultyGateway.java
@@ -16,8 +16,11 @@
 
     /** The deliberate faults. */
     enum Fault {
+        /** Treats every server as up. */
         DRAIN_IGNORED,
+        /** Handles the disconnect of a client 1.5 s late. */
         CLIENT_LEAVING_IGNORED,
+        /** After SIGTERM, resets client connections in place of writing responses. */
         ANSWER_DROPPED_AT_EXIT
     }
 
@@ -29,7 +32,7 @@
         System.exit(PlatformMain.run(machine -> new FaultInjector(machine, fault)));
     }
 
-    /** Injects the fault between a gateway and its sockets. */
+    /** Injects the fault between a gateway and its sockets. Client connections are those with a positive id. */
     private static final class FaultInjector implements StateMachine {
         private static final long CLOSE_DELAY_MICROS = 1_500_000;
 
--- a/cli/src/main/java/garnetreel/cli/testing/soak/GatewayProcess.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/GatewayProcess.java
@@ -61,7 +61,7 @@
     private boolean terminated;
 
     private boolean killed;
-    /** When SIGTERM was last sent, and when the process was last killed; nanoseconds. */
+    /** When SIGTERM was last sent, and when the process was last killed or crashed; nanoseconds. */
     private volatile long stoppingSince = Long.MAX_VALUE;
 
     private volatile long killedAt = Long.MIN_VALUE;
@@ -103,7 +103,7 @@
         return state == State.READY || state == State.STOPPING && System.nanoTime() - stoppingSince < 350_000_000L;
     }
 
-    /** Whether the process that ran at a time has been killed since, so that lost requests are no violation. */
+    /** Whether the process that ran at a time was killed or crashed since, so that lost requests are no violation. */
     boolean killedSince(long nanos) {
         return killedAt >= nanos;
     }
--- a/cli/src/main/java/garnetreel/cli/testing/soak/MisbehavingClient.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/MisbehavingClient.java
@@ -62,7 +62,7 @@
             if (!gateway.killedSince(startedAt)) {
                 ledger.report(Violation.timed(
                         Kind.BAD_CLIENT_IGNORED,
-                        gateway.name + " neither answered nor closed a client that sent " + misuse));
+                        gateway.name + " neither answered a client nor closed its connection; it sent " + misuse));
             }
         } catch (IOException e) {
             // the gateway closed the connection, as it should
--- a/cli/src/main/java/garnetreel/cli/testing/soak/ProcessFaults.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/ProcessFaults.java
@@ -37,6 +37,7 @@
 
     final Path library;
     final Path control;
+    /** Shared with the library: wall clock offset in nanoseconds, failure rates per million calls, failure counts. */
     private final MappedByteBuffer page;
 
     private ProcessFaults(Path library, Path control) throws IOException {
--- a/cli/src/main/java/garnetreel/cli/testing/soak/RequestLedger.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/RequestLedger.java
@@ -26,13 +26,16 @@
         SERVED,
         REFUSED,
         FAILED,
+        /** The client disconnected before the response. */
         LEFT,
+        /** No response, for a reason that is no violation, such as a killed gateway. */
         EXCUSED
     }
 
     /**
      * An attempt as seen by a server.
      *
+     * @param timeLeft seconds left for the request, as sent by the gateway
      * @param certainty how reliably its times are those at which its bytes left the gateway
      */
     record Attempt(String server, long firstByteAt, long lastByteAt, double timeLeft, FaultProxy.Certainty certainty) {
@@ -54,8 +57,11 @@
         final boolean firstOnConnection;
 
         final List<Attempt> attempts = new ArrayList<>(1);
+        /** When servers started to run the request. */
         final List<Long> runs = new ArrayList<>(1);
+        /** Response bodies that servers produced. */
         final List<String> responses = new ArrayList<>(1);
+
         Outcome outcome = Outcome.OPEN;
         int status;
         long disconnectedAt = Long.MAX_VALUE;
--- a/cli/src/main/java/garnetreel/cli/testing/soak/SoakClient.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/SoakClient.java
@@ -27,7 +27,7 @@
     private static final double SLOW_WRITE_PROBABILITY = 0.03;
     private static final long LATE_RESPONSE_NANOS = 500_000_000;
     private static final List<Integer> REFUSALS = List.of(429, 503);
-    /** A refusal, and the response to an id that is still in progress, as after a connection was closed. */
+    /** 429 refuses a request; 409 means that its id is still in progress, as after its connection was closed. */
     private static final List<Integer> EXPECTED_CLIENT_ERRORS = List.of(409, 429);
 
     private final GatewayProcess gateway;
@@ -139,7 +139,7 @@
                     return;
                 }
             }
-            // An idle connection was closed as the request was sent: retries once on a new one.
+            // An idle connection was closed as the request was sent: retry once on a new one.
             if (!ensureConnected()) {
                 Request request = ledger.find(id);
                 if (request != null) {
--- a/cli/src/main/java/garnetreel/cli/testing/soak/SoakFault.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/SoakFault.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A fault of limited duration. Each is injected from its own thread, so that faults overlap. */
+/** The faults that a soak injects, each from a thread of its own, so that faults overlap. */
 enum SoakFault {
     HEAD_TERMINATED {
         @Override
@@ -42,7 +42,7 @@
         void inject(SoakEnvironment environment, SplittableRandom random) throws IOException {
             GatewayProcess gateway = gateway(environment, random);
             for (int i = 0; i < 6 && gateway.state() == GatewayProcess.State.READY; i++) {
-                gateway.suspend(20 + random.nextInt(60)); // sending the signals takes part of the 150 ms
+                gateway.suspend(20 + random.nextInt(60)); // with the signals, less than the 150 ms of --slack
                 Threads.pause(random.nextInt(400));
             }
         }
@@ -254,10 +254,15 @@
         }
     };
 
+    /** Time between a reconfiguration and SIGTERM. */
     private static final int TERMINATION_DELAY_MILLIS = 20;
+
     private static final long DISCONNECT_BURST_MILLIS = 2_000;
 
-    /** Injects the fault and returns when its duration is over. */
+    /**
+     * Injects the fault and usually waits for its end. Proxies and discovery end some faults by themselves later; a
+     * step of the wall clock is not undone.
+     */
     abstract void inject(SoakEnvironment environment, SplittableRandom random) throws IOException;
 
     private static GatewayProcess gateway(SoakEnvironment environment, SplittableRandom random) {
--- a/cli/src/main/java/garnetreel/cli/testing/soak/Threads.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/Threads.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-/** Daemon threads of the soak's clients and servers. They end when their sockets are closed. */
+/** Starts and pauses the soak's daemon threads. Those that serve sockets end when these are closed. */
 final class Threads {
     private static final int STACK_BYTES = 256 << 10;
 
--- a/cli/src/main/java/garnetreel/cli/testing/soak/Violation.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/Violation.java
@@ -2,7 +2,7 @@
 
 /** A violated invariant. {@code timed} if the check compares times, so that a stalled machine could have caused it. */
 record Violation(Kind kind, boolean timed, String detail) {
-    /** The invariants that the soak checks. */
+    /** The kinds of violations, one per invariant that the soak checks. */
     enum Kind {
         UNANSWERED,
         WRONG_ANSWER,
--- a/cli/src/test/java/garnetreel/cli/CancelledSendsTest.java
+++ b/cli/src/test/java/garnetreel/cli/CancelledSendsTest.java
@@ -21,14 +21,14 @@
 
 /**
  * Races, on real sockets, between sends that are in progress and events after which they must not happen: a client that
- * disconnects, an endpoint that drains, time that runs out. The order of events is forced: a peer takes each step only after the
- * previous one was observed. Each test failed before the fix that it came with.
+ * disconnects, an endpoint that drains, time that runs out. The order of events is forced: a peer takes each step only
+ * after the previous one was observed. Each test failed before the fix that it came with.
  */
 @Timeout(120)
 class CancelledSendsTest extends SocketGatewayFixture {
     /**
-     * The client disconnects while its attempt waits for a connection: the attempt must not be sent, and the connection serves
-     * the next request.
+     * The client disconnects while its attempt waits for a connection: the attempt must not be sent, and the connection
+     * serves the next request.
      */
     @ParameterizedTest
     @EnumSource(End.class)
@@ -58,7 +58,9 @@
         }
     }
 
-    /** An endpoint drains while a connection to it is being established: nothing may be sent to it until it is up again. */
+    /**
+     * An endpoint drains while a connection to it is being established: nothing may be sent to it until it is up again.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "removed"})
     void queuedSendIsCancelledWhenItsEndpointDrains(String health) throws Exception {
@@ -67,7 +69,7 @@
             watch.read();
             String entry = SocketGatewayHarness.entry(endpoint.address(), "up");
             watch.send(SocketGatewayHarness.watch(SocketGatewayHarness.list(2, true, entry)));
-            awaitKind(gateway, EndpointUpdateKind.SNAPSHOT);
+            awaitNextUpdate(gateway, EndpointUpdateKind.SNAPSHOT);
             try (PeerConnection client =
                     ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50))) {
                 gateway.await(SendAttempt.class);
@@ -90,7 +92,9 @@
         }
     }
 
-    /** Time spent on establishing the connection must be deducted from the remaining time that is sent to the endpoint. */
+    /**
+     * Time spent on establishing the connection must be deducted from the remaining time that is sent to the endpoint.
+     */
     @Test
     void remainingTimeIsSentAsOfTheMomentOfSending() throws Exception {
         try (SocketGatewayHarness gateway = gatewayWithBusyEndpoint();
--- a/cli/src/test/java/garnetreel/cli/ConnectionClosingTest.java
+++ b/cli/src/test/java/garnetreel/cli/ConnectionClosingTest.java
@@ -22,15 +22,16 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Races, on real sockets, between data in flight and the closing of a connection or the shutdown of the gateway. The order of
- * events is forced: a peer takes each step only after the previous one was observed. Each test failed before the fix that it
- * came with, except {@link #requestThatCrossesTheShutdownIsNotForwarded}, which guards how bytes are read after a shutdown.
+ * Races, on real sockets, between data in flight and the closing of a connection or the shutdown of the gateway. The
+ * order of events is forced: a peer takes each step only after the previous one was observed. Each test failed before
+ * the fix that it came with, except {@link #requestThatCrossesTheShutdownIsNotForwarded}, which guards how bytes are
+ * read after a shutdown.
  */
 @Timeout(120)
 class ConnectionClosingTest extends SocketGatewayFixture {
     /**
-     * Bytes that arrive after the last response was written must not cause a reset, which could destroy the response: the
-     * gateway reads the connection to its end.
+     * Bytes that arrive after the last response was written must not cause a reset, which could destroy the response:
+     * the gateway reads the connection to its end.
      */
     @Test
     void responseSurvivesBytesThatArriveAtItsClose() throws Exception {
@@ -61,7 +62,9 @@
         }
     }
 
-    /** The gateway may stop only after the last byte of the last response is written, not when the response is queued. */
+    /**
+     * The gateway may stop only after the last byte of the last response is written, not when the response is queued.
+     */
     @Test
     void shutdownWaitsForResponsesThatAreStillBeingWritten() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Half a request has arrived at the shutdown: its rest is read, and it is rejected with 503, which is harmless. */
+    /** Half a request has arrived at the shutdown: its rest is read, and it is rejected with 503 without having run. */
     @Test
     void partialRequestAtShutdownIsReadAndRejected() throws Exception {
         try (SocketGatewayHarness gateway = gateway();
@@ -102,7 +105,7 @@
             gateway.eventLoop.submitCommand(new PlatformGateway.Shutdown());
             gateway.awaitListenerClosed();
             assertEquals(
-                    new Remainder("", End.GRACEFUL), idleClient.readToEnd(), "an idle connection is closed in order");
+                    new Remainder("", End.GRACEFUL), idleClient.readToEnd(), "an idle connection is closed gracefully");
             client.send(request.substring(100));
             String response = client.read();
             assertTrue(response.startsWith("HTTP/1.1 503 ") && response.contains("Connection: close\r\n"), response);
@@ -153,10 +156,10 @@
         }
     }
 
-    /** A response without a length is complete only if its connection is closed in order; a reset makes it incomplete. */
+    /** A response without a length is complete only if its connection is closed gracefully, not by a reset. */
     @ParameterizedTest
     @EnumSource(End.class)
-    void responseWithoutALengthIsCompleteOnlyAfterAnOrderlyClose(End responseEnd) throws Exception {
+    void responseWithoutALengthIsCompleteOnlyAfterAGracefulClose(End responseEnd) throws Exception {
         try (SocketGatewayHarness gateway = gateway();
                 PeerConnection client =
                         ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(1, 50));
@@ -177,7 +180,9 @@
         }
     }
 
-    /** More clients than the limit connect at once, each with a whole request: every request that was read is answered. */
+    /**
+     * More clients than the limit connect at once, each with a whole request: every request that was read is answered.
+     */
     @Test
     void requestThatHasBeenReadIsAnsweredAtTheConnectionLimit() throws Exception {
         try (SocketGatewayHarness gateway = SocketGatewayHarness.withDescriptors(88, discovery, endpoint);
--- a/cli/src/test/java/garnetreel/cli/DiscoveryWatchTest.java
+++ b/cli/src/test/java/garnetreel/cli/DiscoveryWatchTest.java
@@ -9,25 +9,25 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Interruptions of the endpoint list's watch, on real sockets. The order of events is forced: a peer takes each step only after
- * the previous one was observed. Each test failed before the fix that it came with.
+ * Interruptions of the endpoint list's watch, on real sockets. The order of events is forced: a peer takes each step
+ * only after the previous one was observed. Each test failed before the fix that it came with.
  */
 @Timeout(120)
 class DiscoveryWatchTest extends SocketGatewayFixture {
     /**
-     * A silent watch is replaced by a new call well within 6 s of its last event: after that time every change counts as
-     * notified.
+     * A silent watch is replaced by a new call well within 6 s of its last event: after that time every change counts
+     * as notified.
      */
     @Test
-    void silentWatchIsReopenedWithinItsBudget() throws Exception {
+    void silentWatchIsReopenedWithinSixSeconds() throws Exception {
         try (SocketGatewayHarness gateway = gateway().afterStartDelay();
                 PeerConnection watch = discovery.accept()) {
             watch.read();
             watch.send(SocketGatewayHarness.watch(
                     SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
-            awaitKind(gateway, EndpointUpdateKind.SNAPSHOT);
+            awaitNextUpdate(gateway, EndpointUpdateKind.SNAPSHOT);
             gateway.advance(3_200_000);
-            awaitKind(gateway, EndpointUpdateKind.UNAVAILABLE);
+            awaitNextUpdate(gateway, EndpointUpdateKind.UNAVAILABLE);
             gateway.advance(800_000);
             try (PeerConnection next = discovery.accept()) {
                 assertTrue(next.read().contains("from=2 "));
@@ -38,11 +38,11 @@
 
     /** After a long outage every gateway polls discovery within 6 s of its return, however many polls failed before. */
     @Test
-    void recoveredDiscoveryIsPolledWithinItsBudget() throws Exception {
+    void recoveredDiscoveryIsPolledWithinSixSeconds() throws Exception {
         try (SocketGatewayHarness gateway = gateway().afterStartDelay()) {
             for (int i = 0; i < 12; i++) {
                 discovery.accept().reset();
-                awaitKind(gateway, EndpointUpdateKind.UNAVAILABLE);
+                awaitNextUpdate(gateway, EndpointUpdateKind.UNAVAILABLE);
                 gateway.advance(3_900_000); // the longest back-off: 6 s less 2 s in discovery's queue and a margin
             }
             try (PeerConnection watch = discovery.accept()) {
@@ -52,8 +52,8 @@
     }
 
     /**
-     * A discovery service with many callers handles them one after the other. Guards against abandoning a call before its turn,
-     * which wastes the turn and causes another call: with nineteen gateways none had a list for 16 s.
+     * A discovery service with many callers handles them one after the other. Guards against abandoning a call before
+     * its turn, which wastes the turn and causes another call: with nineteen gateways none had a list for 16 s.
      */
     @Test
     void slowDiscoveryCallIsAwaited() throws Exception {
@@ -63,7 +63,7 @@
             gateway.advance(2_500_000);
             watch.send(SocketGatewayHarness.watch(
                     SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
-            awaitKind(gateway, EndpointUpdateKind.SNAPSHOT);
+            awaitNextUpdate(gateway, EndpointUpdateKind.SNAPSHOT);
         }
     }
 
@@ -80,8 +80,8 @@
             String bothLists = indented + SocketGatewayHarness.list(3, false, entry.replace("\"up\"", "\"draining\""));
             String response = SocketGatewayHarness.watch(bothLists);
             watch.send(response.substring(0, 150)).send(response.substring(150));
-            awaitKind(gateway, EndpointUpdateKind.SNAPSHOT);
-            awaitKind(gateway, EndpointUpdateKind.DELTA);
+            awaitNextUpdate(gateway, EndpointUpdateKind.SNAPSHOT);
+            awaitNextUpdate(gateway, EndpointUpdateKind.DELTA);
         }
     }
 }
--- a/cli/src/test/java/garnetreel/cli/LayoutTest.java
+++ b/cli/src/test/java/garnetreel/cli/LayoutTest.java
@@ -113,8 +113,8 @@
     }
 
     /**
-     * Each package of the command line, including the top one, is a slice of its own; {@code cli.testing} and the packages below
-     * it, which depend on the test bed, are one slice.
+     * Each package of the command line, including the top one, is a slice of its own; {@code cli.testing} and the
+     * packages below it, which depend on the test bed, are one slice.
      */
     @Test
     void packagesOfTheCommandLineAreFreeOfCycles() {
--- a/cli/src/test/java/garnetreel/cli/SignalsTest.java
+++ b/cli/src/test/java/garnetreel/cli/SignalsTest.java
@@ -130,7 +130,9 @@
         assertEquals(0, process.exitValue());
     }
 
-    /** An invalid file changes nothing, and the log names the field; a valid one changes the discovery address at once. */
+    /**
+     * An invalid file changes nothing, and the log names the field; a valid one changes the discovery address at once.
+     */
     @Test
     void sighupLoadsAValidFileAndIgnoresAnInvalidOne() throws Exception {
         String valid = SocketGatewayHarness.text(discovery.address(), endpoint.address());
@@ -155,8 +157,8 @@
     }
 
     /**
-     * The latest discovery address in the log, once nothing has been logged for {@code quietSeconds}; {@code before} if there was
-     * none.
+     * The latest discovery address in the log, once nothing has been logged for {@code quietSeconds}; {@code before} if
+     * there was none.
      */
     private String latestDiscoveryAddress(int quietSeconds, String before) throws InterruptedException {
         Pattern moves = Pattern.compile("discovery moves from \\S+ to (\\S+)");
@@ -170,7 +172,10 @@
         return last;
     }
 
-    /** The read for the first of two signals is delayed: the gateway must end up with the latest file, not with the latest read. */
+    /**
+     * The read for the first of two signals is delayed: the gateway must end up with the latest file, not with the
+     * latest read.
+     */
     @Test
     void latestOfTwoConfigurationsIsUsed() throws Exception {
         try (ScriptedPeer second = ScriptedPeer.listening();
--- a/cli/src/test/java/garnetreel/cli/SocketGatewayFixture.java
+++ b/cli/src/test/java/garnetreel/cli/SocketGatewayFixture.java
@@ -37,7 +37,8 @@
         return gateway();
     }
 
-    static void awaitKind(SocketGatewayHarness gateway, EndpointUpdateKind kind) throws InterruptedException {
+    /** Waits for the next update other than a cached list; it has to be of this kind. */
+    static void awaitNextUpdate(SocketGatewayHarness gateway, EndpointUpdateKind kind) throws InterruptedException {
         EndpointUpdate update = gateway.await(EndpointUpdate.class);
         while (update.kind() == EndpointUpdateKind.CACHED) {
             update = gateway.await(EndpointUpdate.class);
--- a/cli/src/test/java/garnetreel/cli/SocketGatewayHarness.java
+++ b/cli/src/test/java/garnetreel/cli/SocketGatewayHarness.java
@@ -24,8 +24,8 @@
 import java.util.function.Predicate;
 
 /**
- * The platform's gateway on real sockets, with a clock that tests set and the real scheduler, whose events and actions are
- * recorded. A test waits for one of them before its peers take their next step.
+ * The platform's gateway on real sockets, with a clock that tests set and the real scheduler, whose events and actions
+ * are recorded. A test waits for one of them before its peers take their next step.
  */
 final class SocketGatewayHarness implements AutoCloseable {
     private static final int WAIT_SECONDS = 30;
@@ -226,7 +226,9 @@
         await(barrier.released());
     }
 
-    /** Waits until the gateway's listener is closed. The clock advances only after the gateway has handled the shutdown. */
+    /**
+     * Waits until the gateway's listener is closed. The clock advances only after the gateway has handled the shutdown.
+     */
     void awaitListenerClosed() throws InterruptedException {
         awaitTurn();
         for (long tries = 0; tries < 1_000_000; tries++) {
--- a/cli/src/test/java/garnetreel/cli/StaleListTest.java
+++ b/cli/src/test/java/garnetreel/cli/StaleListTest.java
@@ -14,14 +14,15 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Discovery is reachable but sends no list: after 6 s every change counts as notified, so an endpoint may be draining without
- * the gateway's knowledge. Only an endpoint that recently accepted a request is known not to be draining.
+ * Discovery is reachable but sends no list: after 6 s every change counts as notified, so an endpoint may be draining
+ * without the gateway's knowledge. Only an endpoint that recently accepted a request is known not to be draining.
  */
 @Timeout(120)
 class StaleListTest extends SocketGatewayFixture {
     private static final long SECOND = 1_000_000;
 
-    private static void awaitList(SocketGatewayHarness gateway, EndpointUpdateKind kind) throws InterruptedException {
+    /** Waits for an update of this kind, and skips others. */
+    private static void awaitUpdate(SocketGatewayHarness gateway, EndpointUpdateKind kind) throws InterruptedException {
         gateway.await(recorded -> recorded instanceof EndpointUpdate update && update.kind() == kind);
     }
 
@@ -32,9 +33,9 @@
             watch.read();
             watch.send(SocketGatewayHarness.watch(
                     SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
-            awaitList(gateway, EndpointUpdateKind.SNAPSHOT);
+            awaitUpdate(gateway, EndpointUpdateKind.SNAPSHOT);
             gateway.advance(3_200_000);
-            awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
+            awaitUpdate(gateway, EndpointUpdateKind.UNAVAILABLE);
             whileSilent.run();
             gateway.advance(800_000);
             PeerConnection call = discovery.accept();
@@ -56,7 +57,7 @@
                 assertTrue(client.read().startsWith("HTTP/1.1 503 "));
                 call.send(SocketGatewayHarness.watch(
                         SocketGatewayHarness.list(3, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
-                awaitList(gateway, EndpointUpdateKind.SNAPSHOT);
+                awaitUpdate(gateway, EndpointUpdateKind.SNAPSHOT);
             }
             try (PeerConnection client =
                             ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50));
@@ -81,8 +82,8 @@
     }
 
     /**
-     * An outage of discovery closes the watches. No change can be notified until it is back, so requests are served however
-     * long the outage lasts.
+     * An outage of discovery closes the watches. No change can be notified until it is back, so requests are served
+     * however long the outage lasts.
      */
     @Test
     void requestsAreServedDuringADiscoveryOutage() throws Exception {
@@ -91,23 +92,23 @@
             watch.read();
             watch.send(SocketGatewayHarness.watch(
                     SocketGatewayHarness.list(2, true, SocketGatewayHarness.entry(endpoint.address(), "up"))));
-            awaitList(gateway, EndpointUpdateKind.SNAPSHOT);
+            awaitUpdate(gateway, EndpointUpdateKind.SNAPSHOT);
             watch.reset();
-            awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
+            awaitUpdate(gateway, EndpointUpdateKind.UNAVAILABLE);
             for (int i = 0; i < 4; i++) {
                 gateway.advance(3_900_000);
                 PeerConnection call = discovery.accept();
                 call.read();
                 gateway.advance(2 * SECOND);
                 call.send("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
-                awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
+                awaitUpdate(gateway, EndpointUpdateKind.UNAVAILABLE);
             }
             serve(gateway, 1);
             gateway.advance(3_900_000);
             PeerConnection call = discovery.accept();
             call.read();
             call.send("HTTP/1.1 503 Crowded\r\nContent-Length: 0\r\n\r\n");
-            awaitList(gateway, EndpointUpdateKind.UNAVAILABLE);
+            awaitUpdate(gateway, EndpointUpdateKind.UNAVAILABLE);
             try (PeerConnection client =
                     ScriptedPeer.connect(gateway.address).send(SocketGatewayHarness.request(2, 50))) {
                 assertInstanceOf(
--- a/cli/src/test/java/garnetreel/cli/StoredStateTest.java
+++ b/cli/src/test/java/garnetreel/cli/StoredStateTest.java
@@ -40,8 +40,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * State files written by version 0.2 must be read as that version read them: the map service's journal, the file catalogue,
- * and a gateway's cached extent map and node list. The files and the expected texts are in {@code stored-state-0.2}.
+ * State files written by version 0.2 must be read as that version read them: the map service's journal, the file
+ * catalogue, and a gateway's cached extent map and node list. The files and the expected texts are in
+ * {@code stored-state-0.2}.
  */
 @Timeout(120)
 class StoredStateTest {
@@ -126,7 +127,9 @@
         return Files.readString(temp.resolve("expected").resolve(name));
     }
 
-    /** The rows of the transactions that version 0.2 wrote, without the heading and the rows that later starts added. */
+    /**
+     * The rows of the transactions that version 0.2 wrote, without the heading and the rows that later starts added.
+     */
     private static String storedRows(String history) {
         StringBuilder rows = new StringBuilder();
         history.lines()
@@ -201,7 +204,7 @@
         return client;
     }
 
-    /** Extent, shard and version of each extent of a volume in a cached map, in the form of the rows of {@code map show}. */
+    /** Extent, shard and version of each extent in a cached map of a volume, as in the rows of {@code map show}. */
     private List<String> extentRows(MapServiceClient map, String name, int extents) throws Exception {
         Volume volume = settings().volumes().get(name);
         List<String> rows = new ArrayList<>();
--- a/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
+++ b/cli/src/test/java/garnetreel/cli/testing/DeploymentHarness.java
@@ -236,7 +236,7 @@
         return gateways.get(0).statistics().reservedBytes();
     }
 
-    void drain() {
+    void shutDown() {
         gatewayLoops.get(0).submitCommand(new Gateway.Shutdown());
     }
 
--- a/cli/src/test/java/garnetreel/cli/testing/HardCasesTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/HardCasesTest.java
@@ -299,13 +299,13 @@
     }
 
     @Test
-    void drainAnswersAcceptedRequestsAndStops() throws Exception {
+    void shutdownAnswersAcceptedRequestsAndStops() throws Exception {
         try (DeploymentHarness harness =
                 new DeploymentHarness(1, "node \"n0\" {\n  shard = 0\n  base_work = \"100ms\"\n}\n")) {
             NbdSocket client = harness.client();
             long tag = client.send(Nbd.CMD_WRITE, 0, 0, 512, new byte[512]);
             harness.await(e -> e.kind() == Kind.ARRIVE && e.tag() == tag);
-            harness.drain();
+            harness.shutDown();
             assertEquals(0, client.reply().error);
             org.junit.jupiter.api.Assertions.assertThrows(EOFException.class, client::reply);
             harness.awaitStopped();
--- a/cli/src/test/java/garnetreel/cli/testing/MapScenariosTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/MapScenariosTest.java
@@ -57,7 +57,7 @@
                 .orElseThrow();
     }
 
-    private static boolean isServed(TraceEvent e) {
+    private static boolean isMigrated(TraceEvent e) {
         return e.kind() == Kind.MIGRATION_STEP
                 && e.operation().equals("serve")
                 && e.outcome().equals("ok");
@@ -140,7 +140,7 @@
         }
         assertTrue(ranOnCutOffNodes > 100, "gateways did not reach the nodes that were cut off");
         assertTrue(
-                count(result, e -> isServed(e) && e.time() > to) > 20,
+                count(result, e -> isMigrated(e) && e.time() > to) > 20,
                 "migrations did not continue after the network cut");
     }
 
@@ -152,9 +152,9 @@
             long adopted = restored + 3_000_000;
             assertEquals(
                     0,
-                    count(result, e -> isServed(e) && e.time() > restored + 300_000 && e.time() < adopted),
+                    count(result, e -> isMigrated(e) && e.time() > restored + 300_000 && e.time() < adopted),
                     "the map service migrated extents before it had adopted the maps of the nodes");
-            assertTrue(count(result, e -> isServed(e) && e.time() > adopted) > 20, "migrations did not continue");
+            assertTrue(count(result, e -> isMigrated(e) && e.time() > adopted) > 20, "migrations did not continue");
         }
     }
 
@@ -174,7 +174,7 @@
                 "shard 7 is drained and still serves");
         assertEquals(
                 0,
-                count(result, e -> isServed(e) && e.shard() == 7 && e.time() > start + 5_500_000),
+                count(result, e -> isMigrated(e) && e.shard() == 7 && e.time() > start + 5_500_000),
                 "an extent was migrated to a draining shard");
         assertTrue(
                 count(
@@ -191,11 +191,14 @@
                 0,
                 count(
                         result,
-                        e -> isServed(e) && e.shard() == 0 && e.time() > cold + 100_000 && e.time() < cold + 9_000_000),
+                        e -> isMigrated(e)
+                                && e.shard() == 0
+                                && e.time() > cold + 100_000
+                                && e.time() < cold + 9_000_000),
                 "an extent was migrated to a cold node");
         // No oscillation: an extent does not move again within the rest period unless its shard drains.
         Map<String, Long> last = new HashMap<>();
-        result.events().stream().filter(MapScenariosTest::isServed).forEach(e -> {
+        result.events().stream().filter(MapScenariosTest::isMigrated).forEach(e -> {
             Long before = last.put(e.volume() + "/" + e.key(), e.time());
             assertTrue(before == null || e.time() - before > 9_000_000, "moved twice within the rest period: " + e);
         });
--- a/cli/src/test/java/garnetreel/cli/testing/RsyncTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/RsyncTest.java
@@ -265,7 +265,7 @@
             socket.getOutputStream()
                     .write(latin1("@RSYNCD: 31.0\npages\n--server\0-ltpWre.i\0" + (delete ? "--delete\0" : "")
                             + ".\0pages/\0\0"));
-            // The contents must not be sent before they are requested: sends the list, and the rest after the request.
+            // The contents must not be sent before they are requested, so the list is sent first.
             int listLength = frame.length - (4 * 5 + contents.length + 4 + 16 + 3 + 2 + 1);
             socket.getOutputStream().write(frame, 0, listLength);
             socket.getOutputStream().flush();
--- a/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/RulesCheckerMutationTest.java
@@ -90,7 +90,7 @@
         return broken(scenario.withGateways(scenario.gatewaySettings(), scheduler));
     }
 
-    /** A scheduler with settings that differ from those in force. */
+    /** A scheduler with settings that differ from those of the checker. */
     private static BiFunction<SchedulerSettings, Long, Scheduler> withSettings(
             UnaryOperator<List<RequestClass>> classes,
             UnaryOperator<List<Plan>> plans,
@@ -168,13 +168,13 @@
     }
 
     @Test
-    void stoppedGatewayBreaksNoRuleUnlessItIsLateAfterItResumes() throws Exception {
+    void stalledGatewayBreaksNoRuleUnlessItIsLateAfterItResumes() throws Exception {
         Scenario scenario =
                 ScenarioFile.read(Path.of("../days/balancer-long-stall.hcl")).scenario(SEED, TRANSIT);
         assertEquals(List.of(), broken(scenario));
-        // One gateway takes requests that its clients gave up while it was stopped as new; the other replies late after
-        // it resumes.
-        assertEquals(List.of(1), broken(scenario, HidesItsStop::new));
+        // One gateway handles requests that its clients abandoned during its stall as new ones; the other replies late
+        // after it resumes.
+        assertEquals(List.of(1), broken(scenario, HidesItsStall::new));
         assertEquals(List.of(1), broken(scenario, RepliesLateAfterResuming::new));
     }
 
@@ -182,7 +182,7 @@
         return before > 0 && now - before > 1_000_000;
     }
 
-    /** Gives a gateway turns without events for the time in which it was stopped, so that it cannot detect the stop. */
+    /** Gives a gateway turns without events for the time of its stall, so that it cannot detect the stall. */
     private record MissedTurns(StateMachine gateway, long[] lastTurn) {
         void run(long now, List<NetAction> actions) {
             for (long at = lastTurn[0] + 50_000; resumes(now, lastTurn[0]) && at < now; at += 50_000) {
@@ -192,10 +192,11 @@
         }
     }
 
-    private static final class HidesItsStop implements StateMachine {
+    /** A gateway that does not detect that it was stalled. */
+    private static final class HidesItsStall implements StateMachine {
         private final MissedTurns missedTurns;
 
-        HidesItsStop(StateMachine gateway) {
+        HidesItsStall(StateMachine gateway) {
             missedTurns = new MissedTurns(gateway, new long[1]);
         }
 
--- a/cli/src/test/java/garnetreel/cli/testing/soak/FailingCallsTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/soak/FailingCallsTest.java
@@ -25,7 +25,7 @@
 @Timeout(120)
 class FailingCallsTest {
     private static final String READY_REQUEST = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
-    /** The longest wait of the platform's clients, including 0.5 s in which a late response earns nothing. */
+    /** The longest wait of the platform's clients, including 0.5 s after the deadline for a late response. */
     private static final int CLIENT_TIMEOUT_MILLIS = 3_000;
 
     @TempDir
