--- a/cli/src/main/java/garnetreel/cli/testing/ScenarioCommand.java
+++ b/cli/src/main/java/garnetreel/cli/testing/ScenarioCommand.java
@@ -44,6 +44,7 @@
     /** Fixed start time of emulated scenarios, in microseconds, so that their traces are reproducible. */
     private static final long EMULATED_START = 1_800_000_000_000_000L;
 
+    /** Delays of the emulated network: at least 50 microseconds, 200 on average. */
     private static final Simulation.Delays DELAYS = new Simulation.Delays(50, 200);
 
     @Spec
--- a/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
+++ b/cli/src/main/java/garnetreel/cli/testing/ScenarioFile.java
@@ -95,10 +95,11 @@
                     "names \"" + volume + "\", which is not a defined volume");
             e.getValue()
                     .path("heads")
-                    .forEach(h -> check(
-                            h.asInt() < settings.gateways(),
+                    .forEach(gateway -> check(
+                            gateway.asInt() < settings.gateways(),
                             path + "/heads",
-                            "names gateway " + h.asInt() + ", but the number of gateways is " + settings.gateways()));
+                            "names gateway " + gateway.asInt() + ", but the number of gateways is "
+                                    + settings.gateways()));
             e.getValue()
                     .path("sizes")
                     .forEach(s -> check(
@@ -126,7 +127,7 @@
                 node.path("kind").asText().toUpperCase(Locale.ROOT).replace('-', '_'));
         List<String> nodeNames = strings(node.path("nodes"));
         List<Integer> gateways = new ArrayList<>();
-        node.path("heads").forEach(h -> gateways.add(h.asInt()));
+        node.path("heads").forEach(gateway -> gateways.add(gateway.asInt()));
         List<String> loadNames = strings(node.path("loads"));
         if (kind.name().startsWith("NODE")) {
             check(!nodeNames.isEmpty(), path, "lacks \"nodes\"");
@@ -137,10 +138,10 @@
         }
         nodeNames.forEach(
                 n -> check(nodes.containsKey(n), path + "/nodes", "names \"" + n + "\", which is not a defined node"));
-        gateways.forEach(h -> check(
-                h < settings.gateways(),
+        gateways.forEach(gateway -> check(
+                gateway < settings.gateways(),
                 path + "/heads",
-                "names gateway " + h + ", but the number of gateways is " + settings.gateways()));
+                "names gateway " + gateway + ", but the number of gateways is " + settings.gateways()));
         loadNames.forEach(l -> check(
                 settings.root().path("load").has(l),
                 path + "/loads",
@@ -268,8 +269,8 @@
             int index = loadsPlaced.merge(volume.name(), 1, Integer::sum) - 1;
             List<NbdLoadSettings.GatewayAddress> gateways = new ArrayList<>();
             load.path("heads")
-                    .forEach(
-                            h -> gateways.add(new NbdLoadSettings.GatewayAddress(h.asInt(), addresses.get(h.asInt()))));
+                    .forEach(gateway -> gateways.add(
+                            new NbdLoadSettings.GatewayAddress(gateway.asInt(), addresses.get(gateway.asInt()))));
             List<Integer> sizes = new ArrayList<>();
             load.path("sizes").forEach(s -> sizes.add((int) Quantities.bytes(s.asText())));
             if (sizes.isEmpty()) {
--- a/cli/src/main/java/garnetreel/cli/testing/TestingMain.java
+++ b/cli/src/main/java/garnetreel/cli/testing/TestingMain.java
@@ -4,7 +4,7 @@
 import garnetreel.cli.testing.soak.FaultSoakCommand;
 import java.util.List;
 
-/** Program with all commands: those of {@link Main}, which suffices for a service, and those that run test fakes. */
+/** The program with further commands, which run test fakes; a deployed service needs only {@link Main}. */
 public final class TestingMain {
     private TestingMain() {}
 
--- a/cli/src/main/java/garnetreel/cli/testing/bench/InMemoryGateway.java
+++ b/cli/src/main/java/garnetreel/cli/testing/bench/InMemoryGateway.java
@@ -44,8 +44,8 @@
         for (NetEvent event : events) {
             if (event instanceof NetEvent.Received received && server.owns(received.connectionId())) {
                 server.received(received.connectionId(), received.data());
-            } else if (event instanceof NetEvent.Written drained && server.owns(drained.connectionId())) {
-                server.written(drained.connectionId(), drained.bytes());
+            } else if (event instanceof NetEvent.Written written && server.owns(written.connectionId())) {
+                server.written(written.connectionId(), written.bytes());
             } else if (event instanceof NetEvent.Accepted accepted) {
                 server.accepted(accepted.connectionId(), accepted.peer());
             } else if (event instanceof NetEvent.Closed closed && server.owns(closed.connectionId())) {
--- a/cli/src/main/java/garnetreel/cli/testing/soak/FakeDiscovery.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/FakeDiscovery.java
@@ -93,7 +93,7 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    // ---------------------------------------------------------------- the list
+    // ---------------------------------------------------------------- server list
 
     synchronized void put(Entry entry) {
         version++;
--- a/cli/src/test/java/garnetreel/cli/CancelledSendsTest.java
+++ b/cli/src/test/java/garnetreel/cli/CancelledSendsTest.java
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Requests queued behind the open one once stopped reading, so that the client's disconnect went unnoticed. */
+    /** Requests queued behind the open one must not stop reading, or the client's disconnect would go unnoticed. */
     @ParameterizedTest
     @EnumSource(End.class)
     void disconnectOfAPipeliningClientIsNoticed(End clientEnd) throws Exception {
--- a/cli/src/test/java/garnetreel/cli/StaleListTest.java
+++ b/cli/src/test/java/garnetreel/cli/StaleListTest.java
@@ -26,7 +26,9 @@
         gateway.await(recorded -> recorded instanceof EndpointUpdate update && update.kind() == kind);
     }
 
-    /** A watch delivers one list and then falls silent; the next call is read and left without a response. */
+    /**
+     * A watch delivers one list and then falls silent; the next call, which is returned, is read and gets no response.
+     */
     private PeerConnection makeListStale(SocketGatewayHarness gateway, Runnable whileSilent) throws Exception {
         gateway.afterStartDelay();
         try (PeerConnection watch = discovery.accept()) {
--- a/cli/src/test/java/garnetreel/cli/testing/MapScenariosTest.java
+++ b/cli/src/test/java/garnetreel/cli/testing/MapScenariosTest.java
@@ -22,7 +22,7 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Edge cases of the extent map as emulated scenarios: rules kept, data verified, and the case did occur. */
+/** Edge cases of the extent map as emulated scenarios: rules are kept, data is verified, and the case did occur. */
 class MapScenariosTest {
     private final List<StateMachine> gateways = new ArrayList<>();
 
@@ -57,6 +57,7 @@
                 .orElseThrow();
     }
 
+    /** Whether the event is the step of a migration in which the new shard starts to serve the extent. */
     private static boolean isMigrated(TraceEvent e) {
         return e.kind() == Kind.MIGRATION_STEP
                 && e.operation().equals("serve")
@@ -217,6 +218,7 @@
                         && e.time() < silent + 60_000_000
                         && e.volume() != 3
                         && (e.outcome().equals("served") || e.outcome().equals("late")));
+        // Volume 3 is not counted; the loads on the others send 110 of the 118 requests per second.
         assertTrue(
                 served > 0.9 * requested * 110 / 118,
                 served + " of " + requested + " served while the map service was silent");
