--- a/cli/src/main/java/garnetreel/cli/testing/soak/FaultyGateway.java
+++ b/cli/src/main/java/garnetreel/cli/testing/soak/FaultyGateway.java
@@ -20,7 +20,7 @@
         DRAIN_IGNORED,
         /** Handles the disconnect of a client 1.5 s late. */
         CLIENT_LEAVING_IGNORED,
-        /** After SIGTERM, resets client connections in place of writing responses. */
+        /** After SIGTERM, closes client connections at once in place of writing responses. */
         ANSWER_DROPPED_AT_EXIT
     }
 
