--- a/core/src/test/java/garnetreel/core/ProcessPauseDetectorTest.java
+++ b/core/src/test/java/garnetreel/core/ProcessPauseDetectorTest.java
@@ -12,7 +12,7 @@
     private final List<NetAction> actions = new ArrayList<>();
 
     @Test
-    void dataReadAfterAGapWithClientsCountsAsReceivedBeforeItUntilCaughtUp() {
+    void dataReadAfterAPauseCountsAsReceivedBeforeItUntilCaughtUp() {
         assertEquals(1_000_000, detector.beginTurn(1_000_000, true, actions));
         assertEquals(1_200_000, detector.beginTurn(1_200_000, true, actions));
         assertEquals(List.of(), actions);
--- a/core/src/test/java/garnetreel/core/connection/NodeConnectionPoolTest.java
+++ b/core/src/test/java/garnetreel/core/connection/NodeConnectionPoolTest.java
@@ -84,8 +84,9 @@
     }
 
     private List<String> drainActionTypes() {
-        List<String> types =
-                actions.stream().map(a -> a.getClass().getSimpleName()).toList();
+        List<String> types = actions.stream()
+                .map(action -> action.getClass().getSimpleName())
+                .toList();
         actions.clear();
         return types;
     }
--- a/core/src/test/java/garnetreel/core/platform/PlatformGatewayHarness.java
+++ b/core/src/test/java/garnetreel/core/platform/PlatformGatewayHarness.java
@@ -178,7 +178,7 @@
             closed.add(close.connectionId());
             if (close.abort()) {
                 pendingEvents.removeIf(
-                        e -> e instanceof NetEvent.Written d && d.connectionId() == close.connectionId());
+                        e -> e instanceof NetEvent.Written written && written.connectionId() == close.connectionId());
             }
         } else if (action instanceof NetAction.Listen || action instanceof NetAction.StopListening) {
             listening = action instanceof NetAction.Listen;
--- a/core/src/test/java/garnetreel/core/request/RequestSplitterTest.java
+++ b/core/src/test/java/garnetreel/core/request/RequestSplitterTest.java
@@ -26,30 +26,37 @@
     }
 
     @Test
-    void readIsSplitAtExtentsAndByTheLargestRequest() {
-        List<SubRequest> parts = split(operation(Op.READ, EXTENT_BYTES - MAX_BYTES - 100, 100 + MAX_BYTES + 10));
+    void readIsSplitAtExtentsAndByTheMaximumSize() {
+        List<SubRequest> subRequests = split(operation(Op.READ, EXTENT_BYTES - MAX_BYTES - 100, 100 + MAX_BYTES + 10));
         assertEquals(
                 List.of(EXTENT_BYTES - MAX_BYTES - 100, EXTENT_BYTES - MAX_BYTES, EXTENT_BYTES),
-                parts.stream().map(p -> p.offset).toList());
+                subRequests.stream().map(subRequest -> subRequest.offset).toList());
         assertEquals(
-                List.of(100, MAX_BYTES, 10), parts.stream().map(p -> p.length).toList());
-        assertEquals(List.of(0, 0, 1), parts.stream().map(p -> p.shard).toList());
-        assertEquals(List.of(1, 8, 1), parts.stream().map(p -> p.units).toList());
+                List.of(100, MAX_BYTES, 10),
+                subRequests.stream().map(subRequest -> subRequest.length).toList());
+        assertEquals(
+                List.of(0, 0, 1),
+                subRequests.stream().map(subRequest -> subRequest.shard).toList());
+        assertEquals(
+                List.of(1, 8, 1),
+                subRequests.stream().map(subRequest -> subRequest.units).toList());
     }
 
     @Test
     void trimIsSplitOnlyAtExtentsAndCountsAsOneUnit() {
-        List<SubRequest> parts = split(operation(Op.TRIM, 0, 2 * EXTENT_BYTES));
+        List<SubRequest> subRequests = split(operation(Op.TRIM, 0, 2 * EXTENT_BYTES));
         assertEquals(
                 List.of((int) EXTENT_BYTES, (int) EXTENT_BYTES),
-                parts.stream().map(p -> p.length).toList());
-        assertEquals(List.of(1, 1), parts.stream().map(p -> p.units).toList());
+                subRequests.stream().map(subRequest -> subRequest.length).toList());
+        assertEquals(
+                List.of(1, 1),
+                subRequests.stream().map(subRequest -> subRequest.units).toList());
     }
 
     @Test
     void keyConsistsOfVolumeAndBlock() {
-        SubRequest part = split(operation(Op.READ, 3 * BLOCK + 5, 1)).get(0);
-        assertEquals(RequestFixtures.VOLUME.id() << 36 | 3, part.key);
+        SubRequest subRequest = split(operation(Op.READ, 3 * BLOCK + 5, 1)).get(0);
+        assertEquals(RequestFixtures.VOLUME.id() << 36 | 3, subRequest.key);
     }
 
     @Test
--- a/core/src/test/java/garnetreel/core/request/SubRequestTableTest.java
+++ b/core/src/test/java/garnetreel/core/request/SubRequestTableTest.java
@@ -42,22 +42,22 @@
 
     @Test
     void completedSubRequestIsRemovedAfterItsLastAttempt() {
-        SubRequest one = add(ordered, 1);
-        one.beginAttempt();
-        table.complete(one);
-        assertSame(one, table.find(1));
+        SubRequest first = add(ordered, 1);
+        first.beginAttempt();
+        table.complete(first);
+        assertSame(first, table.find(1));
         assertEquals(Long.MAX_VALUE, table.earliestDeadline());
-        one.endAttempt(Outcome.OK);
-        table.removeIfDone(one);
+        first.endAttempt(Outcome.OK);
+        table.removeIfDone(first);
         assertNull(table.find(1));
     }
 
     @Test
-    void laterSubRequestsOfTheKeyAreWithdrawnWithAReroutedOneAndResubmittedInOrder() {
+    void reroutedSubRequestAndItsSuccessorsOfTheKeyAreResubmittedInOrder() {
         SubRequest moved = add(ordered, 1);
         moved.beginAttempt();
         moved.endAttempt(Outcome.NOT_STARTED);
-        SubRequest follower = add(ordered, 1);
+        SubRequest successor = add(ordered, 1);
         SubRequest otherKey = add(ordered, 2);
         assertEquals(List.of(1L, 2L, 3L), drainedIds());
 
@@ -66,20 +66,20 @@
         assertFalse(otherKey.awaitingRoute);
         assertEquals(NOW + ReroutingQueue.REROUTE_AFTER_MICROS, table.nextReroute());
 
-        SubRequest late = add(ordered, 1);
-        assertTrue(late.awaitingRoute);
+        SubRequest added = add(ordered, 1);
+        assertTrue(added.awaitingRoute);
         assertEquals(List.of(), drainedIds());
 
         table.reroute(RequestFixtures.fixedRouter());
         assertEquals(List.of(5L, 6L, 7L), drainedIds());
-        assertEquals(List.of(5L, 6L, 7L), List.of(moved.id, follower.id, late.id));
+        assertEquals(List.of(5L, 6L, 7L), List.of(moved.id, successor.id, added.id));
         assertEquals(3, table.reroutes());
         assertEquals(Long.MAX_VALUE, table.nextReroute());
         assertFalse(moved.attempted());
     }
 
     @Test
-    void cancelledSubRequestIsReportedUnlessItWaitsForTheMap() {
+    void cancelledSubRequestIsReportedUnlessItAwaitsARoute() {
         SubRequest known = add(ordered, 1);
         SubRequest waiting = add(ordered, 2);
         table.withdrawWithSuccessors(waiting, NOW);
@@ -93,11 +93,11 @@
 
     @Test
     void earliestDeadlineIgnoresCompletedSubRequests() {
-        SubRequest one = add(ordered, 1);
-        SubRequest two = add(ordered, 2);
-        assertSame(one, table.firstByDeadline());
-        table.complete(one);
-        assertSame(two, table.firstByDeadline());
+        SubRequest first = add(ordered, 1);
+        SubRequest second = add(ordered, 2);
+        assertSame(first, table.firstByDeadline());
+        table.complete(first);
+        assertSame(second, table.firstByDeadline());
         assertEquals(DEADLINE, table.earliestDeadline());
     }
 
--- a/core/src/test/java/garnetreel/core/server/ByteBudgetTest.java
+++ b/core/src/test/java/garnetreel/core/server/ByteBudgetTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void connectionThatHoldsNothingMayExceedTheLimitOnce() {
+    void connectionThatHoldsNothingMayExceedTheLimitWhileLessThanTwiceItIsReserved() {
         assertTrue(budget.tryReserve(150, true, first));
         assertTrue(budget.tryReserve(150, true, first));
         assertFalse(budget.tryReserve(1, true, first));
--- a/core/src/test/java/garnetreel/core/server/OptionReaderTest.java
+++ b/core/src/test/java/garnetreel/core/server/OptionReaderTest.java
@@ -17,7 +17,7 @@
         return new OptionReader(data.array());
     }
 
-    private static String problem(Executable read) {
+    private static String error(Executable read) {
         return assertThrows(InvalidOptionException.class, read).getMessage();
     }
 
@@ -34,26 +34,23 @@
     @Test
     void truncatedDataIsRejected() {
         String truncated = "the option is cut short";
-        assertEquals(truncated, problem(() -> reader(0).unsignedShort()));
-        assertEquals(truncated, problem(() -> reader(0, 0, 0).integer()));
-        assertEquals(truncated, problem(() -> reader(0, 0, 0, 2, 'a').text()));
-        assertEquals(
-                truncated, problem(() -> reader(0xff, 0xff, 0xff, 0xff, 'a').text()));
+        assertEquals(truncated, error(() -> reader(0).unsignedShort()));
+        assertEquals(truncated, error(() -> reader(0, 0, 0).integer()));
+        assertEquals(truncated, error(() -> reader(0, 0, 0, 2, 'a').text()));
+        assertEquals(truncated, error(() -> reader(0xff, 0xff, 0xff, 0xff, 'a').text()));
     }
 
     @Test
     void trailingDataIsRejected() {
-        assertEquals(
-                "the option has 2 bytes too many", problem(() -> reader(1, 2).end()));
+        assertEquals("the option has 2 bytes too many", error(() -> reader(1, 2).end()));
     }
 
     @Test
     void nameMustBeUtf8AndNotTooLong() {
-        assertEquals(
-                "a name is not UTF-8", problem(() -> reader(0, 0, 0, 1, 0xff).text()));
+        assertEquals("a name is not UTF-8", error(() -> reader(0, 0, 0, 1, 0xff).text()));
         OptionReader longName = new OptionReader(new byte[Nbd.MAX_STRING_BYTES + 1]);
         assertEquals(
                 "a name of " + (Nbd.MAX_STRING_BYTES + 1) + " bytes, " + Nbd.MAX_STRING_BYTES + " at most",
-                problem(longName::remainingText));
+                error(longName::remainingText));
     }
 }
--- a/policy/src/test/java/garnetreel/policy/FairQueueSchedulerTest.java
+++ b/policy/src/test/java/garnetreel/policy/FairQueueSchedulerTest.java
@@ -65,8 +65,8 @@
     @Test
     void attemptsInFlightStayWithinConcurrencyLimit() {
         SchedulerHarness harness = SchedulerHarness.withEndpoints(1);
-        int first = fillEndpoint(harness).size();
-        assertTrue(first >= 1 && first <= 8);
+        int attempts = fillEndpoint(harness).size();
+        assertTrue(attempts >= 1 && attempts <= 8);
     }
 
     @Test
@@ -85,8 +85,8 @@
         SchedulerHarness harness = SchedulerHarness.withEndpoints(1);
         List<Long> inFlight = fillEndpoint(harness);
         harness.request("read", 999, 1);
-        long idle = harness.request("read", 2, 1);
-        assertEquals(List.of(idle), completeAndCollectSends(harness, inFlight, 1));
+        long withoutAttempts = harness.request("read", 2, 1);
+        assertEquals(List.of(withoutAttempts), completeAndCollectSends(harness, inFlight, 1));
     }
 
     @Test
@@ -105,9 +105,9 @@
     void lowestVirtualTimeIsServedWhenAllFlowsAreThrottled() {
         SchedulerHarness harness = SchedulerHarness.withEndpoints(2);
         // A flow on the other endpoint that is idle but still counts as active keeps the system virtual time low.
-        RequestReceived elsewhere = harness.newRequest("read", "free", 50, 1, 1, -1);
-        harness.decide(elsewhere);
-        harness.complete(elsewhere.id(), Outcome.OK);
+        RequestReceived otherShard = harness.newRequest("read", "free", 50, 1, 1, -1);
+        harness.decide(otherShard);
+        harness.complete(otherShard.id(), Outcome.OK);
         List<Long> inFlight = fillEndpoint(harness);
         for (int i = 0; i < 3; i++) {
             harness.request("read", 2, 6);
@@ -115,7 +115,7 @@
         assertEquals(
                 3,
                 completeAndCollectSends(harness, inFlight, 3).size(),
-                "a token is free and requests are held, but they were not served");
+                "a slot is free and requests are held, but they were not served");
     }
 
     @Test
@@ -132,8 +132,8 @@
                 heavy.add(received.id());
             }
         }
-        // The longer queue first runs ahead by the throttle threshold T; from then on, the flow of weight 2 is served
-        // twice as often.
+        // The flow of the longer queue first runs ahead by the throttle threshold; from then on, the flow of weight 2
+        // is served twice as often.
         List<Long> order = completeAndCollectSends(harness, inFlight, 12);
         assertEquals(12, order.size());
         assertEquals(6, order.stream().filter(heavy::contains).count());
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void newObjectIsSentToEndpointWithMostFreeTokens() {
+    void newObjectIsSentToEndpointWithMostFreeSlots() {
         SchedulerHarness harness = SchedulerHarness.withEndpoints(2);
         fillEndpoint(harness);
         RequestReceived newObject = harness.newRequest("read", "free", 5, 1, -1, -1);
--- a/policy/src/test/java/garnetreel/policy/FleetTest.java
+++ b/policy/src/test/java/garnetreel/policy/FleetTest.java
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Gateways that have just started have no measurements. Together they send a cold endpoint the configured capacity
-     * that is always safe.
+     * Gateways that have just started have no measurements. Together they send a cold endpoint little more
+     * than the configured capacity that is always safe.
      */
     @ParameterizedTest
     @ValueSource(ints = {5, 150})
--- a/policy/src/test/java/garnetreel/policy/GoldenClients.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenClients.java
@@ -17,8 +17,8 @@
     /** Maximum difference between the deadlines of a request and its retry by the client. */
     private static final long DEADLINE_JITTER = 6 * MILLISECOND;
 
-    private static final long UNKNOWN_CLASS_DEADLINE = 1 * SECOND;
-    private static final List<String> PLANS = List.of("free", "heavy", "capped", "slowly", "no-such-plan");
+    private static final long UNKNOWN_CLASS_TIME_LIMIT = 1 * SECOND;
+    private static final List<String> PLANS = List.of("free", "heavy", "capped", "low-rate", "no-such-plan");
 
     private final GoldenSimulation simulation;
     private final GoldenScenario scenario;
@@ -92,7 +92,7 @@
         String className = classNames.isEmpty() || simulation.chance(ANOMALY_PROBABILITY)
                 ? "no-such-class"
                 : classNames.get(simulation.random().nextInt(classNames.size()));
-        long deadline = classes.containsKey(className) ? classes.get(className).timeLimit() : UNKNOWN_CLASS_DEADLINE;
+        long timeLimit = classes.containsKey(className) ? classes.get(className).timeLimit() : UNKNOWN_CLASS_TIME_LIMIT;
         double units = simulation.chance(ANOMALY_PROBABILITY)
                 ? (simulation.chance(0.5) ? Double.NaN : -1)
                 : 0.25 * (1 + simulation.random().nextInt(16));
@@ -101,7 +101,7 @@
                 className,
                 PLANS.get((int) (volume % PLANS.size())),
                 simulation.random().nextInt(scenario.keysInUse + 1) - 1,
-                simulation.now() + deadline,
+                simulation.now() + timeLimit,
                 volume,
                 units,
                 shard(),
--- a/policy/src/test/java/garnetreel/policy/GoldenScenario.java
+++ b/policy/src/test/java/garnetreel/policy/GoldenScenario.java
@@ -15,8 +15,8 @@
 
 /**
  * One scenario of the golden streams: the settings of the scheduler under test, and the parameters of the simulated
- * clients, endpoints and discovery. All randomness is derived from its seed. The parameters are those of no deployment;
- * changing any of them changes the recorded stream.
+ * clients, endpoints and discovery. All randomness is derived from its seed. The parameters are not taken from any
+ * deployment; changing any of them changes the recorded stream.
  */
 final class GoldenScenario {
     /** Events and temporary conditions that affect an endpoint. */
@@ -152,7 +152,14 @@
                         true,
                         false),
                 requestClass("stream", 1 * SECOND, Idempotency.IDEMPOTENT, DeduplicationScope.ZONE, 0, false, true),
-                requestClass("patient", 20 * SECOND, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false, false));
+                requestClass(
+                        "long-time-limit",
+                        20 * SECOND,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        false,
+                        false));
     }
 
     static List<RequestClass> classesWithOneWithoutObjective() {
@@ -175,14 +182,25 @@
 
     private static RequestClass requestClass(
             String name,
-            long deadline,
+            long timeLimit,
             Idempotency idempotency,
             DeduplicationScope scope,
-            long window,
+            long deduplicationWindow,
             boolean ordered,
             boolean streaming) {
         return new RequestClass(
-                name, 400 * MILLISECOND, 0, deadline, idempotency, scope, 0.1, streaming, window, 2, ordered, ordered);
+                name,
+                400 * MILLISECOND,
+                0,
+                timeLimit,
+                idempotency,
+                scope,
+                0.1,
+                streaming,
+                deduplicationWindow,
+                2,
+                ordered,
+                ordered);
     }
 
     private static List<Plan> plans() {
@@ -190,7 +208,7 @@
                 new Plan("free", 0, 0, 0, 1, 20, 10, 1),
                 new Plan("heavy", 0, 0, 0, 1, 20, 10, 2),
                 new Plan("capped", 10, 40, 4, 1, 5, 2, 1),
-                new Plan("slowly", 0.5, 60, 4, 1, 0.5, 0.1, 0));
+                new Plan("low-rate", 0.5, 60, 4, 1, 0.5, 0.1, 0));
     }
 
     static SafetyRules safetyRules(long retryWindow, long overloadWindow, long pollInterval) {
--- a/policy/src/test/java/garnetreel/policy/RequestRulesTest.java
+++ b/policy/src/test/java/garnetreel/policy/RequestRulesTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void clientRetryPastObjectiveIsRejectedImmediately() {
+    void clientRetryAfterItsObjectiveIsRejectedImmediately() {
         SchedulerHarness harness = SchedulerHarness.withEndpoints(1);
         RequestReceived first = harness.newRequest("read", "free", 40, 1, 77, -1);
         harness.decide(first);
@@ -80,7 +80,7 @@
 
     /** The requests of a client that lowers its timeout must not be taken for retries (incident ie5af17). */
     @Test
-    void firstRequestWithShortDeadlineIsServed() {
+    void requestOfClientThatLoweredItsTimeoutIsServed() {
         SchedulerHarness harness = SchedulerHarness.withEndpoints(1);
         harness.complete(harness.request("read", 1, 1), Outcome.OK);
         RequestReceived shortDeadline =
--- a/policy/src/test/java/garnetreel/policy/RetryRulesTest.java
+++ b/policy/src/test/java/garnetreel/policy/RetryRulesTest.java
@@ -46,7 +46,7 @@
     @Test
     void retryWithIdempotencyKeyLeavesMarginForProcessPause() {
         RequestClass shortWindow = new RequestClass(
-                "brief",
+                "short-window",
                 400 * MILLISECOND,
                 0,
                 2 * SECOND,
@@ -61,18 +61,18 @@
         SchedulerHarness harness = new SchedulerHarness(TestSettings.settings(2, true, List.of(shortWindow)));
         harness.updateEndpoints(EndpointUpdateKind.SNAPSHOT, TestSettings.entry("n0", 0, EndpointState.UP, 0));
         harness.advance(30 * SECOND);
-        long first = harness.request("brief", 1, 1);
+        long first = harness.request("short-window", 1, 1);
         harness.advance(100 * MILLISECOND);
         harness.complete(first, Outcome.RESET);
         assertEquals(2, harness.attempts(first), "100 ms of the 300 ms window have passed");
         harness.complete(first, Outcome.OK);
-        long second = harness.request("brief", 1, 1);
+        long second = harness.request("short-window", 1, 1);
         harness.advance(200 * MILLISECOND);
         harness.complete(second, Outcome.RESET);
         assertEquals(
                 1,
                 harness.attempts(second),
-                "200 ms of the 300 ms window have passed: after a pause of 0.15 s, a retry would start past it");
+                "200 ms of the 300 ms window have passed: after a pause of 0.15 s, a retry would start after its end");
     }
 
     @Test
--- a/policy/src/test/java/garnetreel/policy/SafetyRulesChecker.java
+++ b/policy/src/test/java/garnetreel/policy/SafetyRulesChecker.java
@@ -38,7 +38,7 @@
     private final long startedAt;
     private final Map<Long, ObservedRequest> requests = new LinkedHashMap<>();
     private final Map<String, EndpointEntry> listed = new HashMap<>();
-    private final Map<String, Long> notUpSince = new HashMap<>();
+    private final Map<String, Long> unavailableSinceByEndpoint = new HashMap<>();
     private final Map<Long, Double> bucketLevels = new HashMap<>();
     private final Map<Long, Long> bucketUpdatedAt = new HashMap<>();
     private final Map<String, List<SentUnits>> sentByEndpoint = new HashMap<>();
@@ -81,9 +81,9 @@
         }
         listed.forEach((address, entry) -> {
             if (entry.state() == EndpointState.UP) {
-                notUpSince.remove(address);
+                unavailableSinceByEndpoint.remove(address);
             } else {
-                notUpSince.putIfAbsent(address, now);
+                unavailableSinceByEndpoint.putIfAbsent(address, now);
             }
         });
     }
@@ -174,8 +174,11 @@
         assertFalse(observed.ended, "sent after the final response");
         assertTrue(listed.containsKey(send.endpoint()), "sent to an endpoint that was never listed");
         assertEquals(0, observed.attemptsInFlight(), "a second attempt while one is in flight");
-        Long downSince = notUpSince.get(send.endpoint());
-        assertTrue(downSince == null || now - downSince < settings.rules().drainGrace(), "sent to a drained endpoint");
+        Long unavailableSince = unavailableSinceByEndpoint.get(send.endpoint());
+        assertTrue(
+                unavailableSince == null
+                        || now - unavailableSince < settings.rules().drainGrace(),
+                "sent to a drained endpoint");
         checkIdempotency(observed, send, now);
         checkOrder(observed, now);
         if (observed.sends.isEmpty()) {
@@ -282,8 +285,8 @@
                             * servedPerSecond
                             * rules.overloadWindow()
                             / SECOND);
-            // Admission is random. A decaying average over the window limits it to 1.3 of the share, which allows up to
-            // twice that in one window, and single requests add to it. FleetTest checks the total over gateways.
+            // Admission is random. A decaying average over the window limits it to 1.3 times the share, which allows up
+            // to twice that in one window, and single requests add to it. FleetTest checks the total over gateways.
             double bound = 2.6 * gatewayShare + 4 * settings.maxUnits();
             double total = sent.stream()
                             .filter(attempt ->
--- a/policy/src/test/java/garnetreel/policy/SchedulerHarness.java
+++ b/policy/src/test/java/garnetreel/policy/SchedulerHarness.java
@@ -72,13 +72,13 @@
 
     /** Creates a request without delivering it to the scheduler. */
     RequestReceived newRequest(String className, String plan, long volume, double units, int shard, long key) {
-        long deadline = settings.classes().stream()
+        long timeLimit = settings.classes().stream()
                 .filter(requestClass -> requestClass.name().equals(className))
                 .findFirst()
                 .map(RequestClass::timeLimit)
                 .orElse(SECOND);
         return new RequestReceived(
-                nextId++, className, plan, key, now + deadline, volume, units, shard, 2, false, false);
+                nextId++, className, plan, key, now + timeLimit, volume, units, shard, 2, false, false);
     }
 
     /** Delivers a request for shard 0 to the scheduler and returns its id. */
--- a/policy/src/test/java/garnetreel/policy/StateEvictionTest.java
+++ b/policy/src/test/java/garnetreel/policy/StateEvictionTest.java
@@ -25,12 +25,12 @@
 
 /**
  * The state that a scheduler keeps about endpoints, shards, volumes and requests must not grow with its uptime. Guards
- * against removed endpoints, shards named by clients, and the receive times of requests (while no attempt failed) that
- * were never evicted.
+ * against tables that never evict removed endpoints, unknown shards named by clients, or the receive times of requests
+ * (while no attempt failed).
  */
 class StateEvictionTest {
     private static final int ROUNDS = 4_000;
-    /** Upper bound for every table; rejected requests are remembered up to a bound of their own. */
+    /** Upper bound for every table; the table of unserved requests is limited to 4,096 entries. */
     private static final int MAX_SIZE = 6_000;
     /** Minimum number of tables found by reflection; with fewer, the search misses some. */
     private static final int MIN_TABLES = 14;
--- a/policy/src/test/java/garnetreel/policy/TestSettings.java
+++ b/policy/src/test/java/garnetreel/policy/TestSettings.java
@@ -10,7 +10,7 @@
 import garnetreel.policy.event.EndpointState;
 import java.util.List;
 
-/** Settings for tests, with round numbers that are those of no deployment. */
+/** Settings for tests, with round numbers that are not taken from any deployment. */
 public final class TestSettings {
     /** Microseconds per millisecond. */
     public static final long MILLISECOND = 1_000;
--- a/policy/src/test/java/garnetreel/policy/admission/AdmissionControllerTest.java
+++ b/policy/src/test/java/garnetreel/policy/admission/AdmissionControllerTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void shedsRequestsBeyondQuotaFirstThenQuota() {
+    void shedsRequestsBeyondProvisionedRateFirst() {
         assertEquals(1_000, admitted(ChargedBucket.RESERVED, 0.5, UNLIMITED));
         int provisioned = admitted(ChargedBucket.PROVISIONED, 0.5, UNLIMITED);
         assertTrue(provisioned > 430 && provisioned < 570, provisioned + " of 1,000 admitted at a probability of 0.5");
@@ -48,15 +48,15 @@
     }
 
     @Test
-    void shedsReserveLast() {
+    void shedsReservedRateLast() {
         int reserved = admitted(ChargedBucket.RESERVED, 0.1, UNLIMITED);
         assertTrue(reserved > 240 && reserved < 360, reserved + " of 1,000 admitted at a probability of 0.3");
     }
 
     @Test
     void limitsAdmissionWithinWindowToWarmUpRate() {
-        // 1.3 times 10 per second for 2 s, one request of the maximum size of 8 units, and the request that exceeds the
-        // sum.
+        // At most 1.3 times 10 units per second for 2 s, one request of the maximum size of 8 units, and the request of
+        // one unit that exceeds the sum.
         int admitted = admitted(ChargedBucket.RESERVED, 1, 10);
         assertTrue(admitted <= 35, admitted + " admitted");
     }
--- a/policy/src/test/java/garnetreel/policy/admission/UnservedRequestsTest.java
+++ b/policy/src/test/java/garnetreel/policy/admission/UnservedRequestsTest.java
@@ -16,7 +16,7 @@
 
     private final FairQueue fairQueue = new FairQueue();
     private final VolumeFlow flow = flow(1);
-    private final UnservedRequests rejected = new UnservedRequests();
+    private final UnservedRequests unserved = new UnservedRequests();
 
     private VolumeFlow flow(long volume) {
         return fairQueue.addFlow(
@@ -27,28 +27,28 @@
 
     @Test
     void recognizesRetryWithSimilarDeadline() {
-        rejected.add(flow, "read", 4, DEADLINE, NOW);
-        assertEquals(NOW, rejected.firstReceivedAt(flow, "read", 4, DEADLINE + 5_000, NOW + 9));
-        assertEquals(NOW, rejected.firstReceivedAt(flow, "read", 4, DEADLINE - 5_000, NOW + 9));
-        assertEquals(NOW + 9, rejected.firstReceivedAt(flow, "read", 4, DEADLINE + 10_000, NOW + 9));
+        unserved.add(flow, "read", 4, DEADLINE, NOW);
+        assertEquals(NOW, unserved.firstReceivedAt(flow, "read", 4, DEADLINE + 5_000, NOW + 9));
+        assertEquals(NOW, unserved.firstReceivedAt(flow, "read", 4, DEADLINE - 5_000, NOW + 9));
+        assertEquals(NOW + 9, unserved.firstReceivedAt(flow, "read", 4, DEADLINE + 10_000, NOW + 9));
     }
 
     @Test
     void doesNotMatchDifferentRequest() {
-        rejected.add(flow, "read", 4, DEADLINE, NOW);
-        assertEquals(NOW + 9, rejected.firstReceivedAt(flow, "read", 3, DEADLINE, NOW + 9));
-        assertEquals(NOW + 9, rejected.firstReceivedAt(flow, "once", 4, DEADLINE, NOW + 9));
-        assertEquals(NOW + 9, rejected.firstReceivedAt(flow(2), "read", 4, DEADLINE, NOW + 9));
+        unserved.add(flow, "read", 4, DEADLINE, NOW);
+        assertEquals(NOW + 9, unserved.firstReceivedAt(flow, "read", 3, DEADLINE, NOW + 9));
+        assertEquals(NOW + 9, unserved.firstReceivedAt(flow, "once", 4, DEADLINE, NOW + 9));
+        assertEquals(NOW + 9, unserved.firstReceivedAt(flow(2), "read", 4, DEADLINE, NOW + 9));
     }
 
     @Test
     void evictsOldestEntries() {
         for (int i = 0; i < 10_000; i++) {
-            rejected.add(flow, "read", i, DEADLINE, NOW);
+            unserved.add(flow, "read", i, DEADLINE, NOW);
         }
-        assertTrue(rejected.isConsistent());
-        assertEquals(4_096, rejected.size());
-        assertEquals(NOW, rejected.firstReceivedAt(flow, "read", 9_999, DEADLINE, NOW + 9));
-        assertEquals(NOW + 9, rejected.firstReceivedAt(flow, "read", 0, DEADLINE, NOW + 9));
+        assertTrue(unserved.isConsistent());
+        assertEquals(4_096, unserved.size());
+        assertEquals(NOW, unserved.firstReceivedAt(flow, "read", 9_999, DEADLINE, NOW + 9));
+        assertEquals(NOW + 9, unserved.firstReceivedAt(flow, "read", 0, DEADLINE, NOW + 9));
     }
 }
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointListValidityTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointListValidityTest.java
@@ -12,10 +12,10 @@
     private static final long LIST_EXPIRES_AT =
             LIST_CONFIRMED_AT + EndpointListValidity.MAX_NOTIFICATION_DELAY_MICROS - ProcessPause.MARGIN_MICROS;
 
-    private final EndpointListValidity lease = new EndpointListValidity();
+    private final EndpointListValidity validity = new EndpointListValidity();
 
     private long sendBeforeWithoutLease() {
-        return lease.sendBefore(EndpointListValidity.neverRenewed());
+        return validity.sendBefore(EndpointListValidity.neverRenewed());
     }
 
     @Test
@@ -25,57 +25,57 @@
 
     @Test
     void listIsValidForSixSecondsLessMargin() {
-        lease.confirmed(LIST_CONFIRMED_AT);
+        validity.confirmed(LIST_CONFIRMED_AT);
         assertEquals(LIST_EXPIRES_AT, sendBeforeWithoutLease());
-        lease.confirmed(LIST_CONFIRMED_AT - SECOND);
+        validity.confirmed(LIST_CONFIRMED_AT - SECOND);
         assertEquals(LIST_EXPIRES_AT, sendBeforeWithoutLease(), "an older confirmation does not shorten the validity");
     }
 
     @Test
     void acceptedRequestGrantsLeaseOfHalfTheListValidity() {
-        lease.confirmed(LIST_CONFIRMED_AT);
+        validity.confirmed(LIST_CONFIRMED_AT);
         long renewedAt = LIST_CONFIRMED_AT + 5 * SECOND;
         assertEquals(
                 renewedAt
                         + EndpointListValidity.MAX_NOTIFICATION_DELAY_MICROS
                         - EndpointListValidity.MAX_DRAIN_DELAY_MICROS
                         - ProcessPause.MARGIN_MICROS,
-                lease.sendBefore(renewedAt));
+                validity.sendBefore(renewedAt));
         assertEquals(
                 LIST_EXPIRES_AT,
-                lease.sendBefore(LIST_CONFIRMED_AT + SECOND),
+                validity.sendBefore(LIST_CONFIRMED_AT + SECOND),
                 "the list is valid for longer than the lease");
     }
 
     @Test
     void discoveryAddressChangeLimitsValidityToFourSeconds() {
-        lease.confirmed(LIST_CONFIRMED_AT);
-        lease.discoveryAddressChanged(LIST_CONFIRMED_AT + SECOND);
+        validity.confirmed(LIST_CONFIRMED_AT);
+        validity.discoveryAddressChanged(LIST_CONFIRMED_AT + SECOND);
         long end = LIST_CONFIRMED_AT
                 + SECOND
                 + EndpointListValidity.MAX_DELAY_AFTER_ADDRESS_CHANGE_MICROS
                 - ProcessPause.MARGIN_MICROS;
         assertEquals(end, sendBeforeWithoutLease());
-        lease.discoveryAddressChanged(LIST_CONFIRMED_AT + 3 * SECOND);
+        validity.discoveryAddressChanged(LIST_CONFIRMED_AT + 3 * SECOND);
         assertEquals(
                 end,
                 sendBeforeWithoutLease(),
                 "a second change without a list in between does not extend the validity");
-        lease.confirmed(LIST_CONFIRMED_AT + 4 * SECOND);
+        validity.confirmed(LIST_CONFIRMED_AT + 4 * SECOND);
         assertEquals(LIST_EXPIRES_AT + 4 * SECOND, sendBeforeWithoutLease());
-        lease.discoveryAddressChanged(LIST_CONFIRMED_AT + 5 * SECOND);
+        validity.discoveryAddressChanged(LIST_CONFIRMED_AT + 5 * SECOND);
         assertEquals(LIST_CONFIRMED_AT + 9 * SECOND - ProcessPause.MARGIN_MICROS, sendBeforeWithoutLease());
     }
 
     @Test
     void listStaysValidDuringDiscoveryOutage() {
-        lease.confirmed(LIST_CONFIRMED_AT);
-        lease.discoveryObserved(false);
+        validity.confirmed(LIST_CONFIRMED_AT);
+        validity.discoveryObserved(false);
         assertEquals(Long.MAX_VALUE, sendBeforeWithoutLease());
-        lease.discoveryObserved(true);
+        validity.discoveryObserved(true);
         assertEquals(LIST_EXPIRES_AT, sendBeforeWithoutLease());
-        lease.discoveryObserved(false);
-        lease.discoveryAddressChanged(LIST_CONFIRMED_AT + SECOND);
+        validity.discoveryObserved(false);
+        validity.discoveryAddressChanged(LIST_CONFIRMED_AT + SECOND);
         assertEquals(
                 LIST_CONFIRMED_AT + 5 * SECOND - ProcessPause.MARGIN_MICROS,
                 sendBeforeWithoutLease(),
--- a/policy/src/test/java/garnetreel/policy/endpoint/EndpointTableTest.java
+++ b/policy/src/test/java/garnetreel/policy/endpoint/EndpointTableTest.java
@@ -15,8 +15,8 @@
     private static final long SECOND = 1_000_000;
     private static final long NOW = 100 * SECOND;
 
-    private final EndpointListValidity lease = new EndpointListValidity();
-    private final EndpointTable table = new EndpointTable(lease);
+    private final EndpointListValidity validity = new EndpointListValidity();
+    private final EndpointTable table = new EndpointTable(validity);
 
     private record SentAttempt(long sentAt) implements InFlightAttempt {
         @Override
@@ -61,7 +61,7 @@
     @Test
     void requiresLeaseOnceListHasExpired() {
         Endpoint first = listEndpoint("a", 1, EndpointState.UP);
-        lease.confirmed(NOW);
+        validity.confirmed(NOW);
         assertEquals(first, table.select(1, NOW));
         assertNull(table.select(1, NOW + 6 * SECOND));
         assertTrue(table.hasOnlyUnusableEndpoints(1, NOW + 6 * SECOND));
--- a/policy/src/test/java/garnetreel/policy/fairqueue/FairQueueTest.java
+++ b/policy/src/test/java/garnetreel/policy/fairqueue/FairQueueTest.java
@@ -53,11 +53,11 @@
     @Test
     void breaksTieByFewestAttemptsInFlight() {
         hold(first);
-        HeldRequest idle = hold(second);
+        HeldRequest withoutAttempts = hold(second);
         first.attemptSent(0);
-        assertEquals(idle, select());
+        assertEquals(withoutAttempts, select());
         first.attemptEnded();
-        assertEquals(first, select().flow(), "a further tie is broken by the older request");
+        assertEquals(first, select().flow(), "with equally many attempts in flight, the older request is selected");
     }
 
     @Test
@@ -101,7 +101,7 @@
         first.requestReceived(NOW);
         first.requestHeld();
         first.requestReleased(NOW);
-        assertTrue(first.isActive(NOW + SECOND), "one second before its mean gap is known");
+        assertTrue(first.isActive(NOW + SECOND), "one second while its mean gap is unknown");
         assertFalse(first.isActive(NOW + SECOND + 1));
         first.requestReceived(NOW + 100);
         first.requestHeld();
@@ -114,7 +114,7 @@
     void removesFlowUnusedForOneMinute() {
         hold(first);
         fairQueue.evictUnused(NOW + 61 * SECOND);
-        assertEquals(1, fairQueue.size(), "the other was never used");
+        assertEquals(1, fairQueue.size(), "the flow that never held a request is evicted");
         first.requestReleased(NOW);
         fairQueue.evictUnused(NOW + 60 * SECOND);
         assertEquals(1, fairQueue.size());
--- a/policy/src/test/java/garnetreel/policy/ratelimit/VolumeBucketsTest.java
+++ b/policy/src/test/java/garnetreel/policy/ratelimit/VolumeBucketsTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void usageThroughOtherGatewaysChargesReserveFirst() {
+    void usageThroughOtherGatewaysChargesReservedRateFirst() {
         VolumeBuckets buckets = buckets(UNLIMITED_PLAN, START);
         buckets.chargeForOtherGateways(13, START);
         assertEquals(ChargedBucket.PROVISIONED, buckets.chargeRequest(18, START));
--- a/policy/src/test/java/garnetreel/policy/retry/IdempotencyGuardTest.java
+++ b/policy/src/test/java/garnetreel/policy/retry/IdempotencyGuardTest.java
@@ -37,7 +37,7 @@
                 "keyed", SECOND, 0, SECOND, Idempotency.IDEMPOTENCY_KEY, scope, 0, false, SECOND, 1, false, true);
     }
 
-    private IdempotencyGuard sent(RequestClass requestClass) {
+    private IdempotencyGuard guardWithOneAttempt(RequestClass requestClass) {
         IdempotencyGuard guard = new IdempotencyGuard(requestClass, MARGIN);
         guard.attemptSent(first, NOW);
         return guard;
@@ -45,7 +45,7 @@
 
     @Test
     void idempotentRequestMayBeRetriedAnywhere() {
-        IdempotencyGuard guard = sent(TestSettings.read());
+        IdempotencyGuard guard = guardWithOneAttempt(TestSettings.read());
         assertTrue(guard.allowsRetry(NOW));
         assertTrue(guard.allowsEndpoint(sameZone));
         assertTrue(guard.clientMayRetry());
@@ -54,7 +54,7 @@
 
     @Test
     void nonIdempotentRequestMayBeRetriedOnlyIfProvenNotExecuted() {
-        IdempotencyGuard guard = sent(TestSettings.once());
+        IdempotencyGuard guard = guardWithOneAttempt(TestSettings.once());
         assertFalse(guard.allowsRetry(NOW));
         assertFalse(guard.clientMayRetry());
         guard.provenNotExecuted();
@@ -65,7 +65,7 @@
 
     @Test
     void keyedRequestMayBeRetriedWithinDeduplicationWindowLessMargins() {
-        IdempotencyGuard guard = sent(keyed(DeduplicationScope.ALL));
+        IdempotencyGuard guard = guardWithOneAttempt(keyed(DeduplicationScope.ALL));
         long end = NOW + SECOND - MARGIN - ProcessPause.MARGIN_MICROS;
         assertEquals(end, guard.mustStartBefore());
         assertTrue(guard.allowsRetry(end - 1));
@@ -76,14 +76,14 @@
 
     @Test
     void deduplicationScopeLimitsEndpoints() {
-        IdempotencyGuard shard = sent(keyed(DeduplicationScope.SHARD));
+        IdempotencyGuard shard = guardWithOneAttempt(keyed(DeduplicationScope.SHARD));
         assertTrue(shard.allowsEndpoint(first));
         assertTrue(shard.allowsEndpoint(sameShard));
         assertFalse(shard.allowsEndpoint(sameZone));
-        IdempotencyGuard zone = sent(keyed(DeduplicationScope.ZONE));
+        IdempotencyGuard zone = guardWithOneAttempt(keyed(DeduplicationScope.ZONE));
         assertFalse(zone.allowsEndpoint(sameShard));
         assertTrue(zone.allowsEndpoint(sameZone));
-        IdempotencyGuard all = sent(keyed(DeduplicationScope.ALL));
+        IdempotencyGuard all = guardWithOneAttempt(keyed(DeduplicationScope.ALL));
         assertTrue(all.allowsEndpoint(sameShard));
         assertTrue(all.allowsEndpoint(sameZone));
         assertFalse(shard.clientMayRetry(), "the client's retry may reach another shard");
@@ -92,7 +92,7 @@
 
     @Test
     void moreProofsThanAttemptsIsInconsistent() {
-        IdempotencyGuard guard = sent(TestSettings.once());
+        IdempotencyGuard guard = guardWithOneAttempt(TestSettings.once());
         guard.provenNotExecuted();
         guard.provenNotExecuted();
         assertFalse(guard.isConsistent());
@@ -101,7 +101,7 @@
     @Test
     void retryPolicyDependsOnTimeOutcomeAndAttempts() {
         RetryPolicy policy = new RetryPolicy(3, new RetryBudget(TestSettings.rules()));
-        IdempotencyGuard guard = sent(TestSettings.read());
+        IdempotencyGuard guard = guardWithOneAttempt(TestSettings.read());
         assertEquals(RetryDecision.RETRY, policy.afterOutcome(Outcome.ERROR, 2, NOW + 1, guard, NOW));
         assertEquals(RetryDecision.GIVE_UP, policy.afterOutcome(Outcome.ERROR, 3, NOW + 1, guard, NOW));
         assertEquals(RetryDecision.GIVE_UP, policy.afterOutcome(Outcome.ERROR, 2, NOW, guard, NOW));
