--- a/codec/src/test/java/garnetreel/codec/ParsersTest.java
+++ b/codec/src/test/java/garnetreel/codec/ParsersTest.java
@@ -77,7 +77,7 @@
         byte[] bytes = bytes(frame);
         ByteQueue in = new ByteQueue();
         for (int i = 0; i < bytes.length; i++) {
-            assertNull(parser.next(in), "complete after " + i + " of " + bytes.length);
+            assertNull(parser.next(in), "decoded after only " + i + " bytes of " + bytes.length);
             in.add(ByteBuffer.wrap(bytes, i, 1).slice());
         }
         assertEquals(expected, parser.next(in));
--- a/codec/src/test/java/garnetreel/codec/RsyncTest.java
+++ b/codec/src/test/java/garnetreel/codec/RsyncTest.java
@@ -71,12 +71,12 @@
 
     @Test
     void listOrderPutsFilesBeforeDirectoriesAndContentsAfterTheirDirectory() {
-        List<FileItem> expected = new ArrayList<>();
+        List<FileItem> items = new ArrayList<>();
         for (String name : List.of(
                 "./", "b", "b-c", "z", "a/", "a/x", "a/y", "a/k/", "a/k/1", "a-b/", "a-b/q", "b.d/", "c/", "c/d/",
                 "c/d/e")) {
             boolean directory = name.endsWith("/");
-            expected.add(new FileItem(
+            items.add(new FileItem(
                     directory ? name.substring(0, name.length() - 1) : name,
                     directory ? Rsync.DIRECTORY : Rsync.REGULAR,
                     0,
@@ -85,8 +85,8 @@
                     null));
         }
         // "a-b/" sorts before "a/" by byte value: '-' is less than '/'.
-        expected.sort(FileItem.ORDER);
-        List<String> names = expected.stream().map(FileItem::name).toList();
+        items.sort(FileItem.ORDER);
+        List<String> names = items.stream().map(FileItem::name).toList();
         assertEquals(
                 List.of(
                         ".", "b", "b-c", "z", "a-b", "a-b/q", "a", "a/x", "a/y", "a/k", "a/k/1", "b.d", "c", "c/d",
@@ -94,7 +94,7 @@
                 names);
         Random shuffle = new Random(3);
         for (int i = 0; i < 50; i++) {
-            List<FileItem> shuffled = new ArrayList<>(expected);
+            List<FileItem> shuffled = new ArrayList<>(items);
             Collections.shuffle(shuffled, shuffle);
             shuffled.sort(FileItem.ORDER);
             assertEquals(names, shuffled.stream().map(FileItem::name).toList());
@@ -103,7 +103,7 @@
 
     @Test
     void fileListsRoundTripByteByByte() throws Exception {
-        FileListCodec.Options form = new FileListCodec.Options(true, true, true, true);
+        FileListCodec.Options options = new FileListCodec.Options(true, true, true, true);
         List<FileItem> items = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             int kind = i % 3;
@@ -117,15 +117,15 @@
                     kind == 0 ? new byte[] {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, (byte) i} : null));
         }
         RsyncOut out = new RsyncOut();
-        FileListCodec writer = new FileListCodec(form);
+        FileListCodec writer = new FileListCodec(options);
         items.forEach(i -> writer.write(out, i));
         out.u8(0);
         byte[] bytes = out.take().array();
         RsyncIn in = new RsyncIn();
-        FileListCodec reader = new FileListCodec(form);
+        FileListCodec reader = new FileListCodec(options);
         int read = 0;
-        for (byte one : bytes) {
-            in.add(ByteBuffer.wrap(new byte[] {one}));
+        for (byte value : bytes) {
+            in.add(ByteBuffer.wrap(new byte[] {value}));
             in.mark();
             try {
                 FileItem item = reader.read(in);
@@ -249,10 +249,10 @@
         MultiplexedFrames frames = new MultiplexedFrames();
         RsyncIn in = new RsyncIn();
         List<String> messages = new ArrayList<>();
-        for (ByteBuffer one : List.of(data, RsyncOut.frame(Rsync.DATA, new byte[0], 0), info, data.duplicate())) {
-            while (one.hasRemaining()) {
+        for (ByteBuffer frame : List.of(data, RsyncOut.frame(Rsync.DATA, new byte[0], 0), info, data.duplicate())) {
+            while (frame.hasRemaining()) {
                 frames.add(
-                        ByteBuffer.wrap(new byte[] {one.get()}),
+                        ByteBuffer.wrap(new byte[] {frame.get()}),
                         in,
                         (kind, body) -> messages.add(kind + new String(body)));
             }
--- a/codec/src/test/java/garnetreel/codec/http/HttpParsersTest.java
+++ b/codec/src/test/java/garnetreel/codec/http/HttpParsersTest.java
@@ -28,18 +28,20 @@
     @Test
     void requestsAreParsedInOnePieceAndByteByByte() throws ProtocolException {
         HttpRequestParser parser = new HttpRequestParser();
-        ByteBuffer two = bytes(VALID_REQUEST + VALID_REQUEST);
-        HttpRequest first = parser.next(two);
+        ByteBuffer twoRequests = bytes(VALID_REQUEST + VALID_REQUEST);
+        HttpRequest first = parser.next(twoRequests);
         assertEquals("PUT", first.method());
         assertEquals("/write", first.path());
         assertEquals("gold", first.fields().singleValue("tier"));
         assertArrayEquals("abc".getBytes(StandardCharsets.US_ASCII), first.body());
         assertEquals(
-                VALID_REQUEST.length(), two.remaining(), "the parser consumes no bytes after the end of the request");
+                VALID_REQUEST.length(),
+                twoRequests.remaining(),
+                "the parser consumes no bytes after the end of the request");
         HttpRequest second = null;
-        while (two.hasRemaining()) {
+        while (twoRequests.hasRemaining()) {
             assertNull(second);
-            second = parser.next(bytes(String.valueOf((char) two.get())));
+            second = parser.next(bytes(String.valueOf((char) twoRequests.get())));
         }
         assertNotNull(second);
         assertFalse(parser.hasPartialMessage());
@@ -74,9 +76,9 @@
         assertThrows(ProtocolException.class, () -> new HttpRequestParser().next(bytes(text)));
     }
 
-    /** A head without end, of many fields or of one long line, is rejected when it exceeds a limit. */
+    /** A header section without end, of many fields or of one long line, is rejected when it exceeds a limit. */
     @Test
-    void headsAreBounded() {
+    void headerSectionsAreBounded() {
         HttpRequestParser fields = new HttpRequestParser();
         assertThrows(ProtocolException.class, () -> {
             assertNull(fields.next(bytes("GET / HTTP/1.1\r\n")));
--- a/emulator/src/test/java/garnetreel/emulator/SimulationTest.java
+++ b/emulator/src/test/java/garnetreel/emulator/SimulationTest.java
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void pausedReadingDelaysDrained() {
+    void pausedReadingDelaysTheWrittenEvent() {
         ScriptedStateMachine client = new ScriptedStateMachine(new NetAction.Connect(-1, serverProcess.address("s")));
         ScenarioEnvironment.RunningProcess process =
                 simulation.launch("client", client, ScenarioEnvironment.StateStore.NONE);
--- a/files/src/test/java/garnetreel/files/CatalogueTest.java
+++ b/files/src/test/java/garnetreel/files/CatalogueTest.java
@@ -17,22 +17,22 @@
     private static final long SIZE = 1 << 20;
     private static final List<Catalogue.ModuleVolume> MODULES = List.of(new Catalogue.ModuleVolume("pages", 9, SIZE));
 
-    private final Catalogue files = new Catalogue(MODULES, null, List.of());
+    private final Catalogue catalogue = new Catalogue(MODULES, null, List.of());
     private final List<byte[]> journal = new ArrayList<>();
 
     private FileEntry file(String path, long size) {
-        return new FileEntry("pages", path, 0, 0100644, size, 7, new byte[16], files.reserve("pages", size), "");
+        return new FileEntry("pages", path, 0, 0100644, size, 7, new byte[16], catalogue.reserve("pages", size), "");
     }
 
     private FileEntry put(FileEntry entry) {
         commit(List.of(), List.of(entry));
-        return files.get("pages", entry.path());
+        return catalogue.get("pages", entry.path());
     }
 
-    private void commit(List<Name> gone, List<FileEntry> put) {
-        FileChange change = files.change(files.seq(), gone, put);
+    private void commit(List<Name> removed, List<FileEntry> put) {
+        FileChange change = catalogue.change(catalogue.seq(), removed, put);
         journal.add(change.encode());
-        files.apply(FileChange.decode(change.encode()));
+        catalogue.apply(FileChange.decode(change.encode()));
     }
 
     @Test
@@ -42,16 +42,16 @@
         List<Long> free = new ArrayList<>();
         List<byte[]> snapshots = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
-            states.add(files.entriesBelow("pages", ""));
-            free.add(files.free("pages"));
-            snapshots.add(files.snapshot());
+            states.add(catalogue.entriesBelow("pages", ""));
+            free.add(catalogue.free("pages"));
+            snapshots.add(catalogue.snapshot());
             String path = "f" + random.nextInt(20);
             if (i % 4 == 3) {
                 commit(List.of(new Name("pages", path)), List.of());
             } else {
-                files.reserve("pages", 5000); // an upload that the crash interrupts: recovery frees its space
+                catalogue.reserve("pages", 5000); // an upload that the crash interrupts: recovery frees its space
                 put(file(path, random.nextInt(30_000)));
-                files.release("pages", List.of()); // releases nothing: recovery must free the reservation
+                catalogue.release("pages", List.of()); // releases nothing: recovery must free the reservation
             }
         }
         for (int crash = 0; crash < states.size(); crash++) {
@@ -70,27 +70,27 @@
     @Test
     void replacedVersionKeepsItsSpaceUntilItsLastReaderClosesIt() {
         FileEntry old = put(file("a", 10_000));
-        files.open(old);
-        files.open(old);
-        FileEntry now = put(file("a", 10_000));
-        assertNotEquals(old.pieces(), now.pieces());
-        assertEquals(SIZE - 2 * 12_288, files.free("pages"));
-        files.close(old);
-        assertEquals(SIZE - 2 * 12_288, files.free("pages"));
-        files.close(old);
-        assertEquals(SIZE - 12_288, files.free("pages"));
+        catalogue.open(old);
+        catalogue.open(old);
+        FileEntry replacement = put(file("a", 10_000));
+        assertNotEquals(old.pieces(), replacement.pieces());
+        assertEquals(SIZE - 2 * 12_288, catalogue.free("pages"));
+        catalogue.close(old);
+        assertEquals(SIZE - 2 * 12_288, catalogue.free("pages"));
+        catalogue.close(old);
+        assertEquals(SIZE - 12_288, catalogue.free("pages"));
     }
 
     @Test
     void changedAttributesKeepTheContentsWhileTheyAreRead() {
         FileEntry old = put(file("a", 10_000));
-        files.open(old);
-        FileEntry touched = put(old.withAttributes(0100600, 99));
-        assertEquals(old.pieces(), touched.pieces());
+        catalogue.open(old);
+        FileEntry changed = put(old.withAttributes(0100600, 99));
+        assertEquals(old.pieces(), changed.pieces());
         commit(List.of(new Name("pages", "a")), List.of());
-        assertEquals(SIZE - 12_288, files.free("pages"), "the contents are still being read");
-        files.close(old);
-        assertEquals(SIZE, files.free("pages"));
+        assertEquals(SIZE - 12_288, catalogue.free("pages"), "the contents are still being read");
+        catalogue.close(old);
+        assertEquals(SIZE, catalogue.free("pages"));
     }
 
     @Test
@@ -98,13 +98,13 @@
         for (int i = 0; i < 256; i++) {
             put(file("f" + i, 4096));
         }
-        assertNull(files.reserve("pages", 1));
+        assertNull(catalogue.reserve("pages", 1));
         commit(List.of(new Name("pages", "f10"), new Name("pages", "f20")), List.of());
-        assertNull(files.reserve("pages", 8193));
-        FileEntry both = put(file("both", 8000));
-        assertEquals(2, both.pieces().size());
-        assertEquals(new Piece(both.pieces().get(1).offset() + 904, 3000), both.locate(5000, 3000));
-        assertThrows(IllegalArgumentException.class, () -> both.locate(8000, 1));
+        assertNull(catalogue.reserve("pages", 8193));
+        FileEntry fragmented = put(file("both", 8000));
+        assertEquals(2, fragmented.pieces().size());
+        assertEquals(new Piece(fragmented.pieces().get(1).offset() + 904, 3000), fragmented.locate(5000, 3000));
+        assertThrows(IllegalArgumentException.class, () -> fragmented.locate(8000, 1));
     }
 
     @Test
@@ -115,15 +115,17 @@
         assertThrows(
                 IllegalStateException.class,
                 () -> new Catalogue(MODULES, null, List.of(journal.get(0), journal.get(2))));
-        byte[] snapshot = files.snapshot();
+        byte[] snapshot = catalogue.snapshot();
         snapshot[20] ^= 1;
         assertThrows(IllegalStateException.class, () -> new Catalogue(MODULES, snapshot, List.of()));
-        FileEntry a = files.get("pages", "a");
-        FileEntry twice = new FileEntry("pages", "z", 9, a.mode(), a.size(), 1, a.md5(), a.pieces(), "");
+        FileEntry a = catalogue.get("pages", "a");
+        FileEntry overlapping = new FileEntry("pages", "z", 9, a.mode(), a.size(), 1, a.md5(), a.pieces(), "");
         assertThrows(
                 IllegalStateException.class,
                 () -> new Catalogue(
-                        MODULES, files.snapshot(), List.of(new FileChange(4, List.of(), List.of(twice)).encode())));
+                        MODULES,
+                        catalogue.snapshot(),
+                        List.of(new FileChange(4, List.of(), List.of(overlapping)).encode())));
     }
 
     @Test
@@ -134,7 +136,9 @@
         put(file("e", 1));
         assertEquals(
                 List.of("d/x"),
-                files.entriesBelow("pages", "d").stream().map(FileEntry::path).toList());
-        assertEquals(4, files.entriesBelow("pages", "").size());
+                catalogue.entriesBelow("pages", "d").stream()
+                        .map(FileEntry::path)
+                        .toList());
+        assertEquals(4, catalogue.entriesBelow("pages", "").size());
     }
 }
--- a/map/src/test/java/garnetreel/map/AdoptionTest.java
+++ b/map/src/test/java/garnetreel/map/AdoptionTest.java
@@ -18,64 +18,65 @@
     private static final Snapshot INITIAL =
             new Snapshot(1, 1, List.of(new VolumeMap(7, 20, 4096, List.of(0, 1), List.of())));
 
-    private static Reconciliation found(ReportedExtent... held) {
-        return Adoption.of(new MapState(INITIAL), List.of(held));
+    private static Reconciliation reconcile(ReportedExtent... reports) {
+        return Adoption.of(new MapState(INITIAL), List.of(reports));
     }
 
-    private static ReportedExtent held(int extent, int shard, State state, long version) {
+    private static ReportedExtent reported(int extent, int shard, State state, long version) {
         return new ReportedExtent(7, extent, shard, state, version);
     }
 
     @Test
     void nodeServingUnderTheHighestVersionIsTheHolder() {
-        Reconciliation found = found(held(4, 0, State.GONE, 9), held(4, 1, State.SERVING, 9));
-        assertEquals(List.of(new Change(7, 4, 1, 9)), found.changes());
-        assertEquals(9, found.highestVersion());
-        assertTrue(found.lostMigrations().isEmpty()
-                && found.missing().isEmpty()
-                && found.conflicts().isEmpty());
+        Reconciliation result = reconcile(reported(4, 0, State.GONE, 9), reported(4, 1, State.SERVING, 9));
+        assertEquals(List.of(new Change(7, 4, 1, 9)), result.changes());
+        assertEquals(9, result.highestVersion());
+        assertTrue(result.lostMigrations().isEmpty()
+                && result.missing().isEmpty()
+                && result.conflicts().isEmpty());
     }
 
     @Test
     void entryThatMatchesTheMapIsNoChange() {
         assertEquals(
                 List.of(),
-                found(held(4, 0, State.SERVING, 1), held(4, 1, State.GONE, 0)).changes());
+                reconcile(reported(4, 0, State.SERVING, 1), reported(4, 1, State.GONE, 0))
+                        .changes());
     }
 
     @Test
     void migrationLostAfterItsFenceIsRolledBack() {
-        Reconciliation found = found(held(4, 0, State.FENCED, 6), held(4, 1, State.RECEIVING, 0));
-        assertEquals(List.of(new Change(7, 4, 0, 6)), found.changes());
-        assertEquals(List.of(new Migration(0, 7, 4, 0, 1, 6, 0, Migration.State.ABORTING)), found.lostMigrations());
+        Reconciliation result = reconcile(reported(4, 0, State.FENCED, 6), reported(4, 1, State.RECEIVING, 0));
+        assertEquals(List.of(new Change(7, 4, 0, 6)), result.changes());
+        assertEquals(List.of(new Migration(0, 7, 4, 0, 1, 6, 0, Migration.State.ABORTING)), result.lostMigrations());
     }
 
     @Test
     void migrationLostDuringItsCopyIsRolledBack() {
-        Reconciliation found = found(held(4, 0, State.SERVING, 1), held(4, 1, State.RECEIVING, 0));
-        assertEquals(List.of(new Migration(0, 7, 4, 0, 1, 1, 0, Migration.State.ABORTING)), found.lostMigrations());
+        Reconciliation result = reconcile(reported(4, 0, State.SERVING, 1), reported(4, 1, State.RECEIVING, 0));
+        assertEquals(List.of(new Migration(0, 7, 4, 0, 1, 1, 0, Migration.State.ABORTING)), result.lostMigrations());
     }
 
     @Test
     void extentHeldByANodeThatDidNotAnswerIsMissingAndKeepsItsMapEntry() {
-        Reconciliation found =
-                found(held(4, 0, State.GONE, 9), held(6, 1, State.SERVING, 3), held(6, 0, State.GONE, 5));
-        assertEquals(List.of(), found.changes());
-        assertEquals(List.of(held(4, 0, State.GONE, 9), held(6, 0, State.GONE, 5)), found.missing());
+        Reconciliation result = reconcile(
+                reported(4, 0, State.GONE, 9), reported(6, 1, State.SERVING, 3), reported(6, 0, State.GONE, 5));
+        assertEquals(List.of(), result.changes());
+        assertEquals(List.of(reported(4, 0, State.GONE, 9), reported(6, 0, State.GONE, 5)), result.missing());
     }
 
     @Test
     void twoServingNodesAreReportedAsAConflict() {
-        Reconciliation found = found(held(4, 0, State.SERVING, 3), held(4, 1, State.SERVING, 5));
-        assertEquals(List.of(new Change(7, 4, 1, 5)), found.changes());
-        assertEquals(List.of(held(4, 0, State.SERVING, 3)), found.conflicts());
+        Reconciliation result = reconcile(reported(4, 0, State.SERVING, 3), reported(4, 1, State.SERVING, 5));
+        assertEquals(List.of(new Change(7, 4, 1, 5)), result.changes());
+        assertEquals(List.of(reported(4, 0, State.SERVING, 3)), result.conflicts());
     }
 
     @Test
     void entriesOfUnknownVolumesAndExtentsAreIgnored() {
         assertEquals(
                 0,
-                found(new ReportedExtent(8, 1, 0, State.SERVING, 5), held(20, 0, State.SERVING, 5))
+                reconcile(new ReportedExtent(8, 1, 0, State.SERVING, 5), reported(20, 0, State.SERVING, 5))
                         .highestVersion());
     }
 
@@ -87,27 +88,27 @@
     void adoptionRestoresTheMapWhateverPartOfTheJournalWasLost() {
         List<Transaction> journal = new ArrayList<>();
         MapState complete = new MapState(INITIAL);
-        List<ReportedExtent> nodes = new ArrayList<>();
+        List<ReportedExtent> reports = new ArrayList<>();
         for (int extent = 0; extent < 6; extent++) {
-            migrate(complete, journal, nodes, extent, 2 + extent % 2, extent % 4);
+            migrate(complete, journal, reports, extent, 2 + extent % 2, extent % 4);
         }
         for (int retained = 0; retained <= journal.size(); retained++) {
             MapState restored = new MapState(INITIAL);
             journal.subList(0, retained).forEach(restored::apply);
-            Reconciliation found = Adoption.of(restored, nodes);
+            Reconciliation result = Adoption.of(restored, reports);
             restored.apply(
-                    restored.adopt(found.changes(), complete.epoch(), found.highestVersion(), "test", 0, "adopted"));
+                    restored.adopt(result.changes(), complete.epoch(), result.highestVersion(), "test", 0, "adopted"));
             assertEquals(placements(complete), placements(restored), "journal lost after record " + retained);
             assertTrue(restored.epoch() > complete.epoch() && restored.version() > complete.version());
         }
     }
 
     /**
-     * Runs a migration up to a step (0 copying, 1 fenced, 2 switched and serving, 3 done) and adds the entries of its
+     * Runs a migration up to a step (0 copying, 1 fenced, 2 switched and serving, 3 done) and adds the reports of its
      * nodes.
      */
     private static void migrate(
-            MapState state, List<Transaction> journal, List<ReportedExtent> nodes, int extent, int to, int lastStep) {
+            MapState state, List<Transaction> journal, List<ReportedExtent> reports, int extent, int to, int lastStep) {
         Migration migration = state.newMigration(7, extent, to);
         Migration.State[] states = {
             Migration.State.COPYING, Migration.State.FENCING, Migration.State.SWITCHED, Migration.State.DONE
@@ -118,12 +119,12 @@
             state.apply(t);
             migration = t.migration();
         }
-        nodes.add(held(
+        reports.add(reported(
                 extent,
                 migration.from(),
                 lastStep == 0 ? State.SERVING : lastStep == 3 ? State.GONE : State.FENCED,
                 lastStep == 3 ? migration.newVersion() : migration.oldVersion()));
-        nodes.add(held(
+        reports.add(reported(
                 extent, to, lastStep < 2 ? State.RECEIVING : State.SERVING, lastStep < 2 ? 0 : migration.newVersion()));
     }
 
--- a/map/src/test/java/garnetreel/map/RebalancerTest.java
+++ b/map/src/test/java/garnetreel/map/RebalancerTest.java
@@ -43,12 +43,13 @@
                                 List.of(shard(0, 55), shard(1, 45)),
                                 List.of(new Extent(1, 1, 0, 5, 4096)),
                                 List.of()));
-        Rebalancer resting = new Rebalancer(LIMITS);
+        Rebalancer rebalancer = new Rebalancer(LIMITS);
         List<Shard> shards = List.of(shard(0, 90), shard(1, 10));
         List<Extent> extents = List.of(new Extent(1, 1, 0, 20, 4096));
-        resting.migrated(1, 1, 0);
-        assertEquals(List.of(), resting.propose(30_000_000, shards, extents, List.of()));
-        assertEquals(1, resting.propose(61_000_000, shards, extents, List.of()).size());
+        rebalancer.migrated(1, 1, 0);
+        assertEquals(List.of(), rebalancer.propose(30_000_000, shards, extents, List.of()));
+        assertEquals(
+                1, rebalancer.propose(61_000_000, shards, extents, List.of()).size());
     }
 
     @Test
@@ -87,7 +88,7 @@
         List<Proposal> proposals = new Rebalancer(LIMITS).propose(0, shards, extents, List.of());
         assertEquals(1, proposals.size());
         assertEquals(1, proposals.get(0).extent());
-        // It is given no extents, not even of a draining shard, while another shard has capacity.
+        // Shard 0 is given no extents, not even those of a draining shard, while another shard has capacity.
         List<Shard> draining =
                 List.of(shards.get(0), shard(1, 30), new Shard(2, 5, 100, 0.05, FREE, true, false, true));
         assertEquals(
--- a/mapservice/src/test/java/garnetreel/mapservice/MapClientConnectionsTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/MapClientConnectionsTest.java
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void subscribersAboveTheRateAreToldToRetry() {
+    void subscribersAboveTheRateReceiveABusyMessage() {
         for (int connectionId = 1; connectionId <= 3; connectionId++) {
             receive(connectionId, new Subscribe(connectionId, 1, 1));
         }
--- a/mapservice/src/test/java/garnetreel/mapservice/MigrationCoordinatorTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/MigrationCoordinatorTest.java
@@ -179,10 +179,10 @@
         Sent<NodeMessage> put = advance().get(0);
         assertEquals("PUT@1", step(put));
         fixture.report(put, true, false, 0, NO_DATA);
-        assertEquals(List.of(), advance(), "half a batch is overdrawn and no time has passed");
-        long balanced = MigrationStateMachine.BATCH_BYTES / 2 * 1_000_000L / COPY_RATE;
-        assertEquals(balanced + 1, migrations.nextDeadline());
-        fixture.beginTurnAt(balanced + 1);
+        assertEquals(List.of(), advance(), "the copy rate is overdrawn by half a batch, and no time has passed");
+        long repaidAt = MigrationStateMachine.BATCH_BYTES / 2 * 1_000_000L / COPY_RATE;
+        assertEquals(repaidAt + 1, migrations.nextDeadline());
+        fixture.beginTurnAt(repaidAt + 1);
         migrations.refill();
         assertEquals("TAKE@0", step(advance().get(0)));
     }
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void adoptionVoidsActiveMigrationsAndRollsBackLostOnes() {
+    void adoptionAbortsActiveMigrationsAndRollsBackLostOnes() {
         fixture.connectNodes();
         begin(4, 1);
         migrations.adopted(List.of(new Migration(0, ServiceFixture.VOLUME, 6, 0, 1, 1, 0, Migration.State.ABORTING)));
--- a/mapservice/src/test/java/garnetreel/mapservice/RebalanceCoordinatorTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/RebalanceCoordinatorTest.java
@@ -80,12 +80,12 @@
     @Test
     void onlyDrainingShardsAreProposedWhenRebalancingIsOff() {
         fixture.connectNodes();
-        RebalanceCoordinator off = coordinator(false);
-        poll(off, SECOND);
-        poll(off, 2 * SECOND);
+        RebalanceCoordinator drainingOnly = coordinator(false);
+        poll(drainingOnly, SECOND);
+        poll(drainingOnly, 2 * SECOND);
         assertEquals(List.of(), proposals);
         fixture.state.apply(fixture.state.drain(0, true, "test", 0));
-        poll(off, 3 * SECOND);
+        poll(drainingOnly, 3 * SECOND);
         assertEquals(List.of(new Proposal(ServiceFixture.VOLUME, 0, 1, "shard 0 drains")), proposals);
     }
 }
--- a/mapservice/src/test/java/garnetreel/mapservice/ServiceFixture.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/ServiceFixture.java
@@ -128,9 +128,9 @@
 
     /** Delivers a node's report on a command that was sent. */
     void report(Sent<NodeMessage> command, boolean ok, boolean more, long known, ByteBuffer data) {
-        ControlCommand order = (ControlCommand) command.message();
+        ControlCommand controlCommand = (ControlCommand) command.message();
         nodes.received(
                 command.connectionId(),
-                NodeCodec.frame(new CommandReport(order.seq(), ok, more, 1, known, data.duplicate())));
+                NodeCodec.frame(new CommandReport(controlCommand.seq(), ok, more, 1, known, data.duplicate())));
     }
 }
--- a/store/src/test/java/garnetreel/store/JournalTest.java
+++ b/store/src/test/java/garnetreel/store/JournalTest.java
@@ -51,9 +51,9 @@
                     assertEquals(i + 1, records.get(i)[0], "cut at " + cut);
                 }
                 opened++;
-            } catch (IOException refused) {
+            } catch (IOException openFailure) {
                 // The only other permitted outcome: opening fails with a clear error.
-                assertTrue(refused.getMessage().contains("can't be opened"));
+                assertTrue(openFailure.getMessage().contains("can't be opened"));
             }
         }
         assertTrue(opened > 0);
@@ -83,8 +83,8 @@
                 assertEquals(
                         contents.snapshot() == null ? 1 : 16, contents.records().get(0)[0], "cut at " + cut);
                 assertTrue(contents.snapshot() == null || contents.records().size() >= 15);
-            } catch (IOException refused) {
-                assertTrue(refused.getMessage().contains("can't be opened"));
+            } catch (IOException openFailure) {
+                assertTrue(openFailure.getMessage().contains("can't be opened"));
             }
         }
     }
--- a/testbed/src/test/java/garnetreel/testbed/node/MigrationFailureTest.java
+++ b/testbed/src/test/java/garnetreel/testbed/node/MigrationFailureTest.java
@@ -29,9 +29,9 @@
         SERVICE_CRASH,
         SOURCE_CRASH,
         TARGET_CRASH,
-        ORDER_LOST,
+        COMMAND_LOST,
         REPORT_LOST,
-        SERVICE_CRASH_AFTER_ORDER
+        SERVICE_CRASH_AFTER_COMMAND
     }
 
     private static final class Node {
@@ -57,11 +57,11 @@
         long version = 1;
         int holder;
         long seq = 1L << 40;
-        long stamp;
+        long lastValue;
         int steps;
 
         MigrationRun() {
-            // Gives the target node the extent size, so that it knows that it does not own this extent.
+            // Gives the target node the extent size, so that it knows that it does not hold this extent.
             nodes[1].disk.extents().entry(VOLUME, EXTENT, EXTENT_BYTES, false);
             for (int page = 0; page < 4; page++) {
                 write(page);
@@ -71,12 +71,12 @@
         /** A client that knows the current map writes a page; the write is acknowledged if the node serves the extent. */
         void write(int page) {
             if (nodes[holder].serves(version)) {
-                ByteBuffer data = ByteBuffer.allocate(MemoryDisk.PAGE_BYTES).putLong(0, ++stamp);
+                ByteBuffer data = ByteBuffer.allocate(MemoryDisk.PAGE_BYTES).putLong(0, ++lastValue);
                 long offset = EXTENT_OFFSET + (long) page * MemoryDisk.PAGE_BYTES;
                 nodes[holder].disk.write(VOLUME, offset, data);
                 nodes[holder].disk.extents().markChanged(VOLUME, offset, MemoryDisk.PAGE_BYTES);
                 nodes[holder].disk.flush(0);
-                acknowledged.put(page, stamp);
+                acknowledged.put(page, lastValue);
             }
         }
 
@@ -124,17 +124,17 @@
                     version = 2;
                     holder = 1;
                 }
-                if (failure == Failure.SERVICE_CRASH_AFTER_ORDER || failure == Failure.REPORT_LOST) {
+                if (failure == Failure.SERVICE_CRASH_AFTER_COMMAND || failure == Failure.REPORT_LOST) {
                     restartService(); // the commit is durable, but the service crashes before it is notified
                 } else {
                     migration.durable(durable);
                 }
             } else if (next instanceof MigrationStateMachine.SendCommand sendCommand) {
-                if (failure == Failure.ORDER_LOST) {
+                if (failure == Failure.COMMAND_LOST) {
                     migration.failed();
                     return;
                 }
-                ControlCommand order = new ControlCommand(
+                ControlCommand command = new ControlCommand(
                         ++seq,
                         sendCommand.step(),
                         VOLUME,
@@ -143,10 +143,10 @@
                         sendCommand.version(),
                         sendCommand.room(),
                         sendCommand.data());
-                CommandReport report = nodes[sendCommand.shard()].participant.execute(order, false);
+                CommandReport report = nodes[sendCommand.shard()].participant.execute(command, false);
                 if (failure == Failure.REPORT_LOST) {
                     migration.failed();
-                } else if (failure == Failure.SERVICE_CRASH_AFTER_ORDER) {
+                } else if (failure == Failure.SERVICE_CRASH_AFTER_COMMAND) {
                     restartService();
                 } else {
                     migration.reported(report);
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void abortAtEachStepBeforeTheSwitchKeepsTheSourceAsOwner() throws DamagedPageException {
+    void abortAtEachStepBeforeTheSwitchKeepsTheSourceAsHolder() throws DamagedPageException {
         int steps = countSteps();
         for (int at = 0; at < steps; at++) {
             MigrationRun run = new MigrationRun();
@@ -209,7 +209,7 @@
     }
 
     @Test
-    void delayedOrderOfAnEarlierServiceIncarnationDoesNotLiftAFence() {
+    void delayedCommandOfAnEarlierServiceIncarnationDoesNotLiftAFence() {
         MigrationRun run = new MigrationRun();
         long earlySeq = run.seq + 1;
         while (run.durable.state() != Migration.State.SWITCHED) {
