--- a/core/src/test/java/garnetreel/core/connection/AttemptTrackerTest.java
+++ b/core/src/test/java/garnetreel/core/connection/AttemptTrackerTest.java
@@ -36,11 +36,11 @@
 
     @Test
     void attemptsWithTheSameTimeOutAreDistinguished() {
-        NodeAttempt hedged = new NodeAttempt(2, 2, "n:2", 0, 100);
-        tracker.add(hedged, CONNECTION);
+        NodeAttempt higherIndex = new NodeAttempt(2, 2, "n:2", 0, 100);
+        tracker.add(higherIndex, CONNECTION);
         tracker.add(early, CONNECTION);
         assertEquals(early, tracker.firstTimedOut(100));
         tracker.remove(early);
-        assertEquals(hedged, tracker.firstTimedOut(100));
+        assertEquals(higherIndex, tracker.firstTimedOut(100));
     }
 }
--- a/core/src/test/java/garnetreel/core/request/SubRequestTableTest.java
+++ b/core/src/test/java/garnetreel/core/request/SubRequestTableTest.java
@@ -54,14 +54,14 @@
 
     @Test
     void reroutedSubRequestAndItsSuccessorsOfTheKeyAreResubmittedInOrder() {
-        SubRequest moved = add(ordered, 1);
-        moved.beginAttempt();
-        moved.endAttempt(Outcome.NOT_STARTED);
+        SubRequest rerouted = add(ordered, 1);
+        rerouted.beginAttempt();
+        rerouted.endAttempt(Outcome.NOT_STARTED);
         SubRequest successor = add(ordered, 1);
         SubRequest otherKey = add(ordered, 2);
         assertEquals(List.of(1L, 2L, 3L), drainedIds());
 
-        table.withdrawWithSuccessors(moved, NOW);
+        table.withdrawWithSuccessors(rerouted, NOW);
         assertEquals(List.of(-2L), drainedIds());
         assertFalse(otherKey.awaitingRoute);
         assertEquals(NOW + ReroutingQueue.REROUTE_AFTER_MICROS, table.nextReroute());
@@ -72,10 +72,10 @@
 
         table.reroute(RequestFixtures.fixedRouter());
         assertEquals(List.of(5L, 6L, 7L), drainedIds());
-        assertEquals(List.of(5L, 6L, 7L), List.of(moved.id, successor.id, added.id));
+        assertEquals(List.of(5L, 6L, 7L), List.of(rerouted.id, successor.id, added.id));
         assertEquals(3, table.reroutes());
         assertEquals(Long.MAX_VALUE, table.nextReroute());
-        assertFalse(moved.attempted());
+        assertFalse(rerouted.attempted());
     }
 
     @Test
--- a/mapservice/src/test/java/garnetreel/mapservice/OperatorCommandsTest.java
+++ b/mapservice/src/test/java/garnetreel/mapservice/OperatorCommandsTest.java
@@ -118,10 +118,10 @@
         commands.execute(new Command("somebody", "adopt"), answers::add);
         assertEquals(List.of(rejected("it is under way already")), answers);
         answers.clear();
-        fixture.report(polls.get(0), true, true, 0, heldEntry(4, 1, 6));
+        fixture.report(polls.get(0), true, true, 0, extentEntry(4, 1, 6));
         Sent<NodeMessage> followUpPoll =
                 ServiceFixture.toNodes(fixture.actions()).get(0);
-        fixture.report(followUpPoll, true, false, 0, heldEntry(6, 3, 9));
+        fixture.report(followUpPoll, true, false, 0, extentEntry(6, 3, 9));
         fixture.report(polls.get(1), true, false, 0, NodeMessage.noData());
         fixture.commitAll(log);
         assertEquals(
@@ -131,7 +131,7 @@
         assertEquals(6, fixture.state.map(ServiceFixture.VOLUME).version(4));
     }
 
-    private static ByteBuffer heldEntry(long extent, int state, long version) {
+    private static ByteBuffer extentEntry(long extent, int state, long version) {
         return ByteBuffer.allocate(29)
                 .putLong(ServiceFixture.VOLUME)
                 .putLong(extent)
--- a/policy/src/test/java/garnetreel/policy/SafetyRulesChecker.java
+++ b/policy/src/test/java/garnetreel/policy/SafetyRulesChecker.java
@@ -178,7 +178,7 @@
         assertTrue(
                 unavailableSince == null
                         || now - unavailableSince < settings.rules().drainGrace(),
-                "sent to a drained endpoint");
+                "sent to an endpoint that is draining or removed");
         checkIdempotency(observed, send, now);
         checkOrder(observed, now);
         if (observed.sends.isEmpty()) {
