--- a/core/src/main/java/garnetreel/core/io/NetAction.java
+++ b/core/src/main/java/garnetreel/core/io/NetAction.java
@@ -32,7 +32,7 @@
 
     /**
      * Closes a connection: with {@code abort} at once, otherwise gracefully. A graceful close sends the bytes already
-     * written and reports them as drained, shuts down the sending side, and then reads and discards data until the peer
+     * written and reports them as written, shuts down the sending side, and then reads and discards data until the peer
      * closes or a time limit is reached: closing a socket with unread data resets the connection, and the peer may lose
      * the last reply. A further Close with {@code abort} ends a graceful close early.
      */
