--- a/cli/src/main/resources/garnetreel/cli/dev.hcl
+++ b/cli/src/main/resources/garnetreel/cli/dev.hcl
@@ -1,4 +1,4 @@
-# Settings of `garnetreel dev`: one head, nodes that cost nothing, and times so wide that nothing is refused for lateness.
+# Settings of `garnetreel dev`: one gateway, nodes of no cost, and times so long that no request is refused as late.
 service {
   heads = 1
 }
--- a/days/aba.hcl
+++ b/days/aba.hcl
@@ -1,4 +1,4 @@
-# A head is away while extents move twice, one of them back to where it was (ABA), and comes back with its old map.
+# A gateway is down while extents move twice, one of them back to where it was (ABA), and returns with its old map.
 day {
   about  = "a head returns with a map several versions old; extents moved twice meanwhile, half of them back to where they were"
   length = "26s"
--- a/days/ageing.hcl
+++ b/days/ageing.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: ageing.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: ageing.
 day {
   about  = "nodes slow down by steps before they die"
   length = "20s"
--- a/days/bad.hcl
+++ b/days/bad.hcl
@@ -1,4 +1,4 @@
-# A bad day at the civil records utility, on a small scale: three heads, eight nodes, and nearly everything goes wrong.
+# A bad day at the civil records utility, on a small scale: three gateways, eight nodes, and nearly every kind of fault.
 day {
   about  = "crashes, silence, slowness, cold returns, a lagging list, a dying head, a surge past a limit, clients that leave"
   length = "40s"
--- a/days/balancer-crash.hcl
+++ b/days/balancer-crash.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: balancer_crash.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: balancer_crash.
 day {
   about  = "two of three heads die, one after the other, and come back"
   length = "20s"
--- a/days/balancer-long-stall.hcl
+++ b/days/balancer-long-stall.hcl
@@ -1,4 +1,4 @@
-# A head gets no turn for longer than any deadline: no stopped process can answer, but it must do nothing wrong as it wakes.
+# A gateway is stopped for longer than any deadline: it can't answer, but must do nothing wrong when it resumes.
 day {
   about  = "a head is stopped for three seconds, twice, longer than the deadlines of what it holds"
   length = "25s"
--- a/days/balancer-stall.hcl
+++ b/days/balancer-stall.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: balancer_stall.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: balancer_stall.
 day {
   about  = "heads get no processor for a while"
   length = "20s"
--- a/days/borders.hcl
+++ b/days/borders.hcl
@@ -1,4 +1,4 @@
-# Requests across the borders of extents while either side moves, between split and send as between any two moments.
+# Requests across extent boundaries while either side moves, at any moment, also between split and send.
 day {
   about  = "most requests cross a border of extents, and every extent of their volume moves three times"
   length = "30s"
--- a/days/burst.hcl
+++ b/days/burst.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: burst.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: burst.
 day {
   about  = "every load asks for several times its usual"
   length = "20s"
--- a/days/connections-cut.hcl
+++ b/days/connections-cut.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: connections_cut.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: connections_cut.
 day {
   about  = "connections are cut after so many bytes, refused, or left half open"
   length = "20s"
--- a/days/crash.hcl
+++ b/days/crash.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: crash.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: crash.
 day {
   about  = "an eighth of the nodes die and come back cold"
   length = "20s"
--- a/days/cut-off.hcl
+++ b/days/cut-off.hcl
@@ -1,4 +1,4 @@
-# Old holders that the map service can't reach while heads can: nothing of theirs may be served elsewhere meanwhile.
+# The map service can't reach old holders but gateways can: no extent of theirs may be served elsewhere meanwhile.
 day {
   about  = "nodes are cut off from the map service while their extents are to move; heads sleep and come back with old maps"
   length = "40s"
--- a/days/deploy.hcl
+++ b/days/deploy.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: deploy.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: deploy.
 day {
   about  = "all nodes are replaced one after the other, each after a drain"
   length = "20s"
--- a/days/discovery-stale.hcl
+++ b/days/discovery-stale.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: discovery_stale.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: discovery_stale.
 day {
   about  = "the list lags by seconds, fails calls, falls silent and dies while nodes change"
   length = "20s"
--- a/days/fast-errors.hcl
+++ b/days/fast-errors.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: fast_errors.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: fast_errors.
 day {
   about  = "some nodes fail most requests at once"
   length = "20s"
--- a/days/files.hcl
+++ b/days/files.hcl
@@ -1,4 +1,4 @@
-# Folders are pushed and pulled by rsync beside NBD load while nodes, the head that serves the module, and the list fail.
+# Rsync pushes and pulls folders beside NBD load; nodes, the gateway serving the rsync module and the node list fail.
 day {
   about  = "rsync pushes and pulls beside NBD load on a bad day; every file byte for byte a version that was pushed"
   length = "40s"
--- a/days/give-up.hcl
+++ b/days/give-up.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: give_up.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: give_up.
 day {
   about  = "clients leave all the time with work outstanding, while a node is slow"
   length = "20s"
--- a/days/heavy-tail.hcl
+++ b/days/heavy-tail.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: heavy_tail.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: heavy_tail.
 day {
   about  = "requests cost many times their told size at some nodes"
   length = "20s"
--- a/days/hot-key.hcl
+++ b/days/hot-key.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: hot_key.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: hot_key.
 day {
   about  = "many writes at few pieces of data, in order"
   length = "20s"
--- a/days/lost-answers.hcl
+++ b/days/lost-answers.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: lost_answers.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: lost_answers.
 day {
   about  = "answers are lost at every node"
   length = "20s"
--- a/days/many-heads.hcl
+++ b/days/many-heads.hcl
@@ -1,4 +1,4 @@
-# 160 heads: the map service stands still for a minute, then all heads die and come back together.
+# 160 gateways: the map service stalls for a minute, then all gateways crash and restart together.
 day {
   about  = "160 heads go on while the map service is silent for a minute, and come back at once without felling it"
   length = "85s"
--- a/days/mass-restart.hcl
+++ b/days/mass-restart.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: mass_restart.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: mass_restart.
 day {
   about  = "half of the nodes restart at once and come back cold"
   length = "20s"
--- a/days/moves-load.hcl
+++ b/days/moves-load.hcl
@@ -1,4 +1,4 @@
-# 200 moves under load at about 0.7 of what the nodes can do, and no other trouble: what moves alone cost.
+# 200 moves under a load of about 0.7 of the nodes' capacity and no other fault: shows the cost of moves alone.
 day {
   about  = "200 moves at 70% of capacity with nothing failing, for measurements"
   length = "45s"
--- a/days/moves.hcl
+++ b/days/moves.hcl
@@ -1,4 +1,4 @@
-# Extents move all the time while nodes, heads and the map service fail.
+# Extents move all the time while nodes, gateways and the map service fail.
 day {
   about  = "200 moves of extents while clients write and nodes, a head and the map service fail"
   length = "40s"
--- a/days/rebalance.hcl
+++ b/days/rebalance.hcl
@@ -1,4 +1,4 @@
-# The rebalancer at work: one shard is emptied, one node ages, one comes back cold, and load is uneven from the start.
+# The rebalancer at work: a shard is drained, a node ages, another restarts cold, and load is uneven from the start.
 day {
   about  = "a shard drains, a node ages and another restarts cold while the rebalancer moves what it sees fit"
   length = "45s"
--- a/days/reconnect.hcl
+++ b/days/reconnect.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: reconnect.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: reconnect.
 day {
   about  = "a head dies and its clients come back to it at once"
   length = "20s"
--- a/days/restore.hcl
+++ b/days/restore.hcl
@@ -1,4 +1,4 @@
-# The map service loses the newest part of its journal while extents move: it must notice, and take its maps from the nodes.
+# The map service loses the end of its journal while extents move: it must notice and rebuild its maps from the nodes.
 day {
   about  = "the map service comes back from a backup 60 transactions old, twice, amid 150 moves"
   length = "40s"
--- a/days/scan.hcl
+++ b/days/scan.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: scan.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: scan.
 day {
   about  = "one volume reads its whole range beside the counters"
   length = "20s"
--- a/days/tenant-burst.hcl
+++ b/days/tenant-burst.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: tenant_burst.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: tenant_burst.
 day {
   about  = "the volume of one plan asks for many times its limit"
   length = "20s"
--- a/days/vanish.hcl
+++ b/days/vanish.hcl
@@ -1,4 +1,4 @@
-# The deployment of bad.hcl with one sort of trouble, as the bench names it: vanish.
+# The deployment of bad.hcl with one kind of fault, by the simulator's name for it: vanish.
 day {
   about  = "nodes go silent without a reset and come back cold"
   length = "20s"
--- a/deploy/example.hcl
+++ b/deploy/example.hcl
@@ -1,4 +1,4 @@
-# A small service on one host: a list, two nodes, the map service and a head. docs/operations.md says how to start it.
+# A small service on one host: a node list, two nodes, the map service and a gateway. Start: see docs/operations.md.
 service {
   heads = 1
   list  = "127.0.0.1:7001"
