--- a/mapservice/src/main/java/garnetreel/mapservice/AdoptionCoordinator.java
+++ b/mapservice/src/main/java/garnetreel/mapservice/AdoptionCoordinator.java
@@ -149,8 +149,7 @@
                     if (t == null) {
                         callback.completed(
                                 false,
-                                OperatorReports.message(
-                                        "the adoption could not be committed; the map service's log has the reason"));
+                                OperatorReports.message("it could not be committed; the service's log says why"));
                         return;
                     }
                     nodes.startNumbering(state.epoch(), state.seq());
